--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as the project's store port."""
+"""An implementation of the store port for the platform's store."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from azureramp.ports.web import api as web_api
 from azureramp.ports.web import pool
 
-CALL_S = 1.0
-"""Longest time that a call may take, in seconds; the store takes 4 ms, and
-some tenths of a second on a bad day."""
+CALL_TIMEOUT_S = 1.0
+"""Timeout of a call, in seconds. The store usually answers within 4 ms, and
+within some tenths of a second when it is slow."""
 
-MOST_PAGES = 200
-"""Most pages of one reading; a hundred searchers fill one or two."""
+MAX_PAGES = 200
+"""Maximum number of pages read for one prefix; a hundred searchers fill one or
+two."""
 
 _T = TypeVar("_T")
 
@@ -33,7 +34,7 @@
     __slots__ = ("_pool", "_watch_pool")
 
     def __init__(self, address: str) -> None:
-        """Makes a client; it connects when it is first used.
+        """Creates a client; it connects on first use.
 
         Args:
             address: `IP:port` of the store.
@@ -45,9 +46,9 @@
         self, key: str
     ) -> expression.Result[api.Entry | None, errors.Failure]:
         """Reads one key; see `api.Store`."""
-        result = await self._ask("GET", "/kv-key", {"Key": key})
+        result = await self._send("GET", "/kv-key", {"Key": key})
         if result.is_error():
-            return expression.Error(_as_read(result.error))
+            return expression.Error(_to_read_failure(result.error))
         if result.ok.status == 404:
             return expression.Ok(None)
         return _decode(result.ok, bodies.ItemBody).bind(_to_entry)
@@ -57,20 +58,21 @@
     ) -> expression.Result[api.Listing, errors.Failure]:
         """Reads a prefix; see `api.Store`.
 
-        The pages are no snapshot, so the revision is the first page's: what
-        changed while they were read is among the changes since then.
+        The pages are not a consistent snapshot, so the listing gets the
+        revision of the first page: a watch from that revision returns
+        whatever changed while the later pages were read.
         """
         entries: list[api.Entry] = []
         revision: int | None = None
         after = ""
         pages = 0
-        for pages in range(1, MOST_PAGES + 1):  # noqa: B007
+        for pages in range(1, MAX_PAGES + 1):  # noqa: B007
             query = {"Prefix": prefix}
             if after:
                 query["after"] = after
-            result = await self._ask("GET", "/kv-range", query)
+            result = await self._send("GET", "/kv-range", query)
             if result.is_error():
-                return expression.Error(_as_read(result.error))
+                return expression.Error(_to_read_failure(result.error))
             page = _decode(result.ok, bodies.RangeBody)
             if page.is_error():
                 return expression.Error(page.error)
@@ -89,7 +91,7 @@
     async def write(
         self, key: str, value: bytes, expected: int, lease: str = ""
     ) -> expression.Result[api.Write, errors.Failure]:
-        """Writes by compare-and-swap; see `api.Store`."""
+        """Writes one key by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             return expression.Error(errors.Failure(errors.Kind.TOO_LARGE, key))
         write = _to_write_body(key, value, lease)
@@ -98,13 +100,13 @@
     async def delete(
         self, key: str, expected: int
     ) -> expression.Result[api.Write, errors.Failure]:
-        """Deletes by compare-and-swap; see `api.Store`."""
+        """Deletes one key by compare-and-swap; see `api.Store`."""
         return await self._change(key, expected, [], [key])
 
     async def write_batch(
         self, changes: Sequence[api.Change]
     ) -> expression.Result[api.BatchWrite, errors.Failure]:
-        """Changes several keys; see `api.BatchStore`."""
+        """Changes several keys in one transaction; see `api.BatchStore`."""
         body = bodies.TransactionBody(
             [
                 bodies.PreconditionBody(each.key, each.expected)
@@ -117,7 +119,7 @@
             ],
             [each.key for each in changes if each.value is None],
         )
-        result = await self._ask("POST", "/kv-txn", {}, body)
+        result = await self._send("POST", "/kv-txn", {}, body)
         keys = [each.key for each in changes]
         return result.bind(lambda response: _to_batch_write(response, keys))
 
@@ -130,11 +132,16 @@
             "after": str(after),
             "WaitMs": str(int(wait_s * 1000)),
         }
-        result = await self._ask(
-            "GET", "/kv-watch", query, None, wait_s + CALL_S, self._watch_pool
+        result = await self._send(
+            "GET",
+            "/kv-watch",
+            query,
+            None,
+            wait_s + CALL_TIMEOUT_S,
+            self._watch_pool,
         )
         if result.is_error():
-            return expression.Error(_as_read(result.error))
+            return expression.Error(_to_read_failure(result.error))
         if result.ok.status == 410:
             return expression.Error(
                 errors.Failure(errors.Kind.STORE_HISTORY_GONE)
@@ -144,9 +151,9 @@
     async def grant_lease(
         self, ttl_s: float
     ) -> expression.Result[str, errors.Failure]:
-        """Makes a lease; see `api.Store`."""
+        """Requests a new lease; see `api.Store`."""
         body = bodies.LeaseRequestBody(int(ttl_s * 1000))
-        result = await self._ask("POST", "/kv-lease", {}, body)
+        result = await self._send("POST", "/kv-lease", {}, body)
         if result.is_error():
             return expression.Error(result.error)
         return _decode(result.ok, bodies.LeaseBody).map(
@@ -156,12 +163,12 @@
     async def keep_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
-        """Keeps a lease alive; see `api.Store`."""
-        result = await self._ask("POST", f"/kv-keep/{lease}", {})
-        return result.bind(_to_kept)
+        """Renews a lease; see `api.Store`."""
+        result = await self._send("POST", f"/kv-keep/{lease}", {})
+        return result.bind(_to_renewed)
 
     async def close(self) -> None:
-        """Closes every idle connection."""
+        """Closes the connection pools."""
         self._pool.close()
         self._watch_pool.close()
 
@@ -172,31 +179,32 @@
         writes: list[bodies.WriteBody],
         deletes: list[str],
     ) -> expression.Result[api.Write, errors.Failure]:
-        """Changes one key under the condition of its revision."""
+        """Changes one key if it has the expected revision."""
         condition = [bodies.PreconditionBody(key, expected)]
         body = bodies.TransactionBody(condition, writes, deletes)
-        result = await self._ask("POST", "/kv-txn", {}, body)
+        result = await self._send("POST", "/kv-txn", {}, body)
         return result.bind(_to_write)
 
-    async def _ask(
+    async def _send(
         self,
         method: str,
         path: str,
         query: dict[str, str],
         body: Any = None,
-        timeout_s: float = CALL_S,
-        through: pool.Pool | None = None,
+        timeout_s: float = CALL_TIMEOUT_S,
+        connection_pool: pool.Pool | None = None,
     ) -> expression.Result[web_api.Response, errors.Failure]:
-        """Makes one call; a refusal by the store is a failure.
+        """Sends one request to the store; returns 429 and 5xx as failures.
 
-        429 and 503 say that nothing was done; any other 5xx says nothing.
+        With 429 and 503 the store guarantees that the call had no effect;
+        after any other 5xx the outcome is unknown.
         """
         target = path
         if query:
             target += "?" + urllib.parse.urlencode(query)
         data = b"" if body is None else msgspec.json.encode(body)
         headers = (("Content-Type", "application/json"),) if data else ()
-        result = await (through or self._pool).exchange(
+        result = await (connection_pool or self._pool).exchange(
             method, target, data, timeout_s, headers
         )
         if result.is_error():
@@ -211,15 +219,15 @@
         return expression.Error(errors.Failure(kind, f"status {status}"))
 
 
-def _as_read(failure: errors.Failure) -> errors.Failure:
-    """Turns a read's failure into what it means: no effect in any case."""
+def _to_read_failure(failure: errors.Failure) -> errors.Failure:
+    """Makes a read's failure `STORE_UNAVAILABLE`: a read has no effect."""
     return errors.Failure(errors.Kind.STORE_UNAVAILABLE, failure.detail)
 
 
 def _decode(
     response: web_api.Response, wanted: type[_T]
 ) -> expression.Result[_T, errors.Failure]:
-    """Decodes the body of a successful answer."""
+    """Decodes the body of an answer with status 200."""
     detail = f"status {response.status}"
     if response.status == 200:
         try:
@@ -235,7 +243,7 @@
 def _to_entry(
     item: bodies.ItemBody,
 ) -> expression.Result[api.Entry, errors.Failure]:
-    """Makes an entry of an item."""
+    """Converts an item of the platform's store to an entry."""
     if item.removed:
         return expression.Ok(api.Entry(item.key, None, item.revision))
     try:
@@ -249,7 +257,7 @@
 def _to_changes(
     body: bodies.WatchBody,
 ) -> expression.Result[api.Listing, errors.Failure]:
-    """Makes a listing of the changes."""
+    """Converts the changes that a watch returned to a listing."""
     entries: list[api.Entry] = []
     for event in body.events:
         entry = _to_entry(event)
@@ -259,10 +267,10 @@
     return expression.Ok(api.Listing(tuple(entries), body.revision))
 
 
-def _to_kept(
+def _to_renewed(
     response: web_api.Response,
 ) -> expression.Result[bool, errors.Failure]:
-    """Tells whether a lease was renewed."""
+    """Returns True if a lease was renewed, False if it no longer exists."""
     if response.status in (200, 404):
         return expression.Ok(response.status == 200)
     detail = f"status {response.status}"
@@ -272,7 +280,7 @@
 
 
 def _to_write_body(key: str, value: bytes, lease: str) -> bodies.WriteBody:
-    """Makes the wire form of one key's new value."""
+    """Encodes one key's new value."""
     encoded = base64.b64encode(value).decode("ascii")
     return bodies.WriteBody(key, encoded, int(lease or 0))
 
@@ -280,24 +288,24 @@
 def _to_write(
     response: web_api.Response,
 ) -> expression.Result[api.Write, errors.Failure]:
-    """Makes the outcome of one key's change."""
+    """Converts the answer to a change of one key."""
 
-    def take(outcome: api.Written | bodies.ConflictBody) -> api.Write:
+    def convert(outcome: api.Written | bodies.ConflictBody) -> api.Write:
         match outcome:
             case api.Written():
                 return outcome
             case bodies.ConflictBody():
-                return api.Conflicted(_find_present(outcome))
+                return api.Conflicted(_find_conflicting_entry(outcome))
 
-    return _to_outcome(response).map(take)
+    return _to_outcome(response).map(convert)
 
 
 def _to_batch_write(
     response: web_api.Response, keys: Sequence[str]
 ) -> expression.Result[api.BatchWrite, errors.Failure]:
-    """Makes the outcome of a batch that changes these keys."""
+    """Converts the answer to a batch that changes these keys."""
 
-    def take(outcome: api.Written | bodies.ConflictBody) -> api.BatchWrite:
+    def convert(outcome: api.Written | bodies.ConflictBody) -> api.BatchWrite:
         match outcome:
             case api.Written():
                 return outcome
@@ -310,13 +318,16 @@
                 }
                 return api.BatchConflicted(present)
 
-    return _to_outcome(response).map(take)
+    return _to_outcome(response).map(convert)
 
 
 def _to_outcome(
     response: web_api.Response,
 ) -> expression.Result[api.Written | bodies.ConflictBody, errors.Failure]:
-    """Decodes a change's answer; one that can't be read says nothing."""
+    """Decodes the answer to a change.
+
+    A 200 or 412 whose body can't be decoded leaves the outcome unknown.
+    """
     try:
         if response.status == 200:
             committed = msgspec.json.decode(
@@ -335,8 +346,8 @@
     return expression.Error(errors.Failure(kind, f"status {response.status}"))
 
 
-def _find_present(conflict: bodies.ConflictBody) -> api.Entry | None:
-    """Returns the entry that a change ran into; None if there is none."""
+def _find_conflicting_entry(conflict: bodies.ConflictBody) -> api.Entry | None:
+    """Returns the entry that a change conflicted with, or None."""
     for item in conflict.items:
         entry = _to_entry(item)
         if entry.is_ok() and item.revision > 0 and not item.removed:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against a stand-in that speaks its protocol."""
+"""Tests of the store's client against a stand-in store server."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run(scenario: Scenario) -> None:
-    async def whole() -> None:
+    async def run_scenario() -> None:
         server = store_standin.Store(deployment.STORE_ADDRESS)
         await server.start()
         client = store.PlatformStore(deployment.STORE_ADDRESS)
@@ -26,10 +26,10 @@
             await client.close()
             await server.server.stop(0.0)
 
-    virtual.run(whole())
+    virtual.run(run_scenario())
 
 
-def test_all_pages_are_read_as_of_the_first() -> None:
+def test_listing_has_all_pages_and_the_revision_of_the_first() -> None:
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
@@ -43,16 +43,16 @@
     run(scenario)
 
 
-def test_writes_go_by_the_revision_and_tell_what_is_there() -> None:
+def test_conflicting_write_returns_the_current_entry() -> None:
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
         first = (await client.write("k", b"one", api.CREATE)).ok
         assert isinstance(first, api.Written)
-        refused = (await client.write("k", b"two", api.CREATE)).ok
-        assert isinstance(refused, api.Conflicted)
-        assert refused.present is not None
-        assert refused.present.value == b"one"
+        conflict = (await client.write("k", b"two", api.CREATE)).ok
+        assert isinstance(conflict, api.Conflicted)
+        assert conflict.present is not None
+        assert conflict.present.value == b"one"
         read = (await client.read("k")).ok
         assert read is not None
         assert read.revision == first.revision
@@ -64,7 +64,7 @@
     run(scenario)
 
 
-def test_a_write_without_an_answer_is_unknown() -> None:
+def test_outcome_of_a_write_without_answer_is_unknown() -> None:
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
@@ -76,7 +76,7 @@
     run(scenario)
 
 
-def test_a_watch_wakes_on_a_change_and_tells_removals() -> None:
+def test_watch_returns_on_a_change_and_reports_deletions() -> None:
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
@@ -92,7 +92,7 @@
     run(scenario)
 
 
-def test_a_forgotten_history_is_told_apart_from_an_outage() -> None:
+def test_compacted_history_and_outage_are_different_errors() -> None:
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
@@ -107,7 +107,7 @@
     run(scenario)
 
 
-def test_a_lease_is_granted_kept_and_lapses() -> None:
+def test_lease_is_granted_renewed_and_expires() -> None:
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
@@ -122,7 +122,7 @@
     run(scenario)
 
 
-def test_a_batch_changes_all_its_keys_or_none() -> None:
+def test_batch_is_atomic() -> None:
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
@@ -131,8 +131,8 @@
             api.Change("new", b"a", api.CREATE),
             api.Change("old", None, old + 1),
         ]
-        refused = (await client.write_batch(changes)).ok
-        assert refused == api.BatchConflicted({"new": 0, "old": old})
+        conflict = (await client.write_batch(changes)).ok
+        assert conflict == api.BatchConflicted({"new": 0, "old": old})
         assert server.state.read("new") is None
         changes[1] = api.Change("old", None, old)
         written = (await client.write_batch(changes)).ok
@@ -143,7 +143,7 @@
     run(scenario)
 
 
-def test_a_batch_under_a_lease_that_ended_changes_nothing() -> None:
+def test_batch_with_an_expired_lease_changes_nothing() -> None:
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
@@ -155,7 +155,7 @@
     run(scenario)
 
 
-def test_a_batch_as_large_as_allowed_is_taken() -> None:
+def test_batch_of_the_maximum_size_is_accepted() -> None:
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
