--- a/src/azureramp/platform/__init__.py
+++ b/src/azureramp/platform/__init__.py
@@ -1,5 +1,5 @@
 """The adapter to the users' platform: its settings, wire names and calls.
 
-Nothing outside this package knows them; nothing but the program's start
-imports it.
+They are used in this package only, and only the daemon's entry point imports
+the package.
 """
--- a/src/azureramp/platform/answers.py
+++ b/src/azureramp/platform/answers.py
@@ -1,4 +1,4 @@
-"""What a process answers on each of its addresses."""
+"""The request handlers for each address that a process listens on."""
 
 from __future__ import annotations
 
@@ -15,37 +15,38 @@
 METRICS_PATH = "/metrics"
 
 ADDRESS_LIFETIME_S = 5
-"""How long callers should keep an address answer, in whole seconds. Some keep
-it three times as long, so one that names a VM that has just died misleads for
-longer."""
+"""How long callers may cache the advertised addresses, in whole seconds. Some
+cache them three times as long, and keep using a VM that has just died for that
+time."""
 
 
 class Answers:
     """The handlers of a process's servers."""
 
-    __slots__ = ("_board", "_entry", "_lines")
+    __slots__ = ("_board", "_entry", "_log_writer")
 
     def __init__(
         self,
         board: board_module.Board,
         entry: entry_module.Entry,
-        lines: logs.LineWriter | None,
+        log_writer: logs.LineWriter | None,
     ) -> None:
-        """Makes the handlers.
+        """Creates the handlers.
 
         Args:
-            board: The state.
-            entry: Answers callers' requests.
-            lines: Writes the logs; None if they go elsewhere.
+            board: The state of the process.
+            entry: Handles callers' requests.
+            log_writer: The log writer, whose dropped lines are counted in the
+                metrics; None if the logs are written elsewhere.
         """
         self._board = board
         self._entry = entry
-        self._lines = lines
+        self._log_writer = log_writer
 
     async def handle_request(
         self, request: web_api.Request
     ) -> web_api.Response:
-        """Answers a request of a caller."""
+        """Handles a caller's request."""
         if request.method == web_api.UNREADABLE:
             return web_api.Response(
                 int(request.path[1:]), content_type="", closes=True
@@ -56,7 +57,7 @@
     async def handle_readiness(
         self, request: web_api.Request
     ) -> web_api.Response:
-        """Answers the platform's readiness check."""
+        """Handles the platform's readiness check."""
         if request.path != READINESS_PATH:
             return web_api.Response(404)
         return web_api.Response(200 if self._board.is_ready() else 503)
@@ -64,7 +65,7 @@
     async def handle_resolve(
         self, request: web_api.Request
     ) -> web_api.Response:
-        """Answers a caller that asks which addresses to use."""
+        """Handles a caller's look-up of the addresses to connect to."""
         if request.path != RESOLVE_PATH:
             return web_api.Response(404)
         board = self._board
@@ -83,7 +84,7 @@
     async def handle_metrics(
         self, request: web_api.Request
     ) -> web_api.Response:
-        """Answers with the metrics as text."""
+        """Returns the metrics in the Prometheus text format."""
         if request.path != METRICS_PATH:
             return web_api.Response(404)
         board = self._board
@@ -97,7 +98,7 @@
             ("configuration.revision", version),
         ):
             board.metrics.set_gauge(name, value)
-        dropped = self._lines.dropped if self._lines else 0
+        dropped = self._log_writer.dropped if self._log_writer else 0
         board.metrics.counts["log.dropped"] = dropped
         body = exposition.render(board.metrics)
         return web_api.Response(200, body, exposition.CONTENT_TYPE)
--- a/src/azureramp/platform/bodies.py
+++ b/src/azureramp/platform/bodies.py
@@ -1,7 +1,7 @@
-"""The platform's messages, as they stand on the wire.
+"""The platform's messages as they are encoded on the wire.
 
-Only this package sees these types; `decoding` turns them into the project's.
-Fields are optional where other writers may leave them out.
+These types are used in this package only; `decoding` and `store` convert them
+to azureramp's types. Fields that other writers may omit have defaults.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
     """A route.
 
     Attributes:
-        backend: The name of a service, unless one of the next two is given.
-        traffic_split: Services with their weights.
-        fanout_services: The shards that are all asked.
-        top_k: The most records of an answer.
-        min_shard_share: The least share of the shards, 0 to 1.
-        route_type: What may be repeated.
+        route_type: Whether the route's requests may run more than once.
+        backend: The name of the service, unless one of the next two is given.
+        traffic_split: Several services with their weights.
+        fanout_services: The shards; each request goes to all of them.
+        top_k: Maximum number of records in an answer.
+        min_shard_share: Minimum share of the shards that an answer must
+            cover, 0 to 1.
     """
 
     name: str
@@ -39,8 +40,8 @@
 class SplitBody(msgspec.Struct, rename="pascal"):
     """A service of a split route with its weight.
 
-    The service's name has stood under `Backend` as for a plain route; `Name`
-    is read too.
+    The service's name is read from `Backend`, as in a plain route, or else
+    from `Name`.
     """
 
     weight: float
@@ -59,7 +60,7 @@
 
 
 class LimitsBody(msgspec.Struct, rename="pascal"):
-    """What callers may send."""
+    """Limits on callers' requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 1_000_000
@@ -68,7 +69,7 @@
 
 
 class ConfigurationBody(msgspec.Struct, rename="pascal"):
-    """The newest configuration in full."""
+    """The complete current configuration."""
 
     version: int
     routes: list[RouteBody]
@@ -80,9 +81,9 @@
     """A searcher's entry.
 
     Attributes:
-        backend: The name of its service, not of a backend server.
+        backend: The name of the searcher's service, not of a backend server.
         version: The version of its software, not of a configuration.
-        cold_remaining_ms: How much longer it is cold.
+        cold_remaining_ms: Remaining time of its cold start, in milliseconds.
         born: When it started, in milliseconds since 1970.
     """
 
@@ -101,8 +102,8 @@
 
     Attributes:
         backend: The name of the service, not of a backend server.
-        target_version: The version of the searchers' software.
-        duration_s: The time for all of it, in seconds.
+        target_version: The version of the searchers' software to move to.
+        duration_s: The time for the whole roll-out, in seconds.
     """
 
     target_version: str
@@ -111,18 +112,18 @@
 
 
 class RolloutStatusBody(msgspec.Struct, rename="pascal"):
-    """How far a roll-out is, for the operators."""
+    """The progress of a roll-out, reported to operators."""
 
     state: str
     target_version: str
 
 
 class ItemBody(msgspec.Struct, rename="pascal"):
-    """One item of the store, or that it was removed.
+    """One item of the store, or its removal.
 
     Attributes:
-        value: The value as base64.
-        removed: True if the key is gone.
+        value: The value, base64-encoded.
+        removed: True if the key was deleted.
     """
 
     key: str
@@ -135,9 +136,9 @@
     """One page of items.
 
     Attributes:
-        items: The items, by key.
+        items: The items, ordered by key.
         more: True if there are further pages.
-        revision: The store's revision at the reading.
+        revision: The store's revision when the page was read.
     """
 
     items: list[ItemBody]
@@ -146,11 +147,11 @@
 
 
 class WatchBody(msgspec.Struct):
-    """What has changed.
+    """The changes returned by a watch.
 
     Attributes:
-        events: The changes, by revision.
-        revision: The revision to go on from.
+        events: The changes, ordered by revision.
+        revision: The revision to continue the watch from.
     """
 
     events: list[ItemBody]
@@ -158,14 +159,14 @@
 
 
 class PreconditionBody(msgspec.Struct, rename="pascal"):
-    """A key with the revision that it must have; 0 for none."""
+    """A key and its expected revision; 0 if the key must not exist."""
 
     key: str
     revision: int
 
 
 class WriteBody(msgspec.Struct, rename="pascal", omit_defaults=True):
-    """One key's new value, as base64."""
+    """One key's new value, base64-encoded."""
 
     key: str
     value: str
@@ -173,7 +174,7 @@
 
 
 class TransactionBody(msgspec.Struct, rename="pascal"):
-    """A change under a condition."""
+    """A conditional change of one or more keys."""
 
     precondition: list[PreconditionBody]
     writes: list[WriteBody]
@@ -181,25 +182,25 @@
 
 
 class CommittedBody(msgspec.Struct, rename="pascal"):
-    """A change that took effect."""
+    """The answer to a change that took effect."""
 
     revision: int
 
 
 class ConflictBody(msgspec.Struct):
-    """The items that a change ran into, as they are now."""
+    """The current items that a change conflicted with."""
 
     items: list[ItemBody]
 
 
 class LeaseRequestBody(msgspec.Struct, rename="pascal"):
-    """A wish for a lease."""
+    """A request for a lease."""
 
     ttl_ms: int
 
 
 class LeaseBody(msgspec.Struct, rename="pascal"):
-    """A lease."""
+    """A granted lease."""
 
     lease: int
     ttl_ms: int
--- a/src/azurerampd_platform.py
+++ b/src/azurerampd_platform.py
@@ -1,4 +1,4 @@
-"""Starts the daemon on the users' platform."""
+"""Entry point of the daemon on the users' platform."""
 
 from azureramp.platform import command
 
