--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -1,4 +1,4 @@
-"""What the store's entries say, in the project's types."""
+"""Converts between the store's entries and azureramp's types."""
 
 from __future__ import annotations
 
@@ -13,46 +13,50 @@
 CONFIGURATION_KEY = "op/config"
 EVACUATION_PREFIX = "op/evacuate/"
 SEARCHER_PREFIX = "servers/"
-MEMBER_PREFIX = "azureramp/members/"
-BLAME_PREFIX = "azureramp/blame/"
+VM_PREFIX = "azureramp/members/"
+CRASH_REPORT_PREFIX = "azureramp/blame/"
 ROLLOUT_ORDER_PREFIX = "op/rollout/"
 ROLLOUT_STATUS_PREFIX = "status/rollout/"
 ROLLOUT_RECORD_PREFIX = "azureramp/rollouts/"
 
 REPEATABLE = "idempotent"
-"""The kind of route whose requests may run more than once; every other kind,
-one that is not known yet included, is taken for one that may not."""
+"""The type of route whose requests may run more than once. The requests of any
+other type, also of an unknown one, may not."""
 
-STATES = {
+SEARCHER_STATES = {
     "ready": catalog.SearcherState.READY,
     "draining": catalog.SearcherState.DRAINING,
 }
 
-PHASES = {
+ROLLOUT_STATES = {
     rollout_types.Phase.TRIAL: "running",
     rollout_types.Phase.MOVING: "running",
     rollout_types.Phase.COMPLETED: "completed",
     rollout_types.Phase.ROLLED_BACK: "rolled_back",
 }
-"""What operators are told of the phase of a roll-out."""
+"""The state reported to operators for each phase of a roll-out."""
 
-_SENDABLE = re.compile(r"[!-~]+")
-"""Names that can stand in a header as they are. A line's end in one would let
-whoever writes such an entry put headers into every call."""
+_HEADER_SAFE = re.compile(r"[!-~]+")
+"""Names that can be sent unchanged in a header. A name with a line break would
+let whoever writes the entry inject headers into every call."""
 
 _configuration_decoder = msgspec.json.Decoder(bodies.ConfigurationBody)
 _searcher_decoder = msgspec.json.Decoder(bodies.SearcherBody)
-_member_decoder = msgspec.json.Decoder(catalog.Member)
-_blame_decoder = msgspec.json.Decoder(catalog.RequestBlamed)
+_vm_decoder = msgspec.json.Decoder(catalog.Member)
+_crash_report_decoder = msgspec.json.Decoder(catalog.RequestBlamed)
 _order_decoder = msgspec.json.Decoder(bodies.RolloutOrderBody)
 _record_decoder = msgspec.json.Decoder(rollout_types.Record)
 
 
 def decode(entry: store_api.Entry) -> catalog.Update | None:
-    """Reads one entry of the store, or that it was deleted.
+    """Decodes one entry of the store, or its deletion.
+
+    Args:
+        entry: The entry; its value is None if it was deleted.
 
     Returns:
-        What it says; None for a key that is of no interest here.
+        The update; `catalog.Unreadable` if the value can't be decoded, None
+        for a key that isn't used here.
     """
     key, value = entry.key, entry.value
     try:
@@ -64,12 +68,12 @@
         if key.startswith(EVACUATION_PREFIX):
             zone = key.removeprefix(EVACUATION_PREFIX)
             return catalog.ZoneEvacuated(zone, out=value is not None)
-        if key.startswith(MEMBER_PREFIX):
+        if key.startswith(VM_PREFIX):
             if value is None:
-                return catalog.MemberGone(key.removeprefix(MEMBER_PREFIX))
-            return catalog.MemberSeen(_member_decoder.decode(value))
-        if key.startswith(BLAME_PREFIX) and value is not None:
-            return _blame_decoder.decode(value)
+                return catalog.MemberGone(key.removeprefix(VM_PREFIX))
+            return catalog.MemberSeen(_vm_decoder.decode(value))
+        if key.startswith(CRASH_REPORT_PREFIX) and value is not None:
+            return _crash_report_decoder.decode(value)
         if key.startswith(ROLLOUT_ORDER_PREFIX):
             return _decode_order(entry)
         if key.startswith(ROLLOUT_RECORD_PREFIX) and value is not None:
@@ -82,35 +86,39 @@
 
 
 def make_member_key(vm: str) -> str:
-    """Returns the key of a VM's entry."""
-    return MEMBER_PREFIX + vm
+    """Returns the key of the entry that announces a VM."""
+    return VM_PREFIX + vm
 
 
-def encode_blame(blamed: catalog.RequestBlamed) -> tuple[str, bytes]:
-    """Returns the key and the value of a report on a request."""
-    name = f"{blamed.fingerprint}/{blamed.vm}"
-    return BLAME_PREFIX + name, msgspec.json.encode(blamed)
+def encode_crash_report(
+    crash_report: catalog.RequestBlamed,
+) -> tuple[str, bytes]:
+    """Returns the key and value of a crash report on a request."""
+    name = f"{crash_report.fingerprint}/{crash_report.vm}"
+    return CRASH_REPORT_PREFIX + name, msgspec.json.encode(crash_report)
 
 
 def make_rollout_keys(service: str) -> tuple[str, str]:
-    """Returns the keys of a roll-out's record and of its status."""
+    """Returns the keys of the record and the status of a service's roll-out."""
     return ROLLOUT_RECORD_PREFIX + service, ROLLOUT_STATUS_PREFIX + service
 
 
 def encode_rollout(record: rollout_types.Record) -> tuple[bytes, bytes]:
-    """Returns the values of a roll-out's record and of its status."""
-    status = bodies.RolloutStatusBody(PHASES[record.phase], record.order.target)
+    """Encodes a roll-out's record and the status shown to operators."""
+    status = bodies.RolloutStatusBody(
+        ROLLOUT_STATES[record.phase], record.order.target
+    )
     return msgspec.json.encode(record), msgspec.json.encode(status)
 
 
 def _decode_order(entry: store_api.Entry) -> catalog.Update:
-    """Reads an operator's order of a roll-out, or that it was taken back."""
+    """Decodes an operator's order of a roll-out, or its withdrawal."""
     service = entry.key.removeprefix(ROLLOUT_ORDER_PREFIX)
     if entry.value is None:
         return catalog.RolloutWithdrawn(service)
     body = _order_decoder.decode(entry.value)
     if not body.target_version:
-        return catalog.Unreadable(f"{entry.key}: it names no version")
+        return catalog.Unreadable(f"{entry.key}: TargetVersion is empty")
     return catalog.RolloutOrdered(
         rollout_types.Order(
             service, body.target_version, body.duration_s, entry.revision
@@ -119,17 +127,18 @@
 
 
 def _decode_searcher(name: str, value: bytes | None) -> catalog.Update:
-    """Reads a searcher's entry.
+    """Decodes a searcher's entry.
 
-    One that can't be used names no searcher, also where it did before.
+    An invalid entry removes the searcher, even if an earlier version of the
+    entry was valid.
     """
-    if value is None or not _SENDABLE.fullmatch(name):
+    if value is None or not _HEADER_SAFE.fullmatch(name):
         return catalog.SearcherGone(name)
     try:
         body = _searcher_decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return catalog.SearcherGone(name)
-    state = STATES.get(body.state)
+    state = SEARCHER_STATES.get(body.state)
     host, _, port = body.address.rpartition(":")
     if state is None or not host or not port.isdigit() or not body.backend:
         return catalog.SearcherGone(name)
@@ -151,7 +160,7 @@
 def _to_configuration(
     body: bodies.ConfigurationBody,
 ) -> catalog.ConfigurationDeclared:
-    """Makes a configuration of its body."""
+    """Converts a configuration."""
     services = {
         service.name: catalog.Service(
             name=service.name,
@@ -179,7 +188,7 @@
 
 
 def _to_route(body: bodies.RouteBody) -> catalog.Route:
-    """Makes a route of its body."""
+    """Converts a route."""
     return catalog.Route(
         name=body.name,
         host=body.hostname.lower(),
@@ -196,7 +205,7 @@
 
 
 def _to_destination(body: bodies.RouteBody) -> catalog.Destination:
-    """Makes a route's destination.
+    """Converts a route's destination.
 
     Raises:
         ValueError: The route names no service.
@@ -216,4 +225,4 @@
         )
     if body.backend:
         return catalog.OneOf((catalog.Weighted(body.backend, 1.0),))
-    raise ValueError(f"the route {body.name} names no service")
+    raise ValueError(f"route {body.name} names no service")
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -1,4 +1,4 @@
-"""The headers of requests, calls and answers."""
+"""Reads and writes the headers of requests, calls and answers."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 REQUEST_ID = b"azureramp-request-id"
 DEADLINE = b"azureramp-deadline-ms"
-TARGET = b"azureramp-target-instance"
+TARGET_INSTANCE = b"azureramp-target-instance"
 SIGNATURE = b"azureramp-server-stamp"
-NOT_RUN = b"azureramp-not-executed"
-LOAD = b"azureramp-server-load"
-COLD = b"azureramp-cold-remaining-ms"
+NOT_EXECUTED = b"azureramp-not-executed"
+SERVER_LOAD = b"azureramp-server-load"
+COLD_REMAINING = b"azureramp-cold-remaining-ms"
 PART_SIGNATURES = "Azureramp-Part-Stamps"
 MISSING_PARTS = "Azureramp-Missing-Parts"
 REQUEST_ID_NAME = "Azureramp-Request-Id"
@@ -35,23 +35,25 @@
         b"upgrade",
     )
 )
-"""Headers that concern one connection (RFC 9110, section 7.6.1)."""
+"""Headers that apply to a single connection (RFC 9110, section 7.6.1)."""
 
-SET_BY_TIER = frozenset((DEADLINE, TARGET, b"content-length", b"expect"))
-"""Request headers that are written anew for each call, or that the tier has
-answered itself."""
+SET_BY_TIER = frozenset(
+    (DEADLINE, TARGET_INSTANCE, b"content-length", b"expect")
+)
+"""Request headers that aren't forwarded: the tier sets them anew for each call
+or has already handled them itself."""
 
 MAX_DEADLINE_MS = 3_600_000
-"""A caller's deadline past this is cut to it; the route's timeout is less."""
+"""Upper limit of a caller's deadline; the route's timeout is shorter."""
 
 
 class Codec:
-    """See `api.Codec`."""
+    """The platform's implementation of `api.Codec`."""
 
     __slots__ = ()
 
     def encode_message(self, message: api.Message) -> api.Fields:
-        """Returns the headers of all calls of a message; see `api.Codec`."""
+        """Returns the headers that all calls for a message share."""
         fields = list(message.fields)
         if message.body or message.method not in (b"GET", b"HEAD"):
             length = str(len(message.body)).encode("ascii")
@@ -59,11 +61,11 @@
         return fields
 
     def encode_call(self, call: api.Call) -> api.Fields:
-        """Returns a call's own headers; see `api.Codec`."""
+        """Returns the headers specific to one call; see `api.Codec`."""
         left_ms = max(1, int(call.left_s * 1000))
         return (
             (DEADLINE, str(left_ms).encode("ascii")),
-            (TARGET, call.searcher.encode("latin-1")),
+            (TARGET_INSTANCE, call.searcher.encode("latin-1")),
         )
 
     def read_id(self, fields: api.Fields) -> bytes:
@@ -76,29 +78,33 @@
     def decode_reply(
         self, status: int, fields: api.Fields, body: bytes
     ) -> api.Reply:
-        """Reads a searcher's answer; see `api.Codec`."""
-        known = dict(fields)
+        """Decodes a searcher's answer; see `api.Codec`."""
+        values = dict(fields)
         misdirected = status == MISDIRECTED
-        not_run = misdirected or NOT_RUN in known
+        not_run = misdirected or NOT_EXECUTED in values
         return api.Reply(
             status=status,
             fields=fields,
             body=body,
-            signature=known.get(SIGNATURE, b""),
+            signature=values.get(SIGNATURE, b""),
             ran=api.Ran.NO if not_run else api.Ran.YES,
             misdirected=misdirected,
-            load=_parse_load(known.get(LOAD)),
-            cold_s=_parse_milliseconds(known.get(COLD)),
+            load=_parse_load(values.get(SERVER_LOAD)),
+            cold_s=_parse_milliseconds(values.get(COLD_REMAINING)),
         )
 
 
 def decode_request(
     request: web_api.Request,
 ) -> requests.Incoming | requests.Malformed:
-    """Reads what the tier needs to know of a caller's request.
+    """Extracts what the tier needs from a caller's request.
 
     Args:
         request: The request as the server read it, undecoded.
+
+    Returns:
+        The request; `requests.Malformed` if it has no id or if its deadline
+        isn't a number.
     """
     host = request_id = b""
     deadline: bytes | None = None
@@ -129,21 +135,21 @@
             id=request_id,
             method=request.method.encode("ascii"),
             target=request.target,
-            fields=_keep_end_to_end(request.fields, SET_BY_TIER),
+            fields=_filter_end_to_end(request.fields, SET_BY_TIER),
             body=request.body,
         ),
     )
 
 
 def encode_answer(answer: requests.Answer) -> web_api.Response:
-    """Makes the HTTP response of an answer to a caller."""
+    """Encodes an answer to a caller as an HTTP response."""
     match answer:
         case requests.Whole(reply=reply):
             return web_api.Response(
                 status=reply.status,
                 body=reply.body,
                 content_type="",
-                headers=_to_text(_keep_end_to_end(reply.fields)),
+                headers=_to_text(_filter_end_to_end(reply.fields)),
             )
         case requests.Merged():
             signatures = b", ".join(answer.signatures).decode("latin-1")
@@ -173,35 +179,44 @@
             )
 
 
-def to_web_limits(limits: catalog.CallerLimits, target: web_api.Limits) -> None:
-    """Puts what callers may send into force at a server."""
+def apply_limits(limits: catalog.CallerLimits, target: web_api.Limits) -> None:
+    """Applies the limits on callers' requests to a server.
+
+    Args:
+        limits: The limits of the configuration in force.
+        target: The server's limits, changed in place.
+    """
     target.header_bytes = limits.header_bytes
     target.body_bytes = limits.body_bytes
     target.header_s = limits.header_s
     target.idle_s = limits.idle_s
 
 
-def _keep_end_to_end(
+def _filter_end_to_end(
     fields: Iterable[tuple[bytes, bytes]],
-    without: frozenset[bytes] = frozenset((b"content-length",)),
+    excluded: frozenset[bytes] = frozenset((b"content-length",)),
 ) -> list[tuple[bytes, bytes]]:
-    """Returns the headers that don't concern one connection only."""
+    """Returns the end-to-end headers, without those of one connection."""
     fields = list(fields)
-    named: set[bytes] = set()
+    connection_names: set[bytes] = set()
     for name, value in fields:
         if name == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
+            connection_names.update(
+                part.strip().lower() for part in value.split(b",")
+            )
     return [
         (name, value)
         for name, value in fields
-        if name not in HOP_BY_HOP and name not in without and name not in named
+        if name not in HOP_BY_HOP
+        and name not in excluded
+        and name not in connection_names
     ]
 
 
 def _to_text(
     fields: Sequence[tuple[bytes, bytes]],
 ) -> tuple[tuple[str, str], ...]:
-    """Decodes headers for a response."""
+    """Decodes header names and values for a response."""
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in fields
@@ -209,7 +224,7 @@
 
 
 def _parse_milliseconds(value: bytes | None) -> float | None:
-    """Reads a number of milliseconds, as seconds; None if it is none."""
+    """Parses a number of milliseconds to seconds; None if it is invalid."""
     if value is None:
         return None
     value = value.strip()
@@ -219,7 +234,7 @@
 
 
 def _parse_load(value: bytes | None) -> api.Load | None:
-    """Reads a searcher's load: running, waiting, slots."""
+    """Parses a searcher's load: requests running, requests waiting, slots."""
     if value is None:
         return None
     parts = [part.strip() for part in value.split(b",")]
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -1,4 +1,4 @@
-"""The daemon on the users' platform: its ports, its signals, its end."""
+"""The daemon on the users' platform: wiring, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -46,31 +46,31 @@
 from azureramp.ports.web import server as web_server
 
 EXIT_GRACEFUL = 0
-EXIT_CUT = 1
+EXIT_ABORTED = 1
 
-SETTINGS_S = 2.0
-"""Time between two looks at whether the settings file has changed without a
-signal, in seconds."""
+SETTINGS_CHECK_INTERVAL_S = 2.0
+"""Interval at which the settings file is checked for changes made without a
+SIGHUP, in seconds."""
 
-OTHER_DESCRIPTORS = 400
-"""Descriptors kept for files, searchers, the store and peers."""
+RESERVED_DESCRIPTORS = 400
+"""File descriptors reserved for files and for connections to searchers, the
+store and peers; the rest may be used for callers' connections."""
 
-LOOKUP_S = 0.5
-"""Longest time that the answer to a caller's look-up may take at the end, in
-seconds."""
+LOOKUP_DRAIN_S = 0.5
+"""How long a shutdown waits for running address look-ups, in seconds."""
 
-RESTART_S = 1.0
-"""Pause before a loop that failed runs again, in seconds."""
+RESTART_DELAY_S = 1.0
+"""Delay before a failed background loop is restarted, in seconds."""
 
 _logger = logbook.Logger("azureramp.program")
 
 
 class Program:
-    """One process, joined.
+    """Wires the components of one process and runs them.
 
     Attributes:
         board: The state of the process.
-        rollouts: The roll-outs that it knows.
+        rollouts: The roll-outs known to this process.
     """
 
     __slots__ = (
@@ -100,47 +100,56 @@
 
     def __init__(
         self,
-        given: settings.Settings,
-        lines: logs.LineWriter | None = None,
+        process_settings: settings.Settings,
+        log_writer: logs.LineWriter | None = None,
         seed: int | None = None,
         clock: rollout_situations.Clock = time.time,
     ) -> None:
-        """Joins the parts of a process; see `run`.
+        """Wires the components; nothing runs until `run` or `start`.
 
         Args:
-            given: The settings.
-            lines: Writes the logs; None if they go elsewhere.
-            seed: Makes its draws repeat; None for another at each start.
-            clock: Returns the time of day.
+            process_settings: The settings.
+            log_writer: The log writer, whose dropped lines are counted in the
+                metrics; None if the logs are written elsewhere.
+            seed: Seeds the random generator, for repeatable tests; None to
+                seed it from the time of day.
+            clock: Returns the time of day, in seconds since 1970.
         """
         loop = asyncio.get_running_loop()
         start = time.time_ns() if seed is None else seed
-        rng = random.Random(f"{given.identity.vm}/{start}")
-        counters = sending.make_metrics(given.own.statsd_address)
+        rng = random.Random(f"{process_settings.identity.vm}/{start}")
+        counters = sending.make_metrics(
+            process_settings.environment.statsd_address
+        )
         board = board_module.Board(
-            given.identity, given.bounds, counters, loop.time()
+            process_settings.identity,
+            process_settings.bounds,
+            counters,
+            loop.time(),
         )
         contacts = contact.Contacts(board)
         log = change_log.ChangeLog()
         self._drivers = rollouts_http.HttpDrivers()
-        process = rollout_driver.make_process_name(given.identity.vm, start)
+        process = rollout_driver.make_process_name(
+            process_settings.identity.vm, start
+        )
         self.rollouts = rollouts.Rollouts(board)
         self._reports = rollout_reports.Reports(
             board, self.rollouts, self._drivers, process
         )
-        known = searchers.Searchers(
+        searcher_registry = searchers.Searchers(
             board, headers.Codec(), rng, log, self.rollouts
         )
-        self._settings = given
+        self._settings = process_settings
         self.board = board
         self._store = counting.CountingBatchStore(
-            store.PlatformStore(given.store_address), counters
+            store.PlatformStore(process_settings.store_address), counters
         )
-        copy = relaying.Copy()
+        store_copy = relaying.Copy()
         self._roster = roster.Roster(
             board,
             self._store,
-            copy,
+            store_copy,
             decoding.make_member_key,
             msgspec.json.encode,
             contacts,
@@ -148,7 +157,7 @@
         self._members = members.Members(
             board,
             self._store,
-            copy,
+            store_copy,
             self._roster,
             decoding.make_member_key,
             msgspec.json.encode,
@@ -158,13 +167,13 @@
         )
         self._roster.on_first = self._members.wake
         self._crashes = crashes.Crashes(
-            board, self._store, decoding.encode_blame
+            board, self._store, decoding.encode_crash_report
         )
-        self._searchers = known
+        self._searchers = searcher_registry
         self._applying = applying.Applying(
             board,
             decoding.decode,
-            known,
+            searcher_registry,
             self._crashes,
             self._members,
             contacts,
@@ -172,12 +181,12 @@
             self.rollouts,
         )
         self._applying.on_configuration = self._follow_configuration
-        self._relay = relay.Relay(board, copy, self._roster, contacts)
+        self._relay = relay.Relay(board, store_copy, self._roster, contacts)
         situations = rollout_situations.Situations(board, self.rollouts, clock)
         self._grants = rollout_grants.Grants(board, situations)
         writer = rollout_writer.Writer(
             self._store,
-            copy,
+            store_copy,
             decoding.make_rollout_keys,
             decoding.encode_rollout,
             contacts,
@@ -204,7 +213,7 @@
             board,
             self._store,
             self._relays,
-            given.seeds,
+            process_settings.seeds,
             self._relay,
             contacts,
             self._applying.apply,
@@ -212,35 +221,39 @@
         )
         self._feed.on_relay = self._members.wake
         self._answers = answers.Answers(
-            board, entry.Entry(board, known, self._crashes), lines
+            board,
+            entry.Entry(board, searcher_registry, self._crashes),
+            log_writer,
         )
         self._limits = web_api.Limits(
-            connections=max(100, given.descriptors - OTHER_DESCRIPTORS)
+            connections=max(
+                100, process_settings.descriptors - RESERVED_DESCRIPTORS
+            )
         )
         self._front = web_server.Server(
-            given.front_address,
+            process_settings.front_address,
             self._answers.handle_request,
             self._limits,
             request_reader.keep_request,
         )
-        self._servers = self._make_servers(given)
+        self._servers = self._make_servers(process_settings)
         self._tasks: list[asyncio.Task[None]] = []
 
     def _make_servers(
-        self, given: settings.Settings
+        self, process_settings: settings.Settings
     ) -> tuple[web_server.Server, ...]:
-        """Makes the servers of what the process serves."""
+        """Creates a server for each address that the process listens on."""
         servers: list[web_server.Server] = []
-        if given.front_address:
+        if process_settings.front_address:
             servers.append(self._front)
-        host, _, _ = (given.front_address or given.directory_address).partition(
-            ":"
-        )
-        metrics_port = given.own.metrics_port
+        host, _, _ = (
+            process_settings.front_address or process_settings.directory_address
+        ).partition(":")
+        metrics_port = process_settings.environment.metrics_port
         for address, handler in (
-            (given.ready_address, self._answers.handle_readiness),
-            (given.directory_address, self._answers.handle_resolve),
-            (given.identity.peer_address, self._handle_peer),
+            (process_settings.ready_address, self._answers.handle_readiness),
+            (process_settings.directory_address, self._answers.handle_resolve),
+            (process_settings.identity.peer_address, self._handle_peer),
             (
                 f"{host}:{metrics_port}" if metrics_port else "",
                 self._answers.handle_metrics,
@@ -251,13 +264,13 @@
         return tuple(servers)
 
     async def _handle_peer(self, request: web_api.Request) -> web_api.Response:
-        """Answers another VM."""
+        """Handles a request from another VM."""
         if request.path == rollouts_api.REPORTS_PATH:
             return await self._grants.handle(request)
         return await self._relay.handle(request)
 
     async def run(self) -> int:
-        """Serves until SIGTERM; returns the exit code."""
+        """Serves until SIGTERM or SIGINT; returns the exit code."""
         stopping = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -265,14 +278,14 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         await self.start()
         await stopping.wait()
-        cut = await self.stop()
-        return EXIT_CUT if cut else EXIT_GRACEFUL
+        aborted = await self.stop()
+        return EXIT_ABORTED if aborted else EXIT_GRACEFUL
 
     async def start(self) -> None:
-        """Begins to listen and to follow the store.
+        """Starts the servers and the background loops.
 
         Raises:
-            OSError: An address can't be listened on.
+            OSError: The process can't listen on one of its addresses.
         """
         for server in self._servers:
             await server.start()
@@ -297,28 +310,37 @@
         _logger.info("started on {}", ", ".join(addresses))
 
     async def stop(self) -> int:
-        """Ends gracefully; returns how many requests were cut."""
-        cut = 0
+        """Shuts down gracefully; returns the number of aborted requests."""
+        aborted = 0
         if self.board.identity.serves_callers:
-            cut = await leaving.leave(self.board, self._members, self._front)
+            aborted = await leaving.leave(
+                self.board, self._members, self._front
+            )
         else:
             for server in self._servers:
-                cut += await server.stop(LOOKUP_S)
+                aborted += await server.stop(LOOKUP_DRAIN_S)
         await self.kill()
-        _logger.info("stopped; {} requests cut", cut)
-        return cut
+        _logger.info("stopped; {} requests aborted", aborted)
+        return aborted
 
     def list_servers(self) -> tuple[web_server.Server, ...]:
-        """Lists the servers of what the process serves."""
+        """Returns the servers that the process listens with."""
         return self._servers
 
     def count_bad_answers(self, service: str) -> int:
-        """Counts the bad answers of a version that this process judges."""
+        """Counts the bad answers of the new version in a service's roll-out.
+
+        Args:
+            service: The name of the service.
+
+        Returns:
+            The count; 0 if this process doesn't drive a roll-out of it.
+        """
         drive = self._grants.drives.get(service)
         return 0 if drive is None else round(drive.evidence.count_new().bad)
 
     async def kill(self) -> None:
-        """Ends at once."""
+        """Stops immediately, without waiting for running requests."""
         for task in self._tasks:
             task.cancel()
         if self._tasks:
@@ -333,38 +355,44 @@
         await self._store.close()
 
     def _follow_configuration(self, new: catalog.Configuration) -> None:
-        """Puts what callers may send into force."""
-        headers.to_web_limits(new.limits, self._limits)
+        """Applies a new configuration's limits on callers' requests.
+
+        Also wakes the announcement of this VM if it holds no lease yet.
+        """
+        headers.apply_limits(new.limits, self._limits)
         if not self.board.lease:
             self._members.wake()
 
     async def _watch_settings(self) -> None:
-        """Takes the settings anew when the file changes, forever."""
+        """Reloads the settings whenever the file changes, forever."""
         path = settings.get_path()
-        known = settings.read_change_time(path)
+        last_change = settings.read_change_time(path)
         while True:
-            await asyncio.sleep(SETTINGS_S)
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
             changed = settings.read_change_time(path)
-            if changed != known:
-                known = changed
+            if changed != last_change:
+                last_change = changed
                 self._reload()
 
     def _reload(self) -> None:
-        """Takes the bounds of a changed settings file."""
+        """Applies the bounds of a changed settings file."""
         result = settings.read(settings.get_path(), os.environ)
         if result.is_error():
-            _logger.error("kept the settings: {}", result.error)
+            _logger.error(
+                "settings not reloaded, the previous ones stay in use: {}",
+                result.error,
+            )
             return
         self.board.bounds = result.ok.bounds
-        _logger.info("took the settings anew")
+        _logger.info("settings reloaded")
 
 
 async def _keep_running(name: str, run: feed.Run) -> None:
-    """Runs a loop; after a bug in it, logs and runs it again."""
+    """Runs a background loop; logs an unexpected error and restarts it."""
     while True:
         try:
             await run()
             return
         except Exception:
-            _logger.exception("the {} loop failed", name)
-        await asyncio.sleep(RESTART_S)
+            _logger.exception("the {} loop failed; restarting it", name)
+        await asyncio.sleep(RESTART_DELAY_S)
--- a/src/azureramp/platform/settings.py
+++ b/src/azureramp/platform/settings.py
@@ -17,13 +17,13 @@
 
 
 class ListenBody(msgspec.Struct, rename="pascal"):
-    """The addresses to listen on, `IP:port`.
+    """The addresses to listen on, each as `IP:port`.
 
     Attributes:
-        front: For callers.
+        front: For callers' requests.
         ready: For the platform's readiness checks.
-        control: For other VMs.
-        directory: For callers that ask where to connect.
+        control: For requests of other VMs.
+        directory: For callers that look up the addresses to connect to.
     """
 
     front: str = ""
@@ -33,20 +33,25 @@
 
 
 class BoundsBody(msgspec.Struct, rename="pascal"):
-    """The operators' bounds, those that the tier keeps by itself.
+    """The operators' limits that the tier itself enforces.
 
     Attributes:
-        cold_overage: Factor on a cold searcher's requests a second.
-        cold_slack: Requests a second added to that.
-        retry_budget_ratio: Extra calls for each request.
-        budget_window_s: The span in which extra calls are counted.
-        retry_budget_slack: Extra calls allowed whatever the requests.
-        grace_s: Time from SIGTERM to SIGKILL.
-        ttl_max_s: Longest that callers keep an address answer.
-        exposure_share: Most requests to a new version of a service that isn't
-            proved, as a share of all.
+        cold_overage: Factor on the requests per second that a cold searcher
+            may get.
+        cold_slack: Requests per second added to that.
+        retry_budget_ratio: Maximum extra calls per request.
+        budget_window_s: The window in which extra calls are counted, in
+            seconds.
+        retry_budget_slack: Extra calls allowed regardless of the number of
+            requests.
+        grace_s: Time from SIGTERM to SIGKILL, in seconds.
+        ttl_max_s: Maximum time that callers may cache the advertised
+            addresses, in seconds.
+        exposure_share: Maximum share of a service's requests that may go to a
+            new version before it has proved itself.
         exposure_slack: Requests added to that.
-        rollback_ms: Time from the 50th bad answer to the last request.
+        rollback_ms: Maximum time from a new version's 50th bad answer to its
+            last request, in milliseconds.
     """
 
     retry_budget_ratio: float = 0.1
@@ -62,12 +67,12 @@
 
 
 class ProcessLimitsBody(msgspec.Struct, rename="pascal"):
-    """What the VM gives the process.
+    """The resources that the VM grants the process.
 
     Attributes:
         cpu_share: Share of a core.
-        cores: How many times as fast that core is, not how many there are.
-        max_fds: Most descriptors.
+        cores: Relative speed of that core, not the number of cores.
+        max_fds: Maximum number of open file descriptors.
     """
 
     cpu_share: float = 1.0
@@ -76,24 +81,24 @@
 
 
 class StoreBody(msgspec.Struct, rename="pascal"):
-    """Where the platform's store is.
+    """The platform's store.
 
     Attributes:
-        address: Its `IP:port`.
+        address: The store's `IP:port`.
     """
 
     address: str
 
 
 class SettingsBody(msgspec.Struct, rename="pascal"):
-    """The file; fields that are not known are passed over.
+    """The settings file; unknown fields are ignored.
 
     Attributes:
         node: This VM's name.
-        zone: Its availability zone.
+        zone: The VM's availability zone.
         platform: The store.
-        seeds: Where some VMs listen to others, `IP:port`; they may be down.
-        serves: What the process serves; other words are passed over.
+        seeds: The peer addresses of some VMs, `IP:port`; they may be down.
+        serves: The roles of the process; unknown ones are ignored.
         bootstrap: True if the whole tier starts for the first time.
     """
 
@@ -112,16 +117,16 @@
 DIRECTORY_ROLE = "directory"
 
 DIRECTORY_SUFFIX = "/directory"
-"""What follows the VM's name in that of its process that only tells callers
-where to connect, so that it isn't taken for the one that serves them."""
+"""Appended to the VM's name in a process that only advertises addresses, so
+that it isn't treated as the process that serves the VM's callers."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class OwnSettings:
-    """Settings of the project's own, from the environment.
+class EnvironmentSettings:
+    """azureramp's own settings, read from environment variables.
 
     Attributes:
-        metrics_port: Where the metrics are served; 0 for nowhere.
+        metrics_port: Port that serves the metrics; 0 to serve none.
         statsd_address: `IP:port` of a statsd server; empty for none.
     """
 
@@ -132,24 +137,25 @@
 PATH_VARIABLE = "AZURERAMP_CONFIG"
 DEFAULT_PATH = "/etc/azureramp/settings.toml"
 
-METRICS_PORT = "AZURERAMP_METRICS_PORT"
-STATSD_ADDRESS = "AZURERAMP_STATSD_ADDRESS"
+METRICS_PORT_VARIABLE = "AZURERAMP_METRICS_PORT"
+STATSD_ADDRESS_VARIABLE = "AZURERAMP_STATSD_ADDRESS"
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """What the file says, in the project's types.
+    """The settings of a process, converted to azureramp's types.
 
     Attributes:
-        identity: Who this process is.
-        bounds: What the operators bound.
-        front_address: Where callers connect; empty for nowhere.
-        ready_address: Where the platform asks for readiness; empty for
-            nowhere.
-        directory_address: Where callers ask for addresses; empty for nowhere.
-        store_address: The platform's store.
-        seeds: Where some VMs listen to others.
-        descriptors: Most descriptors of the process.
-        own: The project's own settings.
+        identity: The identity of this process.
+        bounds: The operators' limits.
+        front_address: `IP:port` for callers' requests; empty if not served.
+        ready_address: `IP:port` for the platform's readiness checks; empty if
+            not served.
+        directory_address: `IP:port` for callers' address look-ups; empty if
+            not served.
+        store_address: `IP:port` of the platform's store.
+        seeds: The peer addresses of some VMs, `IP:port`.
+        descriptors: Maximum number of open file descriptors.
+        environment: azureramp's own settings.
     """
 
     identity: board.Identity
@@ -160,20 +166,20 @@
     store_address: str
     seeds: tuple[str, ...]
     descriptors: int
-    own: OwnSettings = OwnSettings()
+    environment: EnvironmentSettings = EnvironmentSettings()
 
 
 def read(
     path: pathlib.Path, environment: Mapping[str, str]
 ) -> expression.Result[Settings, str]:
-    """Reads and checks a settings file and the project's own variables.
+    """Reads and checks a settings file and azureramp's own variables.
 
     Args:
         path: The file.
         environment: The process's environment.
 
     Returns:
-        The settings, or one line that names the wrong field and value.
+        The settings, or one line that names the invalid field and its value.
     """
     try:
         text = path.read_text("utf-8")
@@ -187,10 +193,10 @@
     problem = find_problem(body)
     if problem:
         return expression.Error(f"{path}: {problem}")
-    own = read_own(environment)
-    if own.is_error():
-        return expression.Error(own.error)
-    return expression.Ok(_to_settings(body, own.ok))
+    from_environment = read_environment(environment)
+    if from_environment.is_error():
+        return expression.Error(from_environment.error)
+    return expression.Ok(_to_settings(body, from_environment.ok))
 
 
 def get_path() -> pathlib.Path:
@@ -199,42 +205,46 @@
 
 
 def read_change_time(path: pathlib.Path) -> int:
-    """Returns when a file last changed, in ns; 0 if there is none."""
+    """Returns a file's modification time in ns; 0 if it can't be read."""
     try:
         return path.stat().st_mtime_ns
     except OSError:
         return 0
 
 
-def read_own(
+def read_environment(
     environment: Mapping[str, str],
-) -> expression.Result[OwnSettings, str]:
-    """Reads and checks the project's own variables.
+) -> expression.Result[EnvironmentSettings, str]:
+    """Reads and checks azureramp's own variables.
+
+    Args:
+        environment: The process's environment.
 
     Returns:
-        The settings, or one line that names the wrong variable and value.
+        The settings, or one line that names the invalid variable and its
+        value.
     """
-    port = environment.get(METRICS_PORT, "0")
+    port = environment.get(METRICS_PORT_VARIABLE, "0")
     if not port.isascii() or not port.isdigit() or int(port) > 65535:
         return expression.Error(
-            f"{METRICS_PORT}: {port!r}; allowed: 0 to 65535"
+            f"{METRICS_PORT_VARIABLE}: {port!r}; allowed: 0 to 65535"
         )
-    address = environment.get(STATSD_ADDRESS, "")
+    address = environment.get(STATSD_ADDRESS_VARIABLE, "")
     if address and not is_address(address):
         return expression.Error(
-            f"{STATSD_ADDRESS}: {address!r}; allowed: IP:port"
+            f"{STATSD_ADDRESS_VARIABLE}: {address!r}; allowed: IP:port"
         )
-    return expression.Ok(OwnSettings(int(port), address))
+    return expression.Ok(EnvironmentSettings(int(port), address))
 
 
 def is_address(value: str) -> bool:
-    """Tells whether a word is `IP:port`."""
+    """Returns True if a value has the form `IP:port`."""
     host, _, port = value.rpartition(":")
     return bool(host) and port.isdigit() and 0 < int(port) < 65536
 
 
 def find_problem(body: SettingsBody) -> str:
-    """Returns what is wrong with settings, naming the field; empty if fine."""
+    """Returns an error message that names the invalid field; empty if none."""
     listen = body.listen_addrs
     addresses = {"platform.Address": body.platform.address}
     if CALLERS_ROLE in body.serves:
@@ -248,7 +258,7 @@
         if not is_address(value):
             return f"{field}: {value!r}; allowed: IP:port"
     if not body.node or not body.zone:
-        return "Node and Zone: empty; allowed: a name"
+        return "Node and Zone: empty; allowed: a non-empty name"
     bounds = body.bounds
     numbers = {
         "Bounds.RetryBudgetRatio": bounds.retry_budget_ratio,
@@ -269,12 +279,14 @@
     }
     for field, number in spans.items():
         if number <= 0:
-            return f"{field}: {number}; allowed: more than 0 seconds"
+            return f"{field}: {number}; allowed: more than 0"
     return ""
 
 
-def _to_settings(body: SettingsBody, own: OwnSettings) -> Settings:
-    """Makes the settings of a checked file."""
+def _to_settings(
+    body: SettingsBody, environment: EnvironmentSettings
+) -> Settings:
+    """Converts a checked settings file."""
     listen, bounds = body.listen_addrs, body.bounds
     serves_callers = CALLERS_ROLE in body.serves
     serves_directory = DIRECTORY_ROLE in body.serves
@@ -312,5 +324,5 @@
         store_address=body.platform.address,
         seeds=tuple(body.seeds),
         descriptors=body.limits.max_fds,
-        own=own,
+        environment=environment,
     )
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""The store's entries, decoded once into the project's types."""
+"""Tests of decoding the store's entries."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     return update.configuration.routes[0]
 
 
-def test_a_route_to_all_shards() -> None:
+def test_fanout_route() -> None:
     route = decode_route(FanoutServices=["a", "b"], TopK=5, MinShardShare=0.75)
     assert route.destination == catalog.AllOf(("a", "b"), 5, 0.75)
     assert route.host == "search.example"
@@ -54,24 +54,24 @@
     assert route.repeatable
 
 
-def test_a_split_route() -> None:
+def test_split_route() -> None:
     split = [{"Backend": "a", "Weight": 3}, {"Backend": "b", "Weight": 1}]
     route = decode_route(TrafficSplit=split)
-    wanted = (catalog.Weighted("a", 3), catalog.Weighted("b", 1))
-    assert route.destination == catalog.OneOf(wanted)
+    expected = (catalog.Weighted("a", 3), catalog.Weighted("b", 1))
+    assert route.destination == catalog.OneOf(expected)
 
 
 @pytest.mark.parametrize("kind", ["non_idempotent", "something_new"])
-def test_any_other_kind_may_not_be_repeated(kind: str) -> None:
+def test_routes_of_any_other_type_are_not_repeatable(kind: str) -> None:
     assert not decode_route(Backend="a", RouteType=kind).repeatable
 
 
-def test_a_configuration_that_cannot_be_read_is_said_so() -> None:
+def test_invalid_configuration_is_unreadable() -> None:
     update = decode("op/config", {"Version": "x"})
     assert isinstance(update, catalog.Unreadable)
 
 
-def test_a_searcher() -> None:
+def test_searcher() -> None:
     update = decode("servers/i-1", SEARCHER)
     assert update == catalog.SearcherSeen(
         catalog.Searcher(
@@ -98,14 +98,14 @@
         {"Zone": None},
     ],
 )
-def test_an_entry_that_cannot_be_used_names_no_searcher(
+def test_invalid_searcher_entry_removes_the_searcher(
     fields: dict[str, Any],
 ) -> None:
     update = decode("servers/i-1", SEARCHER | fields)
     assert update == catalog.SearcherGone("i-1")
 
 
-def test_removals_and_evacuations() -> None:
+def test_deletions_and_evacuations() -> None:
     assert decode("servers/i-1", None) == catalog.SearcherGone("i-1")
     assert decode("op/evacuate/z", {}) == catalog.ZoneEvacuated("z", True)
     assert decode("op/evacuate/z", None) == catalog.ZoneEvacuated("z", False)
@@ -113,13 +113,13 @@
     assert decode("status/else", {}) is None
 
 
-def test_a_searcher_s_version() -> None:
+def test_version_of_a_searcher() -> None:
     update = decode("servers/i-1", SEARCHER | {"Version": "v2"})
     assert isinstance(update, catalog.SearcherSeen)
     assert update.searcher.version == "v2"
 
 
-def test_an_order_of_a_roll_out_and_its_withdrawal() -> None:
+def test_rollout_order_and_its_withdrawal() -> None:
     body = {"Backend": "s", "TargetVersion": "v2", "DurationS": 12}
     assert decode("op/rollout/s", body) == catalog.RolloutOrdered(
         rollout_types.Order("s", "v2", 12.0, 1)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("body", [{}, {"TargetVersion": ""}, [1], "x"])
-def test_an_order_that_cannot_be_read_is_said_so(body: Any) -> None:
+def test_invalid_rollout_order_is_unreadable(body: Any) -> None:
     assert isinstance(decode("op/rollout/s", body), catalog.Unreadable)
 
 
@@ -141,7 +141,7 @@
         (rollout_types.Phase.ROLLED_BACK, "rolled_back"),
     ],
 )
-def test_a_roll_out_s_record_is_read_as_written_and_its_status_is_told(
+def test_rollout_record_round_trip_and_reported_status(
     phase: rollout_types.Phase, state: str
 ) -> None:
     record = rollout_types.Record(
@@ -160,8 +160,8 @@
     )
     key, status_key = decoding.make_rollout_keys("s")
     value, status = decoding.encode_rollout(record)
-    found = decoding.decode(api.Entry(key, value, 5))
-    assert found == catalog.RolloutRecorded(record, 5)
+    decoded = decoding.decode(api.Entry(key, value, 5))
+    assert decoded == catalog.RolloutRecorded(record, 5)
     assert status_key == "status/rollout/s"
     assert msgspec.json.decode(status) == {
         "State": state,
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests, calls and answers."""
+"""Tests of the headers of requests, calls and answers."""
 
 from __future__ import annotations
 
@@ -52,12 +52,12 @@
 
 
 @pytest.mark.parametrize("value", [b"soon", b"", b"-5", b"1.5"])
-def test_a_deadline_that_is_no_number_is_malformed(value: bytes) -> None:
+def test_request_with_invalid_deadline_is_malformed(value: bytes) -> None:
     request = make_request((b"azureramp-deadline-ms", value))
     assert isinstance(headers.decode_request(request), requests.Malformed)
 
 
-def test_a_request_without_an_id_is_malformed() -> None:
+def test_request_without_id_is_malformed() -> None:
     request = web_api.Request("GET", "", {}, {}, b"", b"/a/", ())
     assert isinstance(headers.decode_request(request), requests.Malformed)
 
@@ -71,22 +71,26 @@
         (200, ((b"azureramp-server-stamp", b"s"),), api.Ran.YES),
     ],
 )
-def test_whether_a_call_ran_is_the_searchers_word(
+def test_reply_states_whether_the_call_ran(
     status: int, fields: api.Fields, ran: api.Ran
 ) -> None:
     reply = headers.Codec().decode_reply(status, fields, b"")
     assert reply.ran is ran
 
 
-def test_the_load_is_read_and_nonsense_passed_over() -> None:
+def test_load_is_parsed_and_invalid_values_are_ignored() -> None:
     codec = headers.Codec()
-    good = codec.decode_reply(200, ((b"azureramp-server-load", b"3,1,2"),), b"")
-    assert good.load == api.Load(3, 1, 2)
-    bad = codec.decode_reply(200, ((b"azureramp-server-load", b"3,x"),), b"")
-    assert bad.load is None
+    valid = codec.decode_reply(
+        200, ((b"azureramp-server-load", b"3,1,2"),), b""
+    )
+    assert valid.load == api.Load(3, 1, 2)
+    invalid = codec.decode_reply(
+        200, ((b"azureramp-server-load", b"3,x"),), b""
+    )
+    assert invalid.load is None
 
 
-def test_a_refusal_tells_when_to_come_back_only_if_it_has_not_run() -> None:
+def test_retry_after_is_sent_only_for_requests_that_did_not_run() -> None:
     shed = requests.Refused(errors.Failure(errors.Kind.SHED), "r1")
     response = headers.encode_answer(shed)
     assert response.status == 503
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read and checked."""
+"""Tests of reading and checking the platform's settings file."""
 
 from __future__ import annotations
 
@@ -46,25 +46,27 @@
     return settings.read(path, {}).error
 
 
-def test_fields_are_read_and_unknown_ones_passed_over(
+def test_fields_are_read_and_unknown_ones_ignored(
+    tmp_path: pathlib.Path,
+) -> None:
+    loaded = read(tmp_path, TEXT)
+    assert loaded.identity.vm == "vm-1"
+    assert loaded.identity.cores == 1.0
+    assert loaded.identity.first_start
+    assert loaded.bounds.extra.fixed == 56
+    assert loaded.bounds.exposure.share == 0.1
+    assert loaded.bounds.exposure.fixed == 50
+    assert loaded.bounds.exposure.stop_s == 4.0
+    assert loaded.store_address == "10.200.1.7:8102"
+
+
+def test_missing_bounds_have_conservative_defaults(
     tmp_path: pathlib.Path,
 ) -> None:
-    given = read(tmp_path, TEXT)
-    assert given.identity.vm == "vm-1"
-    assert given.identity.cores == 1.0
-    assert given.identity.first_start
-    assert given.bounds.extra.fixed == 56
-    assert given.bounds.exposure.share == 0.1
-    assert given.bounds.exposure.fixed == 50
-    assert given.bounds.exposure.stop_s == 4.0
-    assert given.store_address == "10.200.1.7:8102"
-
-
-def test_missing_bounds_have_careful_defaults(tmp_path: pathlib.Path) -> None:
     start, end = TEXT.index("[Bounds]"), TEXT.index("[platform]")
-    given = read(tmp_path, TEXT[:start] + TEXT[end:])
-    assert given.bounds.extra.fixed == 0
-    assert given.bounds.exposure.fixed == 0
+    loaded = read(tmp_path, TEXT[:start] + TEXT[end:])
+    assert loaded.bounds.extra.fixed == 0
+    assert loaded.bounds.exposure.fixed == 0
 
 
 @pytest.mark.parametrize(
@@ -81,7 +83,7 @@
         ("[Limits]", "[Limits", "settings.toml"),
     ],
 )
-def test_a_wrong_field_is_named_in_one_line(
+def test_error_names_the_invalid_field_in_one_line(
     tmp_path: pathlib.Path, old: str, new: str, named: str
 ) -> None:
     problem = read_problem(tmp_path, TEXT.replace(old, new))
@@ -89,20 +91,20 @@
     assert "\n" not in problem
 
 
-def test_a_missing_file_is_named(tmp_path: pathlib.Path) -> None:
+def test_error_names_the_missing_file(tmp_path: pathlib.Path) -> None:
     assert "absent" in settings.read(tmp_path / "absent", {}).error
 
 
 @pytest.mark.parametrize(
     ("variable", "value"),
     [
-        (settings.METRICS_PORT, "many"),
-        (settings.METRICS_PORT, "70000"),
-        (settings.STATSD_ADDRESS, "nowhere"),
+        (settings.METRICS_PORT_VARIABLE, "many"),
+        (settings.METRICS_PORT_VARIABLE, "70000"),
+        (settings.STATSD_ADDRESS_VARIABLE, "nowhere"),
     ],
 )
-def test_a_wrong_variable_is_named(variable: str, value: str) -> None:
-    problem = settings.read_own({variable: value}).error
+def test_error_names_the_invalid_variable(variable: str, value: str) -> None:
+    problem = settings.read_environment({variable: value}).error
     assert variable in problem
     assert value in problem
 
@@ -113,7 +115,9 @@
 DIRECTORY_ONLY = TEXT.replace("Unknown = 5", 'Serves = ["directory"]')
 
 
-def test_a_process_listens_for_what_it_serves(tmp_path: pathlib.Path) -> None:
+def test_process_listens_only_on_the_addresses_of_its_roles(
+    tmp_path: pathlib.Path,
+) -> None:
     callers = read(tmp_path, CALLERS_ONLY)
     assert callers.identity.serves_callers
     assert callers.front_address == "10.1.0.9:8104"
@@ -126,10 +130,10 @@
     assert not directory.identity.peer_address
 
 
-def test_the_directory_process_goes_by_a_name_of_its_own(
+def test_directory_process_has_its_own_name(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against taking it for the process that serves callers."""
+    """Guards against treating it as the process that serves callers."""
     assert read(tmp_path, DIRECTORY_ONLY).identity.vm == "vm-1/directory"
 
 
@@ -144,7 +148,7 @@
         ),
     ],
 )
-def test_a_missing_address_of_what_is_served_is_named(
+def test_error_names_the_missing_address_of_a_role(
     tmp_path: pathlib.Path, text: str, named: str
 ) -> None:
     assert named in read_problem(tmp_path, text)
