--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -1,8 +1,8 @@
-"""What operators declare about requests that are forwarded as they come.
+"""The configuration of forwarding, and the updates read from the store.
 
-A configuration names routes, the services behind them and what a caller may
-send. Searchers announce themselves. Both reach every VM through the
-platform's store; the adapter decodes them into these types.
+Operators configure the routes, the services behind them and limits on callers'
+requests. Searchers and VMs announce themselves. All of this reaches every VM
+through the platform's store; the platform adapter decodes it into these types.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Weighted:
-    """A service with its part of a route's requests.
+    """A service and its weight in a route's traffic split.
 
     Attributes:
         service: The service's name.
-        weight: Its part, relative to the others; 0 or more.
+        weight: Its share of the requests, relative to the other services of
+            the route; 0 or more.
     """
 
     service: str
@@ -29,10 +30,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OneOf:
-    """A request goes to one searcher of one of these services.
+    """A destination that sends each request to one searcher of one service.
 
     Attributes:
-        choices: The services with their parts, at least one.
+        choices: The services with their weights, at least one.
     """
 
     choices: tuple[Weighted, ...]
@@ -40,13 +41,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AllOf:
-    """A request goes to one searcher of each of these services, the shards.
+    """A destination that sends each request to one searcher of every shard.
 
     Attributes:
-        services: The shards' names, without repeats.
-        most_records: How many records an answer holds at most.
-        least_share: The least share of the shards, 0 to 1, with which an
-            answer counts.
+        services: The names of the shards' services, without duplicates.
+        most_records: Maximum number of records in an answer.
+        least_share: Minimum share of the shards that an answer must cover,
+            0 to 1.
     """
 
     services: tuple[str, ...]
@@ -59,18 +60,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Route:
-    """Which requests go where, and what is promised for them.
+    """A route: the requests that it matches and how they are handled.
 
     Attributes:
         name: The route's name.
-        host: The host that callers name, lower case, without a port.
-        prefix: The beginning of the path; it ends with a slash.
-        destination: Where its requests go.
+        host: The host in the request, lower case, without a port.
+        prefix: The prefix of the path; it ends with a slash.
+        destination: Where the requests are sent.
         repeatable: True if a request may run more than once.
-        timeout_s: Longest time that a caller is kept waiting, in seconds.
-        target_s: The time in which an answer is worth most, in seconds.
-        attempts: Most searchers (of each shard) that may run one request.
-        priority: Its rank; 0 goes first.
+        timeout_s: Maximum time until the caller gets an answer, in seconds.
+        target_s: The latency target of an answer, in seconds.
+        attempts: Maximum number of searchers (of each shard) that may run one
+            request.
+        priority: The priority of its requests; 0 is the highest.
     """
 
     name: str
@@ -86,16 +88,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Service:
-    """A service: searchers that answer alike.
+    """A service: a group of interchangeable searchers.
 
     Attributes:
         name: The service's name.
         health_path: The path of its searchers' health check.
-        connections: How many connections one of its searchers accepts from
-            all VMs together.
+        connections: Maximum number of connections that one of its searchers
+            accepts from all VMs together.
         cold_s: How long a searcher is cold after its start, in seconds.
-        cold_per_s: Requests a second that a cold searcher bears; 0 if it
-            needs no limit.
+        cold_per_s: Maximum requests per second to a cold searcher; 0 for no
+            limit.
     """
 
     name: str
@@ -107,13 +109,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """What a caller may send, and how slowly.
+    """Limits on the size and timing of callers' requests.
 
     Attributes:
-        header_bytes: Most bytes of a request's line and headers.
-        body_bytes: Most bytes of a request's body.
-        header_s: Longest time for the headers, in seconds.
-        idle_s: Longest time between two requests, in seconds.
+        header_bytes: Maximum size of the request line and headers, in bytes.
+        body_bytes: Maximum size of the body, in bytes.
+        header_s: Timeout for receiving the headers, in seconds.
+        idle_s: Timeout of a connection between two requests, in seconds.
     """
 
     header_bytes: int = 16_384
@@ -124,13 +126,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Configuration:
-    """One version of what the operators declared.
+    """One version of the operators' configuration.
 
     Attributes:
-        version: Rises with each change, not always by one.
+        version: Increases with each change, not always by one.
         routes: The routes.
         services: The services by name.
-        limits: What callers may send.
+        limits: The limits on callers' requests.
     """
 
     version: int
@@ -140,7 +142,7 @@
 
 
 class SearcherState(enum.Enum):
-    """What a searcher says of itself."""
+    """The state that a searcher announces."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -148,19 +150,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Searcher:
-    """A searcher as it announced itself.
+    """A searcher's announcement.
 
     Attributes:
-        id: Its identity; a call names it, so that another searcher that got
-            its address refuses.
+        id: The searcher's identity. Each call carries it, so that another
+            searcher that has taken over the address rejects the call.
         service: The name of its service.
         address: Its `IP:port`.
         zone: Its availability zone.
-        slots: How many requests it runs at once.
-        state: Whether it takes new work.
-        cold_s: How much longer it is cold, in seconds, when it wrote this.
-        started_ms: When it started, in milliseconds since 1970; another
-            value under the same id is another process.
+        slots: How many requests it runs concurrently.
+        state: Whether it accepts new requests.
+        cold_s: Remaining time of its cold start when it wrote the
+            announcement, in seconds.
+        started_ms: When it started, in milliseconds since 1970; a different
+            value under the same id is a different process.
         version: The version of its software.
     """
 
@@ -177,17 +180,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Member:
-    """A VM of this tier as it announced itself.
+    """The announcement of a VM of this tier.
+
+    The attributes are the keys of its encoding in the store.
 
     Attributes:
         vm: The VM's name.
         zone: Its availability zone.
         address: The `IP:port` that callers connect to.
         peer_address: The `IP:port` that other VMs connect to.
-        cores: Its processor, in cores.
-        leaving: True once callers should go elsewhere.
-        busy: True while its processor is busy enough to delay requests.
-        keeper: The VM whose lease holds the announcement; empty for its own.
+        cores: Its CPU capacity, in cores.
+        leaving: True while it shuts down and callers should use other VMs.
+        busy: True while its CPU load is high enough to delay requests.
+        keeper: The VM whose lease holds the entry; empty for its own lease.
     """
 
     vm: str
@@ -209,18 +214,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RolloutWithdrawn:
-    """Operators took their order for a service back."""
+    """Operators withdrew their order for a service."""
 
     service: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RolloutRecorded:
-    """A VM recorded how far a roll-out is.
+    """A VM recorded the progress of a roll-out.
 
     Attributes:
         record: The record.
-        revision: The store's revision that wrote it.
+        revision: The store revision at which it was written.
     """
 
     record: rollout_types.Record
@@ -229,28 +234,33 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ConfigurationDeclared:
-    """There is a new version of the configuration."""
+    """Operators declared a new version of the configuration."""
 
     configuration: Configuration
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SearcherSeen:
-    """A searcher announced itself, or something new of itself."""
+    """A searcher announced itself or updated its announcement."""
 
     searcher: Searcher
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SearcherGone:
-    """A searcher's entry is gone, or no longer usable."""
+    """A searcher's entry was deleted or is invalid."""
 
     id: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ZoneEvacuated:
-    """Operators take an availability zone's searchers out, or back in."""
+    """Operators took a zone's searchers out of use, or back into use.
+
+    Attributes:
+        zone: The availability zone.
+        out: True if its searchers must not be used.
+    """
 
     zone: str
     out: bool
@@ -258,26 +268,28 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MemberSeen:
-    """A VM of this tier announced itself."""
+    """A VM of this tier announced itself or updated its announcement."""
 
     member: Member
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MemberGone:
-    """A VM's entry is gone."""
+    """A VM's entry was deleted."""
 
     vm: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class RequestBlamed:
-    """A VM saw a request crash searchers.
+    """A VM's report that a request crashed searchers.
+
+    The attributes are the keys of its encoding in the store.
 
     Attributes:
         fingerprint: The request's fingerprint.
-        vm: The VM.
-        crashes: How many searchers that VM saw crash.
+        vm: The VM that observed the crashes.
+        crashes: How many crashes of searchers the VM attributes to it.
     """
 
     fingerprint: str
@@ -287,10 +299,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Unreadable:
-    """An entry of a known place could not be read.
+    """An entry with a known key could not be decoded.
 
     Attributes:
-        reason: What was wrong with it.
+        reason: The key and the error.
     """
 
     reason: str
@@ -309,4 +321,4 @@
     | RolloutRecorded
     | Unreadable
 )
-"""What one entry of the store says."""
+"""An update decoded from one entry of the store."""
