--- a/src/azureramp/errors.py
+++ b/src/azureramp/errors.py
@@ -1,8 +1,9 @@
-"""The closed list of error kinds and the table from kind to answer.
+"""The complete list of error kinds and how each is answered.
 
-Every refusal or failure that leaves a process is one `Kind`. The table tells
-the HTTP status, whether the request ran, and whether and when asking again
-can help. Texts for people are in `texts`; the code is always shown.
+Every refusal or failure that a process reports is one `Kind`. `ANSWERS` gives
+its HTTP status, whether the request ran, and whether and when a retry can
+succeed. Human-readable texts are in `texts`; the code is always shown with
+them.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether the work of a failed request took place."""
+    """Whether a failed request was executed."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -76,10 +77,11 @@
 
     Attributes:
         status: The HTTP status.
-        ran: Whether the request's work took place.
+        ran: Whether the request was executed.
         retry: What the caller should do next.
-        retry_after_ms: Default time until asking again can help, in
-            milliseconds; 0 where asking again at once is fine or useless.
+        retry_after_ms: Default delay before a retry can succeed, in
+            milliseconds; 0 if an immediate retry is fine or any retry is
+            useless.
     """
 
     status: int
@@ -90,13 +92,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Failure:
-    """One failure on its way to whoever asked.
+    """A failure that is reported to the caller.
 
     Attributes:
         kind: The error kind.
-        detail: Words for the log and the operator, never a caller's data.
-        retry_after_ms: Time until asking again can help, in milliseconds;
-            None takes the table's default.
+        detail: Details for logs and operators; never contains callers' data.
+        retry_after_ms: Delay before a retry can succeed, in milliseconds; None
+            for the default in `ANSWERS`.
     """
 
     kind: Kind
@@ -104,13 +106,13 @@
     retry_after_ms: int | None = None
 
     def get_retry_after_ms(self) -> int:
-        """Returns the time to come back in, in milliseconds."""
+        """Returns the delay before a retry can succeed, in milliseconds."""
         if self.retry_after_ms is not None:
             return self.retry_after_ms
         return ANSWERS[self.kind].retry_after_ms
 
     def get_answer(self) -> Answer:
-        """Returns the table's answer to this failure's kind."""
+        """Returns how this failure's kind is answered."""
         return ANSWERS[self.kind]
 
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds."""
+"""Tests of the list of error kinds, and of the timelines' clock."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 @pytest.mark.parametrize("kind", errors.Kind)
-def test_each_kind_has_an_answer(kind: errors.Kind) -> None:
+def test_each_kind_has_an_error_status(kind: errors.Kind) -> None:
     answer = errors.ANSWERS[kind]
 
     assert 400 <= answer.status < 600
 
 
-def test_a_kind_that_says_retry_after_never_says_never() -> None:
+def test_retry_after_is_not_set_if_a_retry_is_useless() -> None:
     for answer in errors.ANSWERS.values():
         if answer.retry is errors.Retry.NEVER:
             assert answer.retry_after_ms == 0
 
 
-def test_an_event_caused_by_a_message_is_later_than_its_sending() -> None:
+def test_clock_moves_past_a_received_clock_value() -> None:
     ahead = timelines.Timeline("a", wall=lambda: 100.0)
     behind = timelines.Timeline("b", wall=lambda: 1.0)
 
