--- a/src/azureramp/explanations.py
+++ b/src/azureramp/explanations.py
@@ -1,8 +1,8 @@
-"""Why a request failed, from the log lines of all VMs.
+"""Explains from the log lines of all VMs why a request failed.
 
-A request's own line names the searchers that were called and how each call
-ended. What else the VM knew at that moment, and what other requests saw of the
-same searchers, stands in other lines; this brings them together.
+A request's own line lists the searchers that were called and how each call
+ended. The VM's other state at that time, and how other requests' calls to the
+same searchers ended, are in other lines; this module combines them.
 """
 
 from __future__ import annotations
@@ -12,14 +12,16 @@
 
 from azureramp import log_lines
 
-AROUND_S = 1.0
-"""How far from a request another one still tells of the same trouble, in
-seconds: pauses of searchers last a tenth of it, faults some seconds."""
+OBSERVATION_WINDOW_S = 1.0
+"""How far in time from a request other requests are considered to be affected
+by the same problem, in seconds. Pauses of searchers take a tenth of this,
+faults some seconds."""
 
-CRASH_S = 3.0
-"""How long after a request a crash may be noticed, in seconds."""
+CRASH_WINDOW_S = 3.0
+"""How long before or after a request's line a crash is considered related, in
+seconds; a crash may be detected only some time after the request."""
 
-STATE_CHANNELS = frozenset(
+VM_STATE_CHANNELS = frozenset(
     (
         "azureramp.applying",
         "azureramp.contact",
@@ -28,16 +30,16 @@
         "azureramp.leaving",
     )
 )
-"""Channels of what a VM knows apart from single searchers."""
+"""Log channels about a VM's state other than that of single searchers."""
 
 
 @dataclasses.dataclass(slots=True)
-class Sight:
-    """What other requests around the same time saw of a searcher.
+class CallObservations:
+    """Unsuccessful calls of other requests to a searcher at about that time.
 
     Attributes:
-        ends: How often each outcome was seen.
-        vms: The VMs that saw something other than success.
+        ends: The number of calls by outcome.
+        vms: The VMs that sent these calls.
     """
 
     ends: collections.Counter[str] = dataclasses.field(
@@ -48,24 +50,26 @@
 
 @dataclasses.dataclass(slots=True)
 class Explanation:
-    """What the logs tell of one request.
+    """What the logs contain about one request.
 
     Attributes:
         request: The request's own line.
-        calls: Its calls that did not simply succeed.
-        beliefs: The VM's last line of each kind before the request.
-        states: The VM's last line on each searcher called.
-        sights: What others saw of each searcher called.
-        crashes: Lines on crashes of these searchers.
-        cause: The cause in a sentence.
-        gaps: Where lines are missing.
+        calls: The calls in the request's line.
+        beliefs: The VM's last line in each channel of `VM_STATE_CHANNELS`
+            before the request.
+        states: The VM's last line about each called searcher.
+        observations: Unsuccessful calls of other requests to each called
+            searcher.
+        crashes: Lines about crashes of the called searchers.
+        cause: The cause in one sentence.
+        gaps: Descriptions of missing log lines.
     """
 
     request: log_lines.Line
     calls: list[log_lines.Call]
     beliefs: list[log_lines.Line]
     states: list[log_lines.Line]
-    sights: dict[str, Sight]
+    observations: dict[str, CallObservations]
     crashes: list[log_lines.Line]
     cause: str = ""
     gaps: list[str] = dataclasses.field(default_factory=list)
@@ -81,178 +85,202 @@
     Returns:
         The explanation; None if there is no line of the request.
     """
-    own = _find_request(lines, request)
-    if own is None:
+    request_line = _find_request(lines, request)
+    if request_line is None:
         return None
-    calls = log_lines.parse_calls(own)
+    calls = log_lines.parse_calls(request_line)
     searchers = {call.searcher for call in calls if call.searcher}
     explanation = Explanation(
-        own,
+        request_line,
         calls,
-        _find_beliefs(lines, own),
-        _find_states(lines, own, searchers),
-        _collect_sights(lines, own, searchers),
-        _find_crashes(lines, own, searchers),
+        _find_vm_lines(lines, request_line),
+        _find_searcher_lines(lines, request_line, searchers),
+        _collect_observations(lines, request_line, searchers),
+        _find_crashes(lines, request_line, searchers),
     )
-    explanation.cause = conclude(explanation)
-    explanation.gaps = _find_gaps(lines, own)
+    explanation.cause = summarize_cause(explanation)
+    explanation.gaps = _find_gaps(lines, request_line)
     return explanation
 
 
-def conclude(explanation: Explanation) -> str:
-    """Says in a sentence why a request ended as it did."""
+def summarize_cause(explanation: Explanation) -> str:
+    """Returns one sentence on why a request ended as it did."""
     outcome = str(explanation.request.fields.get("outcome", ""))
     detail = str(explanation.request.fields.get("detail", ""))
     match outcome:
         case "answered" | "complete":
-            return "it went well"
+            return "the request succeeded"
         case "short" | "shards_missing":
-            return "; ".join(_conclude_shards(explanation)) or detail
+            return "; ".join(_describe_missing_shards(explanation)) or detail
         case "shed":
             names = {call.searcher for call in explanation.calls}
-            judged = [_judge(name, explanation) for name in sorted(names)]
-            return "searchers rejected it unrun: " + "; ".join(judged)
+            descriptions = [
+                _describe_searcher(name, explanation) for name in sorted(names)
+            ]
+            return "searchers rejected it without running it: " + "; ".join(
+                descriptions
+            )
         case "overloaded" | "shards_unreachable":
             return (
-                "no searcher might get it: they drain, are gone or out, or"
-                f" failed just before ({detail})"
+                "no searcher was usable: each was draining, gone, in an"
+                f" evacuated zone or had just failed ({detail})"
             )
         case "outcome_unknown" if explanation.crashes:
             return "the searcher crashed while it ran"
         case "outcome_unknown":
             return "the answer was lost: nothing shows a crash of the searcher"
         case "deadline_passed":
-            judged = [
-                _judge(call.searcher, explanation)
+            descriptions = [
+                _describe_searcher(call.searcher, explanation)
                 for call in explanation.calls
                 if call.end == "no answer yet"
             ]
-            return "no answer in time: " + "; ".join(judged)
+            return "no answer in time: " + "; ".join(descriptions)
         case "caller_gone":
             took = explanation.request.fields.get("took_ms")
             return f"the caller left after {took} ms"
         case "no_configuration":
-            return "the VM had just started and knew no configuration"
+            return "the VM had just started and had no configuration yet"
         case "quarantined":
-            return "requests like it crashed searchers before"
+            return "earlier requests with its fingerprint crashed searchers"
         case _:
             return detail or outcome
 
 
-def _conclude_shards(explanation: Explanation) -> list[str]:
-    """Says of each shard that is missing why it is."""
+def _describe_missing_shards(explanation: Explanation) -> list[str]:
+    """Returns a description of each missing shard."""
     by_service: dict[str, list[log_lines.Call]] = {}
     for call in explanation.calls:
         by_service.setdefault(call.service, []).append(call)
-    told: list[str] = []
+    shards: list[str] = []
     for service, calls in by_service.items():
         if any(call.end == "200" for call in calls):
             continue
-        judged = [
-            _judge(call.searcher, explanation) if call.searcher else call.end
+        descriptions = [
+            _describe_searcher(call.searcher, explanation)
+            if call.searcher
+            else call.end
             for call in calls
         ]
         if len(calls) == 1 and calls[0].searcher:
-            judged.append("no second call was allowed")
-        told.append(f"{service}: {', '.join(judged)}")
-    return told
+            descriptions.append("no retry or hedged request was allowed")
+        shards.append(f"{service}: {', '.join(descriptions)}")
+    return shards
 
 
-def _judge(searcher: str, explanation: Explanation) -> str:
-    """Says what the logs show of a searcher around the request."""
-    for told in explanation.request.fields.get("not_ready", ()):
-        name, _, state = str(told).partition(" ")
+def _describe_searcher(searcher: str, explanation: Explanation) -> str:
+    """Describes what the logs show about a searcher around the request."""
+    for entry in explanation.request.fields.get("not_ready", ()):
+        name, _, state = str(entry).partition(" ")
         if name == searcher:
             return f"{searcher} was {state}"
     if any(searcher in line.message for line in explanation.crashes):
         return f"{searcher} crashed"
-    sight = explanation.sights.get(searcher, Sight())
-    total = sum(sight.ends.values())
+    observed = explanation.observations.get(searcher, CallObservations())
+    total = sum(observed.ends.values())
     if not total:
-        own = [
+        ends = [
             call.end for call in explanation.calls if call.searcher == searcher
         ]
-        return f"{searcher} {', '.join(own)} (seen by this request alone)"
-    end, count = sight.ends.most_common(1)[0]
+        return f"{searcher} {', '.join(ends)} (seen by this request only)"
+    end, count = observed.ends.most_common(1)[0]
     return (
-        f"{searcher} mostly '{end}' ({count} of {total} unusual calls around"
-        f" it, seen by {len(sight.vms)} VMs)"
+        f"{searcher} mostly '{end}' ({count} of {total} unsuccessful calls at"
+        f" about that time, seen by {len(observed.vms)} VMs)"
     )
 
 
 def _find_request(
     lines: list[log_lines.Line], request: str
 ) -> log_lines.Line | None:
-    """Returns a request's line."""
+    """Returns a request's own line; None if there is none."""
     for line in lines:
         if line.fields.get("request") == request:
             return line
     return None
 
 
-def _find_beliefs(
-    lines: list[log_lines.Line], own: log_lines.Line
+def _find_vm_lines(
+    lines: list[log_lines.Line], request_line: log_lines.Line
 ) -> list[log_lines.Line]:
-    """Returns the VM's last line of each channel before a request."""
+    """Returns the VM's last line in each state channel before a request."""
     last: dict[str, log_lines.Line] = {}
     for line in lines:
-        if line.at_s > own.at_s:
+        if line.at_s > request_line.at_s:
             break
-        if line.vm == own.vm and line.channel in STATE_CHANNELS:
+        if line.vm == request_line.vm and line.channel in VM_STATE_CHANNELS:
             last[line.channel] = line
     return sorted(last.values(), key=lambda each: each.at_s)
 
 
-def _find_states(
-    lines: list[log_lines.Line], own: log_lines.Line, searchers: set[str]
+def _find_searcher_lines(
+    lines: list[log_lines.Line],
+    request_line: log_lines.Line,
+    searchers: set[str],
 ) -> list[log_lines.Line]:
-    """Returns the VM's last line on each searcher before a request."""
+    """Returns the VM's last line about each searcher before a request."""
     last: dict[str, log_lines.Line] = {}
     for line in lines:
-        if line.at_s > own.at_s:
+        if line.at_s > request_line.at_s:
             break
-        if line.vm == own.vm and line.channel == "azureramp.searchers":
+        if line.vm == request_line.vm and line.channel == "azureramp.searchers":
             name = line.message.split(" ")[1]
             if name in searchers:
                 last[name] = line
     return list(last.values())
 
 
-def _collect_sights(
-    lines: list[log_lines.Line], own: log_lines.Line, searchers: set[str]
-) -> dict[str, Sight]:
-    """Collects what other requests saw of searchers around a request."""
-    sights: dict[str, Sight] = {}
+def _collect_observations(
+    lines: list[log_lines.Line],
+    request_line: log_lines.Line,
+    searchers: set[str],
+) -> dict[str, CallObservations]:
+    """Collects other requests' unsuccessful calls around a request."""
+    observations: dict[str, CallObservations] = {}
     for line in lines:
-        if abs(line.at_s - own.at_s) > AROUND_S or line is own:
+        if (
+            abs(line.at_s - request_line.at_s) > OBSERVATION_WINDOW_S
+            or line is request_line
+        ):
             continue
         for call in log_lines.parse_calls(line):
             if call.searcher in searchers and call.end != "200":
-                sight = sights.setdefault(call.searcher, Sight())
-                sight.ends[call.end] += 1
-                sight.vms.add(line.vm)
-    return sights
+                observed = observations.setdefault(
+                    call.searcher, CallObservations()
+                )
+                observed.ends[call.end] += 1
+                observed.vms.add(line.vm)
+    return observations
 
 
 def _find_crashes(
-    lines: list[log_lines.Line], own: log_lines.Line, searchers: set[str]
+    lines: list[log_lines.Line],
+    request_line: log_lines.Line,
+    searchers: set[str],
 ) -> list[log_lines.Line]:
-    """Returns the lines on crashes of searchers around a request."""
+    """Returns the lines about crashes of searchers around a request."""
     return [
         line
         for line in lines
         if line.channel == "azureramp.crashes"
-        and -CRASH_S <= line.at_s - own.at_s <= CRASH_S
+        and -CRASH_WINDOW_S <= line.at_s - request_line.at_s <= CRASH_WINDOW_S
         and any(name in line.message for name in searchers)
     ]
 
 
-def _find_gaps(lines: list[log_lines.Line], own: log_lines.Line) -> list[str]:
-    """Says where lines that would tell more are missing."""
+def _find_gaps(
+    lines: list[log_lines.Line], request_line: log_lines.Line
+) -> list[str]:
+    """Returns descriptions of lines that are missing for the explanation."""
     gaps: list[str] = []
-    calls = own.fields.get("calls", ())
+    calls = request_line.fields.get("calls", ())
     if calls and str(calls[-1]).startswith("and "):
-        gaps.append(f"its line leaves out calls: {calls[-1]}")
-    if not any(line.vm == own.vm and line.at_s < own.at_s for line in lines):
-        gaps.append(f"no earlier line of {own.vm}: its logs begin later")
+        gaps.append(f"the request's line omits calls: {calls[-1]}")
+    if not any(
+        line.vm == request_line.vm and line.at_s < request_line.at_s
+        for line in lines
+    ):
+        gaps.append(
+            f"no earlier line of {request_line.vm}: its logs start later"
+        )
     return gaps
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -1,4 +1,4 @@
-"""Explaining a failed request from the logs of all VMs."""
+"""Tests of explaining a failed request from the logs of all VMs."""
 
 from __future__ import annotations
 
@@ -43,13 +43,13 @@
     return explanation
 
 
-def test_a_refusal_names_what_other_vms_saw_of_the_searcher() -> None:
-    """A statement is refused though three searchers stand there.
+def test_refusal_is_explained_by_calls_of_other_vms() -> None:
+    """Guards against an explanation that leaves the faulty component open.
 
-    The one that was asked rejected it unrun, and rejected the calls of other
-    VMs as well: it is the searcher, not the way of one VM to it.
+    The searcher rejected the call of this VM and those of other VMs, so the
+    fault is in the searcher, not in the network path from one VM to it.
     """
-    found = explain(
+    explanation = explain(
         write(1, "vm-0", "program", "started on 10.0.0.1:80"),
         write(
             2, "vm-0", "searchers", "searcher i-7 of s at 10.0.0.2:80 is ready"
@@ -58,18 +58,22 @@
         write_request(10, "vm-0", "mine", "shed", "s i-7 0: 2 503 not run"),
         write_request(10.2, "vm-2", "b", "answered", "s i-7 0: 3 503 not run"),
     )
-    assert found.calls == [log_lines.Call("s", "i-7", 0, 2, "503 not run")]
-    assert "i-7 mostly '503 not run' (2 of 2" in found.cause
-    assert "seen by 2 VMs" in found.cause
-    assert [line.message for line in found.beliefs] == [
+    assert explanation.calls == [
+        log_lines.Call("s", "i-7", 0, 2, "503 not run")
+    ]
+    assert "i-7 mostly '503 not run' (2 of 2" in explanation.cause
+    assert "seen by 2 VMs" in explanation.cause
+    assert [line.message for line in explanation.beliefs] == [
         "started on 10.0.0.1:80"
     ]
-    assert [line.at_s - found.request.at_s for line in found.states] == [-8.0]
-    assert not found.gaps
+    assert [
+        line.at_s - explanation.request.at_s for line in explanation.states
+    ] == [-8.0]
+    assert not explanation.gaps
 
 
-def test_a_short_answer_names_the_shard_and_why_it_is_missing() -> None:
-    found = explain(
+def test_short_answer_is_explained_for_each_missing_shard() -> None:
+    explanation = explain(
         write_request(
             10,
             "vm-0",
@@ -84,17 +88,17 @@
         ),
         write_request(10.5, "vm-1", "a", "short", "a i-1 0: no answer yet"),
     )
-    shards = found.cause.split("; ")
+    shards = explanation.cause.split("; ")
     assert shards[0].startswith("a: i-1 mostly 'no answer yet'")
-    assert "i-2 no answer yet (seen by this request alone)" in shards[0]
+    assert "i-2 no answer yet (seen by this request only)" in shards[0]
     assert shards[1] == "c: no searcher may get it"
-    assert shards[2].endswith("no second call was allowed")
+    assert shards[2].endswith("no retry or hedged request was allowed")
     assert len(shards) == 3
-    assert found.gaps == ["no earlier line of vm-0: its logs begin later"]
+    assert explanation.gaps == ["no earlier line of vm-0: its logs start later"]
 
 
 @pytest.mark.parametrize("crashed", [True, False])
-def test_an_unknown_outcome_tells_a_crash_from_a_lost_answer(
+def test_unknown_outcome_is_explained_by_a_crash_or_a_lost_answer(
     crashed: bool,
 ) -> None:
     rows = [
@@ -105,12 +109,12 @@
     if crashed:
         message = "request x was running on searcher i-7 when it crashed"
         rows.append(write(10.4, "vm-1", "crashes", message))
-    found = explain(*rows)
-    assert ("crashed while it ran" in found.cause) is crashed
-    assert ("answer was lost" in found.cause) is not crashed
+    explanation = explain(*rows)
+    assert ("crashed while it ran" in explanation.cause) is crashed
+    assert ("answer was lost" in explanation.cause) is not crashed
 
 
-def test_lines_of_other_programs_and_prefixes_are_passed_over() -> None:
+def test_invalid_lines_and_line_prefixes_are_ignored() -> None:
     lines = log_lines.parse(
         [
             "no log line",
@@ -122,22 +126,22 @@
     assert [line.message for line in lines] == ["the store is back"]
 
 
-def test_the_tool_prints_it_and_says_when_there_is_no_line(
+def test_command_prints_the_explanation_or_that_there_is_no_line(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "vm-0.log"
     row = write_request(10, "vm-0", "mine", "shed", "s i-7 0: 2 503 not run")
     path.write_text(row + "\n", "utf-8")
     assert main.run(["explain", "mine", str(path)]) == 0
-    told = capsys.readouterr().out
-    assert "request mine: shed" in told
-    assert "cause: searchers rejected it unrun" in told
+    output = capsys.readouterr().out
+    assert "request mine: shed" in output
+    assert "cause: searchers rejected it without running it" in output
     assert main.run(["explain", "other", str(path)]) == 4
     assert "no line of request other" in capsys.readouterr().err
 
 
-def test_a_searcher_that_was_leaving_is_named_as_such() -> None:
-    """Guards against taking a drained searcher's silence for a fault."""
+def test_unready_searcher_is_named_with_its_state() -> None:
+    """Guards against treating the silence of a draining searcher as a fault."""
     row = write(
         10,
         "vm-0",
