--- a/src/azureramp/loss_causes.py
+++ b/src/azureramp/loss_causes.py
@@ -1,4 +1,4 @@
-"""Why a shard held up a request, from what all VMs logged of its searchers."""
+"""Finds out from the log lines of all VMs why a shard delayed a request."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from azureramp import log_lines
 
-AROUND_S = 1.0
-"""How far from a request another one still shows the same trouble, in
-seconds."""
+OBSERVATION_WINDOW_S = 1.0
+"""How far in time from a request other requests are considered to be affected
+by the same problem, in seconds."""
 
-DARK_S = 0.3
-"""A searcher whose calls stay without an answer over more than this time does
-not pause: it is dark, in seconds."""
+DARK_AFTER_S = 0.3
+"""A searcher that leaves all calls unanswered for longer than this is dark (for
+example without power), not paused, in seconds."""
 
 REQUEST_CHANNEL = "azureramp.request"
 
 
 class Cause(enum.Enum):
-    """Why a shard held up a request."""
+    """Why a shard delayed a request."""
 
     NO_SEARCHER = "no searcher may get it"
     CONNECTION = "connection"
@@ -32,13 +32,13 @@
     PAUSED = "paused"
 
 
-class Sightings:
-    """When calls to each searcher were left without an answer."""
+class CallTimes:
+    """When calls to each searcher were answered or left unanswered."""
 
     __slots__ = ("_answered_s", "_silent_s")
 
     def __init__(self, lines: Iterable[log_lines.Line]) -> None:
-        """Collects what requests saw.
+        """Collects the times from the lines of requests.
 
         Args:
             lines: The log lines of all VMs, by time.
@@ -52,15 +52,24 @@
             times.sort()
 
     def is_dark(self, searcher: str, at_s: float) -> bool:
-        """Tells whether a searcher was silent for long around a time."""
-        silent = _cut_out(self._silent_s.get(searcher, []), at_s)
-        answered = _cut_out(self._answered_s.get(searcher, []), at_s)
-        if not silent or silent[-1] - silent[0] <= DARK_S:
+        """Returns True if a searcher was dark around a time.
+
+        Args:
+            searcher: The searcher.
+            at_s: The time, in seconds since 1970.
+        """
+        silent = _select_around(self._silent_s.get(searcher, []), at_s)
+        answered = _select_around(self._answered_s.get(searcher, []), at_s)
+        if not silent or silent[-1] - silent[0] <= DARK_AFTER_S:
             return False
         return not any(silent[0] <= each <= silent[-1] for each in answered)
 
     def _add(self, line: log_lines.Line) -> None:
-        """Takes the calls of a request, both ends of the silent ones."""
+        """Adds the calls of a request.
+
+        An unanswered call adds the time when it was sent and the time when
+        its request ended.
+        """
         took_ms = float(line.fields.get("took_ms", 0.0))
         began_s = line.at_s - took_ms / 1000
         for call in log_lines.parse_calls(line):
@@ -72,15 +81,15 @@
                 self._answered_s[call.searcher].append(ended_s)
 
 
-def judge_call(
-    call: log_lines.Call, at_s: float, sightings: Sightings
+def classify_call(
+    call: log_lines.Call, at_s: float, call_times: CallTimes
 ) -> Cause:
-    """Judges a call that held its request up.
+    """Returns why a call delayed its request.
 
     Args:
         call: The call.
-        at_s: When its request ended.
-        sightings: What all requests saw.
+        at_s: When its request ended, in seconds since 1970.
+        call_times: The calls of all requests.
     """
     if not call.searcher:
         return Cause.NO_SEARCHER
@@ -92,12 +101,12 @@
         return Cause.SLOW
     if call.end != "no answer yet":
         return Cause.BROKEN
-    dark = sightings.is_dark(call.searcher, at_s)
+    dark = call_times.is_dark(call.searcher, at_s)
     return Cause.DARK if dark else Cause.PAUSED
 
 
-def _cut_out(times: list[float], at_s: float) -> list[float]:
-    """Returns the times around one."""
-    begin = bisect.bisect_left(times, at_s - AROUND_S)
-    end = bisect.bisect_right(times, at_s + AROUND_S)
+def _select_around(times: list[float], at_s: float) -> list[float]:
+    """Returns the times within `OBSERVATION_WINDOW_S` of a time."""
+    begin = bisect.bisect_left(times, at_s - OBSERVATION_WINDOW_S)
+    end = bisect.bisect_right(times, at_s + OBSERVATION_WINDOW_S)
     return times[begin:end]
--- a/src/azureramp/losses.py
+++ b/src/azureramp/losses.py
@@ -1,9 +1,8 @@
-"""What requests lost in each span of time, from the log lines of all VMs.
+"""Summarizes poorly served requests by time span, from the logs of all VMs.
 
 A request's line says whether it was late, short, refused or failed, and how
-each call to a searcher ended. Summed over a span and a route this shows at
-which moments users were served badly, and which shards, searchers and VMs held
-their requests up.
+each call to a searcher ended. The sums per span and route show when callers
+were served poorly, and which shards, searchers and VMs delayed their requests.
 """
 
 from __future__ import annotations
@@ -14,12 +13,12 @@
 
 from azureramp import log_lines, loss_causes
 
-SLOW_SHARE = 0.5
-"""A call that lasted this part of the request's own time held it up."""
+SLOW_CALL_SHARE = 0.5
+"""A call that took at least this share of the request's duration delayed it."""
 
 
 class Loss(enum.Enum):
-    """How a request was served badly."""
+    """How a request was served poorly."""
 
     LATE = "late"
     SHORT = "short"
@@ -27,7 +26,7 @@
     FAILED = "failed"
 
 
-LOSSES = {
+OUTCOME_LOSSES = {
     "short": Loss.SHORT,
     "shed": Loss.REFUSED,
     "overloaded": Loss.REFUSED,
@@ -40,26 +39,26 @@
     "deadline_passed": Loss.FAILED,
     "searcher_failed": Loss.FAILED,
 }
-"""The outcomes in request lines that are losses whatever time they took."""
+"""The outcomes in request lines that are losses regardless of the duration."""
 
-WEIGHTS = {Loss.LATE: 0.9, Loss.REFUSED: 0.5, Loss.FAILED: 1.0}
-"""What a request that was served badly lost, of the worth of a good answer. One
-that was refused unrun may still be served at its next try."""
+LOSS_WEIGHTS = {Loss.LATE: 0.9, Loss.REFUSED: 0.5, Loss.FAILED: 1.0}
+"""What share of the value of a good answer is lost by each loss. A refused
+request was not run, so a retry may still succeed."""
 
-UNKNOWN_SHARE = 0.5
-"""Share of the shards that a short answer is taken to hold if its line doesn't
-say."""
+DEFAULT_SHORT_SHARE = 0.5
+"""The share of the shards that a short answer is assumed to cover if its line
+doesn't say."""
 
-ANSWERED = frozenset(("answered", "complete", "short"))
-"""The outcomes of requests that were answered, in time or late."""
+ANSWERED_OUTCOMES = frozenset(("answered", "complete", "short"))
+"""The outcomes of answered requests, whether in time or late."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Span:
-    """A span of time and a route.
+    """A span of time on one route.
 
     Attributes:
-        begins_s: When it begins, in seconds since 1970.
+        begins_s: The start of the span, in seconds since 1970.
         route: The route's name.
     """
 
@@ -69,16 +68,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Lost:
-    """What the requests of a span lost.
+    """The poorly served requests of a span.
 
     Attributes:
         counts: The requests by loss. One that is late and short counts twice.
-        weight: What they lost together, in good answers.
-        causes: How many calls of the shards that held them up ended how.
-        single: How many of these shards were asked only once.
-        shards: How many of these requests each service held up.
-        searchers: How many each searcher held up.
-        vms: How many each VM took.
+        weight: Their total loss, in units of one good answer.
+        causes: The calls to the shards that delayed them, by cause.
+        single: How often such a shard was called only once.
+        shards: The requests by the service that delayed them.
+        searchers: The requests by the searcher that delayed them.
+        vms: The requests by the VM that handled them.
     """
 
     counts: collections.Counter[Loss] = dataclasses.field(
@@ -103,95 +102,101 @@
 def collect(lines: list[log_lines.Line], span_s: float) -> dict[Span, Lost]:
     """Collects the losses of each span.
 
-    Routes that none of the logged requests was answered on are left out: what
-    they lack is a searcher or a route, not service. So are requests at VMs that
-    are not advertised: few callers come there, but many checks.
+    Routes on which no logged request was answered are left out: they have no
+    route or searchers configured, which is not poor service. So are requests
+    to VMs that are not advertised: these get many checks but few callers.
 
     Args:
         lines: The log lines of all VMs, by time.
         span_s: The length of a span, in seconds.
 
     Returns:
-        The spans with any loss, in the order of time and route.
+        The spans with losses, ordered by time and route.
     """
     served = find_served_routes(lines)
-    sightings = loss_causes.Sightings(lines)
-    found: dict[Span, Lost] = {}
+    call_times = loss_causes.CallTimes(lines)
+    lost_by_span: dict[Span, Lost] = {}
     for line in lines:
-        losses = judge(line)
+        losses = classify(line)
         route = str(line.fields.get("route", ""))
         if not losses or route not in served:
             continue
         if not line.fields.get("advertised", True):
             continue
         span = Span(line.at_s // span_s * span_s, route)
-        _add(found.setdefault(span, Lost()), line, losses, sightings)
-    order = sorted(found, key=lambda each: (each.begins_s, each.route))
-    return {span: found[span] for span in order}
+        _add(lost_by_span.setdefault(span, Lost()), line, losses, call_times)
+    order = sorted(lost_by_span, key=lambda each: (each.begins_s, each.route))
+    return {span: lost_by_span[span] for span in order}
 
 
 def find_served_routes(lines: list[log_lines.Line]) -> set[str]:
-    """Returns the routes on which any request was answered."""
+    """Returns the routes on which at least one request was answered."""
     return {
         str(line.fields.get("route", ""))
         for line in lines
         if line.channel == loss_causes.REQUEST_CHANNEL
-        and line.fields.get("outcome") in ANSWERED
+        and line.fields.get("outcome") in ANSWERED_OUTCOMES
     }
 
 
-def weigh(line: log_lines.Line, losses: list[Loss]) -> float:
-    """Returns what a request lost, of the worth of a good answer.
+def compute_weight(line: log_lines.Line, losses: list[Loss]) -> float:
+    """Returns the share of the value of a good answer that a request lost.
 
-    A short answer is worth the square of the share of the shards in it.
+    The value of a short answer is the square of the share of the shards that
+    it covers.
     """
-    kept = 1.0
+    value = 1.0
     for loss in losses:
         if loss is Loss.SHORT:
             shards = float(line.fields.get("shards", 0))
             missing = float(line.fields.get("missing", 0))
-            share = (shards - missing) / shards if shards else UNKNOWN_SHARE
-            kept *= share**2
+            share = (
+                (shards - missing) / shards if shards else DEFAULT_SHORT_SHARE
+            )
+            value *= share**2
         else:
-            kept *= 1.0 - WEIGHTS[loss]
-    return 1.0 - kept
+            value *= 1.0 - LOSS_WEIGHTS[loss]
+    return 1.0 - value
 
 
 def _add(
     lost: Lost,
     line: log_lines.Line,
     losses: list[Loss],
-    sightings: loss_causes.Sightings,
+    call_times: loss_causes.CallTimes,
 ) -> None:
-    """Adds a request that was served badly."""
+    """Adds a poorly served request."""
     lost.counts.update(losses)
-    lost.weight += weigh(line, losses)
+    lost.weight += compute_weight(line, losses)
     lost.vms[line.vm] += 1
-    for service, calls in find_culprits(line).items():
+    for service, calls in find_delaying_services(line).items():
         lost.shards[service] += 1
         lost.single += len(calls) == 1 and bool(calls[0].searcher)
         lost.searchers.update({call.searcher for call in calls} - {""})
         lost.causes.update(
-            loss_causes.judge_call(call, line.at_s, sightings) for call in calls
+            loss_causes.classify_call(call, line.at_s, call_times)
+            for call in calls
         )
 
 
-def judge(line: log_lines.Line) -> list[Loss]:
-    """Returns how the request of a line was served badly."""
+def classify(line: log_lines.Line) -> list[Loss]:
+    """Returns how a line's request was served poorly; empty if it wasn't."""
     if line.channel != loss_causes.REQUEST_CHANNEL:
         return []
     outcome = str(line.fields.get("outcome", ""))
-    losses = [LOSSES[outcome]] if outcome in LOSSES else []
-    if outcome in ANSWERED and _is_late(line):
+    losses = [OUTCOME_LOSSES[outcome]] if outcome in OUTCOME_LOSSES else []
+    if outcome in ANSWERED_OUTCOMES and _is_late(line):
         losses.append(Loss.LATE)
     return losses
 
 
-def find_culprits(line: log_lines.Line) -> dict[str, list[log_lines.Call]]:
-    """Returns the services that held up a request, with their calls.
+def find_delaying_services(
+    line: log_lines.Line,
+) -> dict[str, list[log_lines.Call]]:
+    """Returns the services that delayed a request, with their calls.
 
-    Of a service whose call succeeded soon nothing is told, also where an
-    earlier call to it failed: that cost the request nothing.
+    A service with a call that succeeded quickly is left out, even if an earlier
+    call to it failed: that didn't delay the request.
     """
     took_ms = float(line.fields.get("took_ms", 0.0))
     by_service: dict[str, list[log_lines.Call]] = collections.defaultdict(list)
@@ -200,21 +205,22 @@
     return {
         service: calls
         for service, calls in by_service.items()
-        if not any(_helped(call, took_ms) for call in calls)
+        if not any(_succeeded_quickly(call, took_ms) for call in calls)
     }
 
 
-def _helped(call: log_lines.Call, took_ms: float) -> bool:
-    """Tells whether a call succeeded without holding its request up."""
+def _succeeded_quickly(call: log_lines.Call, took_ms: float) -> bool:
+    """Returns True if a call succeeded without delaying its request."""
     if call.end != "200" or call.ended_ms is None:
         return False
-    return call.ended_ms < SLOW_SHARE * took_ms
+    return call.ended_ms < SLOW_CALL_SHARE * took_ms
 
 
 def _is_late(line: log_lines.Line) -> bool:
-    """Tells whether an answer came later than its route's target.
+    """Returns True if an answer was later than its route's latency target.
 
-    The caller's time counts from when it began, so its way is added.
+    The target applies to the time that the caller sees, so the network delay
+    (`way_ms`) is added to the VM's own time.
     """
     target_ms = line.fields.get("target_ms")
     took_ms = line.fields.get("took_ms")
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""What requests lost in each span of time."""
+"""Tests of summarizing poorly served requests by time span."""
 
 from __future__ import annotations
 
@@ -50,18 +50,18 @@
         ("caller_gone", 90.0, []),
     ],
 )
-def test_a_request_is_judged_by_its_outcome_and_its_routes_target(
+def test_losses_of_a_request_depend_on_outcome_and_latency_target(
     outcome: str, took_ms: float, expected: list[losses.Loss]
 ) -> None:
     (line,) = log_lines.parse([write(1.0, outcome, took_ms=took_ms)])
-    assert losses.judge(line) == expected
+    assert losses.classify(line) == expected
 
 
-def test_a_shard_whose_second_call_came_soon_is_not_to_blame() -> None:
-    """A lookup is short: one shard's searchers both keep silent.
+def test_shard_with_a_quick_successful_retry_is_not_counted() -> None:
+    """Guards against attributing a short answer to a shard that recovered.
 
-    Another shard's first call was lost as well, but its second one was
-    answered long before the lookup ended.
+    Both searchers of one shard don't answer. The first call to another shard
+    fails too, but its retry is answered long before the request ends.
     """
     (lost,) = collect(
         write(
@@ -77,7 +77,7 @@
     assert lost.searchers == {"s-1": 1, "s-2": 1}
 
 
-def test_spans_and_vms_are_told_apart() -> None:
+def test_losses_are_counted_by_span_and_vm() -> None:
     rows = [
         write(1.1, "short", vm="vm-0"),
         write(1.9, "short", vm="vm-1"),
@@ -91,7 +91,7 @@
     assert both.counts.total() == 3
 
 
-def test_the_command_shows_the_worst_spans_by_time(
+def test_command_shows_the_worst_spans_ordered_by_time(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     one, other = tmp_path / "vm-0.log", tmp_path / "vm-1.log"
@@ -108,15 +108,15 @@
     )
     arguments = ["losses", str(one), str(other), "--span", "2", "--worst", "1"]
     assert main.run(arguments) == 0
-    told = capsys.readouterr().out
-    assert "04:46:08" in told
-    assert "shards: bad 2" in told
-    assert "VMs: vm-0 1, vm-1 1" in told
-    assert "04:46:02" not in told
+    output = capsys.readouterr().out
+    assert "04:46:08" in output
+    assert "shards: bad 2" in output
+    assert "VMs: vm-0 1, vm-1 1" in output
+    assert "04:46:02" not in output
 
 
-def test_routes_that_were_never_served_are_left_out() -> None:
-    """Guards against rows of routes that nobody gets an answer on."""
+def test_routes_without_any_answer_are_left_out() -> None:
+    """Guards against rows for routes on which no caller gets an answer."""
     rows = [write(1.0, "overloaded", route="added") for _ in range(50)]
     rows += [write(1.2, "short"), write(1.4, "complete")]
     (lost,) = collect(*rows)
@@ -133,15 +133,15 @@
         ("short", {"shards": 10, "missing": 1, "took_ms": 200.0}, 0.919),
     ],
 )
-def test_a_row_weighs_what_its_callers_lost(
+def test_weight_is_the_value_that_callers_lost(
     outcome: str, more: dict[str, Any], weight: float
 ) -> None:
     (lost,) = collect(write(1.0, outcome, **more), write(1.0, "complete"))
     assert lost.weight == pytest.approx(weight)
 
 
-def test_the_ends_of_calls_tell_dark_from_paused_and_slow_searchers() -> None:
-    """Guards against taking a pause for a searcher without power."""
+def test_outcomes_of_calls_distinguish_dark_paused_and_slow_searchers() -> None:
+    """Guards against treating a paused searcher as one without power."""
     rows = [write(1.0, "complete")]
     for at in (2.0, 2.2, 2.4):
         rows.append(
@@ -163,14 +163,14 @@
     assert lost.single == 3 * 6
 
 
-def test_a_caller_s_way_counts_for_lateness() -> None:
-    """Guards against answers that leave in time and arrive late, unseen."""
+def test_network_delay_of_the_caller_counts_as_latency() -> None:
+    """Guards against missing answers that are sent in time but arrive late."""
     (line,) = log_lines.parse([write(1.0, "complete", way_ms=18.5)])
-    assert losses.judge(line) == [losses.Loss.LATE]
+    assert losses.classify(line) == [losses.Loss.LATE]
 
 
-def test_requests_at_vms_that_are_not_advertised_are_left_out() -> None:
-    """Guards against rows of checks that reach every VM."""
+def test_requests_to_unadvertised_vms_are_left_out() -> None:
+    """Guards against rows for checks, which are sent to every VM."""
     rows = [write(1.0, "shed", advertised=False) for _ in range(9)]
     rows += [write(1.0, "shed", advertised=True), write(1.1, "complete")]
     (lost,) = collect(*rows)
