--- a/src/azureramp/log_lines.py
+++ b/src/azureramp/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of the daemons, read back."""
+"""Parses the log lines of the daemons."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     """A log line.
 
     Attributes:
-        at_s: When, in seconds since 1970.
-        vm: The VM.
-        channel: The channel.
+        at_s: When it was written, in seconds since 1970.
+        vm: The name of the VM that wrote it.
+        channel: The log channel.
         message: The message.
-        fields: All fields.
+        fields: All fields of the line, the above included.
     """
 
     at_s: float
@@ -36,14 +36,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Call:
-    """A call of a request, as its line tells it.
+    """A call to a searcher, parsed from its request's line.
 
     Attributes:
-        service: The service that was asked.
-        searcher: The searcher; empty if none might get it.
-        sent_ms: When it was sent, from the request's beginning.
-        ended_ms: When it ended; None if it had not.
-        end: Its outcome in words.
+        service: The service that was called.
+        searcher: The searcher; empty if none was usable.
+        sent_ms: When it was sent, in milliseconds since the request began.
+        ended_ms: When it ended, likewise; None if it had not ended or the line
+            doesn't say.
+        end: Its outcome, as text.
     """
 
     service: str
@@ -54,15 +55,18 @@
 
 
 def read(paths: Iterable[pathlib.Path]) -> list[Line]:
-    """Reads the log lines of several files, in the order of their times."""
+    """Reads the log lines of several files, ordered by time."""
     return parse(_read_text(paths))
 
 
 def parse(text: Iterable[str]) -> list[Line]:
-    """Reads log lines; what stands before a line's object is passed over.
+    """Parses log lines; text before a line's JSON object is ignored.
 
     Args:
-        text: The lines; those that are no log line are left out.
+        text: The lines; those that aren't log lines are skipped.
+
+    Returns:
+        The log lines, ordered by time.
     """
     lines: list[Line] = []
     for row in text:
@@ -87,7 +91,7 @@
 
 
 def parse_calls(line: Line) -> list[Call]:
-    """Reads the calls of a request's line."""
+    """Parses the calls in a request's line."""
     calls: list[Call] = []
     for text in line.fields.get("calls", ()):
         if none := _NO_CALL.fullmatch(text):
@@ -95,7 +99,7 @@
         elif found := _CALL.fullmatch(text):
             ended = int(found[4]) if found[4] else None
             end = found[5]
-            # A status alone stands where a time would.
+            # In "503 not run" the status matches the pattern of the end time.
             if end == "not run" and ended is not None:
                 end, ended = f"{ended} not run", None
             calls.append(Call(found[1], found[2], int(found[3]), ended, end))
@@ -103,7 +107,7 @@
 
 
 def _read_text(paths: Iterable[pathlib.Path]) -> Iterator[str]:
-    """Reads the rows of several files."""
+    """Yields the rows of several files."""
     for path in paths:
         with path.open(encoding="utf-8", errors="replace") as opened:
             yield from opened
