--- a/src/azureramp/logs.py
+++ b/src/azureramp/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, by logbook."""
+"""Writes logs as JSON lines."""
 
 from __future__ import annotations
 
@@ -13,66 +13,67 @@
 
 from azureramp import timelines
 
-MAX_HELD_BYTES = 262_144
-"""Most bytes of lines that wait for their reader; 64 KiB fill a pipe."""
+MAX_BUFFERED_BYTES = 262_144
+"""Maximum size of the lines buffered for a slow reader; a full pipe holds a
+further 64 KiB."""
 
 
 class LineWriter:
-    """Writes lines to a descriptor and never waits for its reader.
+    """Writes lines to a file descriptor without blocking.
 
-    A reader that stands still would otherwise stop the whole process at the
-    first write to a full pipe. What it does not take is held up to a bound,
-    and dropped and counted beyond it.
+    With blocking writes, a reader that stops reading would block the whole
+    process as soon as the pipe is full. Lines that can't be written yet are
+    buffered up to a limit; beyond it they are dropped and counted.
 
     Attributes:
-        dropped: Lines that were dropped.
+        dropped: The number of dropped lines.
     """
 
-    __slots__ = ("_descriptor", "_held", "_waiting", "dropped")
+    __slots__ = ("_buffer", "_descriptor", "_is_waiting", "dropped")
 
     def __init__(self, descriptor: int) -> None:
-        """Makes a writer; the descriptor will not block any more."""
+        """Creates a writer and makes the descriptor non-blocking."""
         self._descriptor = descriptor
-        self._held = bytearray()
-        self._waiting = False
+        self._buffer = bytearray()
+        self._is_waiting = False
         self.dropped = 0
         with contextlib.suppress(OSError):
             os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Writes text that ends with a line's end, as far as it can."""
+        """Writes or buffers one line, which must end with a line break."""
         data = text.encode("utf-8", "backslashreplace")
-        if len(self._held) + len(data) > MAX_HELD_BYTES:
+        if len(self._buffer) + len(data) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._held += data
-        if not self._waiting:
+        self._buffer += data
+        if not self._is_waiting:
             self.flush()
 
     def flush(self) -> None:
-        """Writes what is held, as far as the reader takes it."""
+        """Writes as much of the buffer as possible without blocking."""
         try:
-            while self._held:
-                written = os.write(self._descriptor, self._held)
-                del self._held[:written]
+            while self._buffer:
+                written = os.write(self._descriptor, self._buffer)
+                del self._buffer[:written]
         except BlockingIOError:
-            self._wait()
+            self._wait_writable()
         except OSError:
-            # Nobody reads any more, and nobody could be told of it.
-            self.dropped += self._held.count(b"\n")
-            self._held.clear()
+            # The reader has closed the pipe: the error can't be logged.
+            self.dropped += self._buffer.count(b"\n")
+            self._buffer.clear()
 
-    def _wait(self) -> None:
-        """Goes on once the reader takes more."""
+    def _wait_writable(self) -> None:
+        """Resumes writing as soon as the descriptor is writable."""
         with contextlib.suppress(RuntimeError, OSError):
             loop = asyncio.get_running_loop()
-            loop.add_writer(self._descriptor, self._go_on)
-            self._waiting = True
+            loop.add_writer(self._descriptor, self._resume)
+            self._is_waiting = True
 
-    def _go_on(self) -> None:
-        """Writes on."""
+    def _resume(self) -> None:
+        """Writes the rest of the buffer."""
         asyncio.get_running_loop().remove_writer(self._descriptor)
-        self._waiting = False
+        self._is_waiting = False
         self.flush()
 
 
@@ -80,18 +81,18 @@
     """Writes each log record as one JSON object on one line."""
 
     def __init__(self, vm: str, stream: TextIO | LineWriter) -> None:
-        """Makes a handler.
+        """Creates a handler.
 
         Args:
-            vm: The VM's name, part of each line.
-            stream: Where the lines go.
+            vm: The VM's name, written in each line.
+            stream: The stream to write to.
         """
         super().__init__(stream, level=logbook.INFO)
         self._vm = vm
         self.formatter = self._format
 
     def _format(self, record: Any, handler: Any) -> str:
-        """Makes the line."""
+        """Formats a record as a JSON object."""
         line: dict[str, Any] = {
             "at": timelines.format_utc(record.time.timestamp()),
             "level": record.level_name.lower(),
@@ -106,11 +107,11 @@
 
 
 def set_up(vm: str, stream: TextIO | LineWriter = sys.stderr) -> None:
-    """Sends the process's logs to a stream.
+    """Writes the process's logs to a stream.
 
     Args:
-        vm: The VM's name.
-        stream: Where the lines go.
+        vm: The VM's name, written in each line.
+        stream: The stream to write to.
     """
     logbook.set_datetime_format("utc")
     JsonLinesHandler(vm, stream).push_application()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs that never hold the process up."""
+"""Tests of the non-blocking log writer."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from azureramp import logs
 
 
-def test_a_reader_that_stands_still_loses_lines_and_nothing_waits() -> None:
-    """The log's reader hangs, and the whole tier stands still with it.
+def test_stalled_reader_loses_lines_and_does_not_block_the_process() -> None:
+    """Guards against a stalled log reader that blocks the whole tier.
 
-    A pipe that nobody reads is full after 64 KiB, and the next write would
-    wait forever. Lines are held up to a bound, dropped and counted beyond it,
-    and written on once the reader is back.
+    A pipe without an active reader is full after 64 KiB, and the next blocking
+    write would wait forever. Lines are buffered up to a limit, dropped and
+    counted beyond it, and written once the reader resumes.
     """
 
     async def scenario() -> None:
