--- a/src/azureramp/exposition.py
+++ b/src/azureramp/exposition.py
@@ -1,7 +1,7 @@
-"""The metrics as text, in the Prometheus exposition format 0.0.4.
+"""Renders the metrics in the Prometheus text exposition format 0.0.4.
 
-Written here since the format is a few lines a metric, while its usual client
-library adds 4 MB to every VM and 0.16 s to every start.
+Implemented here because the format takes a few lines per metric, while the
+usual client library adds 4 MB to each VM and 0.16 s to each start.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 def render(values: metrics.Metrics) -> bytes:
-    """Returns all metrics that have a value, by name."""
+    """Renders all metrics that have a value, ordered by name."""
     lines: list[str] = []
     for name, metric in sorted(metrics.TABLE.items()):
-        shown = f"{metrics.PREFIX}_{name.replace('.', '_')}"
-        body = _render_one(shown, metric, values)
+        exposed_name = f"{metrics.PREFIX}_{name.replace('.', '_')}"
+        body = _render_one(exposed_name, metric, values)
         if body:
             kind = _KINDS[metric.type]
-            lines.append(f"# HELP {shown} {metric.help}")
-            lines.append(f"# TYPE {shown} {kind}")
+            lines.append(f"# HELP {exposed_name} {metric.help}")
+            lines.append(f"# TYPE {exposed_name} {kind}")
             lines += body
     return ("\n".join(lines) + "\n").encode("utf-8")
 
@@ -33,34 +33,38 @@
 
 
 def _render_one(
-    shown: str, metric: metrics.Metric, values: metrics.Metrics
+    exposed_name: str, metric: metrics.Metric, values: metrics.Metrics
 ) -> list[str]:
-    """Returns the lines of one metric's values."""
+    """Returns the lines of one metric's values; empty if it has none."""
     match metric.type:
         case metrics.Type.COUNTER:
             if metric.name not in values.counts:
                 return []
-            return [f"{shown} {values.counts[metric.name]}"]
+            return [f"{exposed_name} {values.counts[metric.name]}"]
         case metrics.Type.GAUGE:
             if metric.name not in values.gauges:
                 return []
-            return [f"{shown} {values.gauges[metric.name]:g}"]
+            return [f"{exposed_name} {values.gauges[metric.name]:g}"]
         case metrics.Type.TIMER:
             histogram = values.histograms.get(metric.name)
             return (
-                [] if histogram is None else _render_buckets(shown, histogram)
+                []
+                if histogram is None
+                else _render_buckets(exposed_name, histogram)
             )
 
 
-def _render_buckets(shown: str, histogram: metrics.Histogram) -> list[str]:
-    """Returns a histogram's lines; its buckets add up."""
+def _render_buckets(
+    exposed_name: str, histogram: metrics.Histogram
+) -> list[str]:
+    """Returns the lines of a histogram; the bucket counts are cumulative."""
     lines: list[str] = []
     total = 0
-    for edge, count in zip(
+    for upper_bound, count in zip(
         (*metrics.BUCKETS_MS, "+Inf"), histogram.counts, strict=True
     ):
         total += count
-        lines.append(f'{shown}_bucket{{le="{edge}"}} {total}')
-    lines.append(f"{shown}_sum {histogram.sum_ms:g}")
-    lines.append(f"{shown}_count {total}")
+        lines.append(f'{exposed_name}_bucket{{le="{upper_bound}"}} {total}')
+    lines.append(f"{exposed_name}_sum {histogram.sum_ms:g}")
+    lines.append(f"{exposed_name}_count {total}")
     return lines
--- a/src/azureramp/metrics.py
+++ b/src/azureramp/metrics.py
@@ -1,7 +1,7 @@
-"""The metrics of a process, kept in memory and sent by statsd.
+"""The metrics of a process, kept in memory and optionally sent to statsd.
 
-`TABLE` is the closed list of metrics; docs/reference/metrics.md is made from
-it.
+`TABLE` is the complete list of metrics; docs/reference/metrics.md is generated
+from it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Type(enum.Enum):
-    """How statsd treats a metric."""
+    """The type of a metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -28,9 +28,9 @@
     """One metric.
 
     Attributes:
-        name: The name, dotted, its unit as the last word where it has one.
-        type: How statsd treats it.
-        help: What it says.
+        name: The dotted name; it ends with the unit if there is one.
+        type: The type.
+        help: The help text.
     """
 
     name: str
@@ -101,23 +101,23 @@
 
 
 BUCKETS_MS = (1, 2, 5, 10, 20, 30, 50, 75, 100, 150, 250, 500, 1000, 2500)
-"""Upper edges of a histogram's buckets, in milliseconds: finest around the
-tens in which callers want their answers."""
+"""Upper bounds of a histogram's buckets, in milliseconds. They are closest
+around some tens of milliseconds, where callers' latency targets lie."""
 
 
 class Histogram:
-    """Durations, counted by bucket.
+    """A histogram of durations.
 
     Attributes:
-        counts: How many fell into each bucket of `BUCKETS_MS`; the last one
-            is for all that are longer.
-        sum_ms: Their sum, in milliseconds.
+        counts: The number of durations in each bucket of `BUCKETS_MS`; the
+            last one counts all longer ones.
+        sum_ms: The sum of the durations, in milliseconds.
     """
 
     __slots__ = ("counts", "sum_ms")
 
     def __init__(self) -> None:
-        """Makes an empty histogram."""
+        """Creates an empty histogram."""
         self.counts = [0] * (len(BUCKETS_MS) + 1)
         self.sum_ms = 0.0
 
@@ -128,7 +128,7 @@
 
 
 class Sender(Protocol):
-    """What a statsd client offers."""
+    """The interface of a statsd client."""
 
     def incr(self, stat: str, count: int = 1) -> None:
         """Adds to a counter."""
@@ -141,21 +141,21 @@
 
 
 class Metrics:
-    """Counts in memory, and sends by statsd if there is a sender.
+    """Keeps metrics in memory and sends them to statsd if there is a sender.
 
     Attributes:
-        counts: The counters' sums since the start.
-        gauges: The gauges' present values.
+        counts: The counters' totals since the start.
+        gauges: The current values of the gauges.
         histograms: The timers' durations since the start.
     """
 
     __slots__ = ("_sender", "counts", "gauges", "histograms")
 
     def __init__(self, sender: Sender | None = None) -> None:
-        """Makes metrics at zero.
+        """Creates metrics without any values.
 
         Args:
-            sender: The statsd client; None keeps them in memory only.
+            sender: The statsd client; None to keep the metrics in memory only.
         """
         self.counts: collections.Counter[str] = collections.Counter()
         self.gauges: dict[str, float] = {}
--- a/src/azureramp/sending.py
+++ b/src/azureramp/sending.py
@@ -1,4 +1,4 @@
-"""Metrics that are sent by statsd."""
+"""Creates metrics that are sent to statsd."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 def make_metrics(address: str) -> metrics.Metrics:
-    """Makes the metrics of a process.
+    """Creates the metrics of a process.
 
     Args:
-        address: `IP:port` of a statsd server; empty to send nothing.
+        address: `IP:port` of a statsd server; empty to keep the metrics in
+            memory only.
     """
     if not address:
         return metrics.Metrics()
--- a/tests/test_exposition.py
+++ b/tests/test_exposition.py
@@ -1,4 +1,4 @@
-"""The metrics as text."""
+"""Tests of the Prometheus text format of the metrics."""
 
 from __future__ import annotations
 
