--- a/src/azureramp/rollout_steps.py
+++ b/src/azureramp/rollout_steps.py
@@ -1,4 +1,4 @@
-"""The steps of roll-outs, read from the logs of the VMs that drove them."""
+"""Collects the steps of roll-outs from the logs of the VMs that drove them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from azureramp import log_lines
 
 CHANNEL = "azureramp.rollout_driver"
-"""The channel of a driver's lines."""
+"""The log channel of roll-out drivers."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -16,19 +16,20 @@
     """One step of a roll-out.
 
     Attributes:
-        at_s: When, in seconds since 1970.
-        vm: The VM that drives it.
-        service: The service.
+        at_s: When it was logged, in seconds since 1970.
+        vm: The VM that drove the roll-out.
+        service: The name of the service.
         target: The version to move to.
-        order: The revision of the operators' order.
-        phase: The phase since then.
-        reason: Why.
-        age_s: How long after the order, in seconds.
-        calls_to_new: Calls to the new version so far, at most.
-        calls_allowed: Calls that it might have got; None where none were
-            counted.
-        calls: Calls to the service.
-        answers: Bad and all answers of both versions by route.
+        order: The store revision of the operators' order.
+        phase: The phase that the roll-out entered.
+        reason: Why it entered this phase.
+        age_s: Time since the order, in seconds.
+        calls_to_new: Upper bound of the calls to the new version so far; None
+            if not counted.
+        calls_allowed: Calls that the new version was allowed to get; None if
+            not counted.
+        calls: Calls to the service so far; None if not counted.
+        answers: The counts of bad and all answers of both versions, by route.
     """
 
     at_s: float
@@ -45,7 +46,7 @@
     answers: str
 
     def get_share(self) -> float | None:
-        """Returns the new version's share of the calls, if they are known."""
+        """Returns the new version's share of the calls; None if unknown."""
         if not self.calls or self.calls_to_new is None:
             return None
         return self.calls_to_new / self.calls
@@ -54,18 +55,25 @@
 def collect(
     lines: Iterable[log_lines.Line],
 ) -> dict[tuple[str, int], list[Step]]:
-    """Collects the steps by service and order, in the order of their times."""
-    found: dict[tuple[str, int], list[Step]] = {}
+    """Collects the steps of each roll-out.
+
+    Args:
+        lines: The log lines of all VMs, by time.
+
+    Returns:
+        The steps by service and order, in the order of the lines.
+    """
+    steps: dict[tuple[str, int], list[Step]] = {}
     for line in lines:
         if line.channel != CHANNEL or "phase" not in line.fields:
             continue
-        step = _read(line)
-        found.setdefault((step.service, step.order), []).append(step)
-    return found
+        step = _parse_step(line)
+        steps.setdefault((step.service, step.order), []).append(step)
+    return steps
 
 
-def _read(line: log_lines.Line) -> Step:
-    """Reads a driver's line."""
+def _parse_step(line: log_lines.Line) -> Step:
+    """Parses a line of a roll-out driver."""
     fields = line.fields
     return Step(
         at_s=line.at_s,
--- a/src/azureramp/rollout_types.py
+++ b/src/azureramp/rollout_types.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs, and what the VM that drives one keeps of it."""
+"""Roll-out orders, and the record that the driver keeps of a roll-out."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Order:
-    """Operators want a service's traffic moved to searchers of a version.
+    """An operators' order to move a service's traffic to another version.
+
+    The attributes are the keys of its encoding in the store.
 
     Attributes:
         service: The service's name.
         target: The version of the searchers' software to move to.
-        duration_s: The time within which it must have ended, in seconds.
-        revision: The store's revision that wrote the order; a later order for
-            the same service has a higher one.
+        duration_s: The time within which the roll-out must end, in seconds.
+        revision: The store revision at which the order was written; a later
+            order for the same service has a higher one.
     """
 
     service: str
@@ -26,7 +28,7 @@
 
 
 class Phase(enum.Enum):
-    """How far a roll-out is."""
+    """The phase of a roll-out."""
 
     TRIAL = "trial"
     MOVING = "moving"
@@ -36,23 +38,26 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Record:
-    """What the VM that drives a roll-out keeps of it in the store.
+    """The state of a roll-out that its driver keeps in the store.
+
+    The attributes are the keys of its encoding in the store.
 
     Attributes:
-        order: The order that it carries out.
-        phase: How far it is.
-        old: The versions that serve until it is completed.
-        barred: The versions that get no requests, whatever its end.
-        driver: The process that drives it.
-        driver_address: Where other VMs reach that process, `IP:port`.
-        age_s: How long after the order this was written, in seconds.
-        written_ms: When it was written by the writer's time of day, in
-            milliseconds since 1970.
+        order: The order that the roll-out carries out.
+        phase: The phase of the roll-out.
+        old: The versions that serve requests until it is completed.
+        barred: The versions that get no requests, whatever the outcome.
+        driver: The process that drives the roll-out.
+        driver_address: The `IP:port` at which other VMs reach that process.
+        age_s: Time from the order until this was written, in seconds.
+        written_ms: When it was written by the writer's clock, in milliseconds
+            since 1970.
         requests: Requests to the service since the order, as far as counted.
-        reserved: Calls to the new version that VMs may have made, at most.
-        usual: How long the old version's calls usually last, by route, in
+        reserved: Upper bound of the calls that VMs may have sent to the new
+            version.
+        usual: The usual duration of the old version's calls by route, in
             seconds.
-        reason: Why it came to this phase.
+        reason: Why the roll-out entered this phase.
     """
 
     order: Order
@@ -69,7 +74,7 @@
     reason: str
 
     def has_ended(self) -> bool:
-        """Tells whether it is completed or rolled back."""
+        """Returns True if the roll-out is completed or rolled back."""
         return self.phase in ENDED_PHASES
 
 
--- a/tests/test_rollout_steps.py
+++ b/tests/test_rollout_steps.py
@@ -1,4 +1,4 @@
-"""Roll-outs as operators read them in the logs."""
+"""Tests of collecting and showing the steps of roll-outs."""
 
 from __future__ import annotations
 
@@ -56,20 +56,20 @@
     assert found["statements", 8][0].get_share() == 0.1
 
 
-def test_a_step_tells_share_driver_and_reason(
+def test_command_shows_share_driver_and_reason_of_a_step(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "log"
     path.write_text(write() + "\n" + write(service="other"), "utf-8")
     assert run(path, "--service", "statements") == exits.Exit.OK
-    told = capsys.readouterr().out
-    assert "rolled_back after 3.2 s, 12 of 120 calls (10.0%)" in told
-    assert "by vm-3: the new version answers worse" in told
-    assert "r-1: new 6/12 old 1/108" in told
-    assert "other" not in told
+    output = capsys.readouterr().out
+    assert "rolled_back after 3.2 s, 12 of 120 calls (10.0%)" in output
+    assert "by vm-3: the new version answers worse" in output
+    assert "r-1: new 6/12 old 1/108" in output
+    assert "other" not in output
 
 
-def test_logs_without_a_roll_out_are_said_so(
+def test_command_reports_logs_without_rollouts(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "log"
