--- a/src/azureramp/timelines.py
+++ b/src/azureramp/timelines.py
@@ -1,8 +1,8 @@
-"""A process's bounded timeline, with a hybrid logical clock.
+"""A process's bounded timeline of events, ordered by a hybrid logical clock.
 
-Every process records what it does. The clock (Kulkarni et al., 2014) keeps
-the order of cause across processes whose wall clocks differ: an event that a
-message caused is always later than the message's sending.
+Every process records its events. The clock (Kulkarni et al., 2014) preserves
+causal order across processes whose wall clocks differ: an event caused by a
+message always has a later clock value than the sending of the message.
 """
 
 from __future__ import annotations
@@ -17,20 +17,21 @@
 from azureramp import events
 
 COUNTER_BITS = 16
-"""Low bits of a clock value that count events within one millisecond."""
+"""Number of low bits of a clock value, which count events within the same
+millisecond."""
 
 CAPACITY = 50_000
-"""Most events that a process keeps; older ones are dropped and counted."""
+"""Maximum number of events kept; older ones are dropped and counted."""
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
     """One event in a process's timeline.
 
     Attributes:
-        clock: The hybrid logical clock's value.
+        clock: The value of the hybrid logical clock.
         vm: The VM's name.
-        at_s: The VM's wall clock, in seconds since 1970, UTC.
-        monotonic_s: The process's monotonic clock, in seconds.
+        at_s: The time of the VM's wall clock, in seconds since 1970, UTC.
+        monotonic_s: The time of the process's monotonic clock, in seconds.
         event: The event.
     """
 
@@ -59,11 +60,18 @@
 
     Attributes:
         vm: The VM's name.
-        dropped: How many events were dropped for want of room.
-        observer: Told of each record, for tests that act at a step.
+        dropped: The number of events dropped because the timeline was full.
+        observer: Called with each record, for tests that act on an event.
     """
 
-    __slots__ = ("_clock", "_records", "_wall", "dropped", "observer", "vm")
+    __slots__ = (
+        "_clock",
+        "_read_wall_clock",
+        "_records",
+        "dropped",
+        "observer",
+        "vm",
+    )
 
     def __init__(
         self,
@@ -71,30 +79,34 @@
         wall: Callable[[], float] = time.time,
         capacity: int = CAPACITY,
     ) -> None:
-        """Makes an empty timeline.
+        """Creates an empty timeline.
 
         Args:
             vm: The VM's name.
-            wall: Reads the wall clock, in seconds since 1970.
-            capacity: Most events to keep.
+            wall: Returns the time of the wall clock, in seconds since 1970.
+            capacity: Maximum number of events to keep.
         """
         self.vm = vm
         self.dropped = 0
         self.observer: Callable[[Record], None] | None = None
-        self._wall = wall
+        self._read_wall_clock = wall
         self._clock = 0
         self._records: collections.deque[Record] = collections.deque(
             maxlen=capacity
         )
 
     def read_clock(self) -> int:
-        """Advances the clock for a local event or a sending."""
-        physical = int(self._wall() * 1000) << COUNTER_BITS
+        """Advances the clock for a local event or a message to be sent.
+
+        Returns:
+            The new clock value.
+        """
+        physical = int(self._read_wall_clock() * 1000) << COUNTER_BITS
         self._clock = max(self._clock + 1, physical)
         return self._clock
 
     def observe_clock(self, received: int) -> None:
-        """Moves the clock past one that came with a message."""
+        """Advances the clock past the clock value of a received message."""
         self._clock = max(self._clock, received) + 1
 
     def record(self, event: events.AnyEvent, monotonic_s: float) -> None:
@@ -102,14 +114,14 @@
 
         Args:
             event: The event.
-            monotonic_s: The process's monotonic clock, in seconds.
+            monotonic_s: The time of the process's monotonic clock, in seconds.
         """
         if len(self._records) == self._records.maxlen:
             self.dropped += 1
         record = Record(
             clock=self.read_clock(),
             vm=self.vm,
-            at_s=self._wall(),
+            at_s=self._read_wall_clock(),
             monotonic_s=monotonic_s,
             event=event,
         )
@@ -118,12 +130,12 @@
             self.observer(record)
 
     def get_records(self, after: int = 0) -> list[Record]:
-        """Returns the records later than a clock value, in order."""
+        """Returns the records later than a clock value, oldest first."""
         return [record for record in self._records if record.clock > after]
 
 
 def merge(timelines: list[list[Record]]) -> list[Record]:
-    """Merges the timelines of several processes into one causal order."""
+    """Merges the timelines of several processes in causal order."""
     joined = [record for timeline in timelines for record in timeline]
     joined.sort(key=lambda record: (record.clock, record.vm))
     return joined
