--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests share."""
+"""Configuration shared by all tests."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 hypothesis.settings.register_profile(
     "azureramp",
-    # Shrinking a failing run of whole VMs takes minutes and changes no
-    # verdict; a failure prints the run as it was drawn.
+    # No shrinking: for a failing run of whole VMs it takes minutes and doesn't
+    # change the result. A failure prints the unshrunk example.
     phases=(hypothesis.Phase.explicit, hypothesis.Phase.generate),
     derandomize=True,
     database=None,
@@ -22,17 +22,17 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Lets the tests that KNOWN-RED.txt names fail, and nothing else.
+    """Marks exactly the tests listed in KNOWN-RED.txt as expected failures.
 
-    One that passes again turns the run red until its entry is taken out.
+    A listed test that passes fails the run until its entry is removed.
     """
-    known = [
+    known_red = [
         line.split(maxsplit=1)[0]
         for line in KNOWN_RED.read_text("utf-8").splitlines()
         if line.startswith("tests/")
     ]
     for item in items:
-        if item.nodeid in known:
+        if item.nodeid in known_red:
             item.add_marker(
                 pytest.mark.xfail(reason="see KNOWN-RED.txt", strict=True)
             )
