--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -1,19 +1,21 @@
-"""Which requests crash the backend servers that run them.
+"""Detection and quarantine of requests that crash backend servers.
 
 A poison request crashes each server that runs it, and its caller sends it
-again. It shows by what was in flight on a server when it crashed. Everything
-in flight is charged, unless some of it was in flight at an earlier crash
-too: then only that is, so that those who happen to be near a poison request
-get off.
-
-- One crash: the request runs alone, without hedge or retry.
-- Two at about the same time: it is refused for `SHORT_S`. A power cut
-  crashes many servers at once too, and must not bar for long whoever was in
-  flight.
-- Two at different times, and alone in flight at the last one: it is refused
-  for the policy's quarantine; not alone, for `SHORT_S`.
-
-A success clears whoever was charged at one time only, or never alone.
+again. It is identified by the requests in flight on a server at the crash. A
+crash is attributed to all of them, unless an earlier crash was attributed to
+some: then it is attributed only to those, so that unrelated requests that ran
+beside a poison request are not affected.
+
+- One crash: the request runs alone, without hedges or retries.
+- Two crashes in one incident: the request is rejected for
+  `SHORT_QUARANTINE_S`. A power failure also crashes many servers at once and
+  must not block the requests in flight for long.
+- Crashes in two incidents: the request is rejected for the policy's quarantine
+  if one of its crashes was attributed to it alone, else for
+  `SHORT_QUARANTINE_S`.
+
+A success clears a request unless its crashes come from several incidents and
+one of them was attributed to it alone.
 """
 
 from __future__ import annotations
@@ -22,27 +24,30 @@
 import dataclasses
 
 MERGE_S = 1.0
-"""Crashes closer together than this, in seconds, are of one time. Notices of
-one server's crash by the owners of its several searchers are one crash."""
+"""Crashes closer together than this, in seconds, belong to one incident.
+Notices about one server within this time, sent by the owners of different
+searchers, are counted as one crash."""
 
-SHORT_S = 30.0
-"""Quarantine for crashes of one time, in seconds."""
+SHORT_QUARANTINE_S = 30.0
+"""Quarantine, in seconds, while a request's crashes come from one incident or
+were never attributed to it alone."""
 
-MEMORY_S = 3600.0
-"""How long a crash is remembered, in seconds."""
+CRASH_RETENTION_S = 3600.0
+"""How long a crash is kept, in seconds."""
 
 MAX_CRASHES = 256
-"""Most crashes remembered; the oldest go first."""
+"""Maximum number of crashes kept; the oldest are dropped first."""
 
 MAX_FINGERPRINTS = 32
-"""Most fingerprints remembered of one crash."""
+"""Maximum number of fingerprints kept per crash."""
 
-ADOPT_MS = 1000
-"""A told quarantine is taken over if it lasts so much longer than the known
-one, in milliseconds; else the time on the way would make it creep."""
+MIN_EXTENSION_MS = 1000
+"""A quarantine announced by another VM is applied only if it ends this much
+later than the known one, in milliseconds. Otherwise the network delay would
+extend it with each announcement."""
 
-MAX_ADOPTED = 1024
-"""Most quarantines remembered that were learnt from other VMs."""
+MAX_REMOTE_QUARANTINES = 1024
+"""Maximum number of quarantines kept that other VMs announced."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -51,10 +56,10 @@
 
     Attributes:
         server: The backend server's name.
-        at_s: When this VM learnt of it.
-        ids: The notices that told of it.
-        searchers: The searchers that they told of.
-        fingerprints: What was in flight.
+        at_s: When this VM received the first notice.
+        ids: The ids of the notices that reported it.
+        searchers: The searchers named in these notices.
+        fingerprints: The requests in flight.
     """
 
     server: str
@@ -65,60 +70,65 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Charge:
-    """What is held against one fingerprint.
+class Attribution:
+    """The crashes attributed to one fingerprint.
 
     Attributes:
-        crashes: How many crashes it is charged with.
-        times: At how many different times.
-        alone: True if no other one was charged with one of them.
-        last_s: When the last of them was.
-        until_s: Until when it is refused.
+        crashes: The number of crashes.
+        incidents: The number of incidents that they belong to.
+        is_sole_suspect: True if a crash was attributed to no other fingerprint.
+        last_s: The time of the latest crash.
+        until_s: When the quarantine ends.
     """
 
     crashes: int = 0
-    times: int = 0
-    alone: bool = False
+    incidents: int = 0
+    is_sole_suspect: bool = False
     last_s: float = 0.0
     until_s: float = 0.0
 
 
 class Blame:
-    """Crashes by request fingerprint, bounded in number and time."""
+    """Crashes and quarantines by request fingerprint, bounded in size."""
 
-    __slots__ = ("_adopted_s", "_charges", "_crashes")
+    __slots__ = ("_attributions", "_crashes", "_remote_until_s")
 
     def __init__(self) -> None:
-        """Makes an empty table."""
+        """Creates an empty table."""
         self._crashes: collections.deque[Crash] = collections.deque()
-        self._charges: dict[int, Charge] = {}
-        self._adopted_s: dict[int, float] = {}
+        self._attributions: dict[int, Attribution] = {}
+        self._remote_until_s: dict[int, float] = {}
 
     def crashes(self, fingerprint: int, now_s: float) -> int:
-        """Returns how many crashes a request is charged with.
+        """Returns the number of crashes attributed to a request.
+
+        A request that another VM quarantined counts as having two.
 
         Args:
             fingerprint: The request's fingerprint.
-            now_s: The time.
+            now_s: The current time, in seconds.
         """
-        if fingerprint in self._adopted_s:
+        if fingerprint in self._remote_until_s:
             return 2
-        charge = self._charges.get(fingerprint)
-        if charge is None or now_s - charge.last_s > MEMORY_S:
+        attribution = self._attributions.get(fingerprint)
+        if (
+            attribution is None
+            or now_s - attribution.last_s > CRASH_RETENTION_S
+        ):
             return 0
-        return charge.crashes
+        return attribution.crashes
 
     def quarantined_ms(self, fingerprint: int, now_s: float) -> int:
-        """Returns how long a request is still refused, in milliseconds.
+        """Returns the rest of a request's quarantine, in milliseconds.
 
         Args:
             fingerprint: The request's fingerprint.
-            now_s: The time.
+            now_s: The current time, in seconds.
         """
-        charge = self._charges.get(fingerprint)
-        until_s = self._adopted_s.get(fingerprint, 0.0)
-        if charge is not None:
-            until_s = max(until_s, charge.until_s)
+        attribution = self._attributions.get(fingerprint)
+        until_s = self._remote_until_s.get(fingerprint, 0.0)
+        if attribution is not None:
+            until_s = max(until_s, attribution.until_s)
         return max(0, int((until_s - now_s) * 1000))
 
     def record(
@@ -130,76 +140,82 @@
         now_s: float,
         quarantine_s: float,
     ) -> bool:
-        """Takes a crash, seen here or told by another VM.
+        """Records a crash that this VM observed or another VM announced.
 
         Args:
             server: The backend server that crashed.
-            searcher: Its searcher whose owner tells of it.
+            searcher: The searcher on it whose owner sent the notice.
             crash_id: The notice's id.
-            fingerprints: What was in flight on that searcher.
-            now_s: The time.
+            fingerprints: The requests in flight on that searcher.
+            now_s: The current time, in seconds.
             quarantine_s: The policy's quarantine, in seconds.
 
         Returns:
-            False if this notice had been taken before.
+            False if this notice has already been recorded.
         """
-        self._forget(now_s)
+        self._expire(now_s)
         if any(crash_id in crash.ids for crash in self._crashes):
             return False
-        same = self._find_same(server, searcher, now_s)
-        if same is None:
-            same = Crash(server, now_s, set(), set(), set())
-            self._crashes.append(same)
-        same.ids.add(crash_id)
-        same.searchers.add(searcher)
-        room = MAX_FINGERPRINTS - len(same.fingerprints)
-        same.fingerprints.update(sorted(fingerprints)[:room])
-        self._charge_all(quarantine_s)
+        crash = self._find_reported_crash(server, searcher, now_s)
+        if crash is None:
+            crash = Crash(server, now_s, set(), set(), set())
+            self._crashes.append(crash)
+        crash.ids.add(crash_id)
+        crash.searchers.add(searcher)
+        room = MAX_FINGERPRINTS - len(crash.fingerprints)
+        crash.fingerprints.update(sorted(fingerprints)[:room])
+        self._attribute_crashes(quarantine_s)
         return True
 
     def adopt(self, fingerprint: int, left_ms: int, now_s: float) -> None:
-        """Takes a quarantine that another VM told of.
+        """Applies a quarantine that another VM announced.
 
         Args:
             fingerprint: The request's fingerprint.
-            left_ms: The time left, in milliseconds.
-            now_s: The time.
+            left_ms: The remaining time, in milliseconds.
+            now_s: The current time, in seconds.
         """
-        self._forget(now_s)
-        if self.quarantined_ms(fingerprint, now_s) + ADOPT_MS >= left_ms:
+        self._expire(now_s)
+        if (
+            self.quarantined_ms(fingerprint, now_s) + MIN_EXTENSION_MS
+            >= left_ms
+        ):
             return
-        if len(self._adopted_s) < MAX_ADOPTED:
-            self._adopted_s[fingerprint] = now_s + left_ms / 1000
+        if len(self._remote_until_s) < MAX_REMOTE_QUARANTINES:
+            self._remote_until_s[fingerprint] = now_s + left_ms / 1000
 
     def clear(self, fingerprint: int) -> None:
-        """Takes a success of a request, which a poison request never has.
+        """Records a success of a request and clears its crashes.
 
-        Whoever was charged at two times, and alone, stays charged: it may
-        crash some shards' servers and not others.
+        A request with crashes from two incidents, one of them attributed to it
+        alone, is not cleared: it may crash the servers of some shards and not
+        of others.
 
         Args:
             fingerprint: The request's fingerprint.
         """
-        charge = self._charges.get(fingerprint)
-        if charge is None or (charge.times > 1 and charge.alone):
+        attribution = self._attributions.get(fingerprint)
+        if attribution is None or (
+            attribution.incidents > 1 and attribution.is_sole_suspect
+        ):
             return
-        del self._charges[fingerprint]
+        del self._attributions[fingerprint]
         for crash in self._crashes:
             crash.fingerprints.discard(fingerprint)
 
     def get_quarantined_ms(self, now_s: float) -> dict[int, int]:
-        """Returns the requests refused now, with the milliseconds left."""
-        everybody = {*self._charges, *self._adopted_s}
+        """Returns the remaining milliseconds of each quarantined request."""
+        fingerprints = {*self._attributions, *self._remote_until_s}
         left_ms = {
             fingerprint: self.quarantined_ms(fingerprint, now_s)
-            for fingerprint in everybody
+            for fingerprint in fingerprints
         }
         return {key: left for key, left in left_ms.items() if left > 0}
 
-    def _find_same(
+    def _find_reported_crash(
         self, server: str, searcher: str, now_s: float
     ) -> Crash | None:
-        """Finds the crash that another searcher's owner told of already."""
+        """Finds the crash if another searcher's owner has reported it."""
         for crash in reversed(self._crashes):
             if now_s - crash.at_s > MERGE_S:
                 return None
@@ -207,41 +223,49 @@
                 return crash
         return None
 
-    def _charge_all(self, quarantine_s: float) -> None:
-        """Works the charges out anew, from the crashes in their order."""
-        charges: dict[int, Charge] = {}
+    def _attribute_crashes(self, quarantine_s: float) -> None:
+        """Recomputes all attributions from the crashes in their order."""
+        attributions: dict[int, Attribution] = {}
         for crash in self._crashes:
             earlier = {
                 fingerprint
                 for fingerprint in crash.fingerprints
-                if fingerprint in charges
+                if fingerprint in attributions
             }
-            charged = earlier or crash.fingerprints
-            for fingerprint in charged:
-                charge = charges.setdefault(fingerprint, Charge())
-                charge.alone = charge.alone or len(charged) == 1
-                _add(charge, crash.at_s, quarantine_s)
-        self._charges = charges
-
-    def _forget(self, now_s: float) -> None:
-        """Drops what is old, and the oldest past the bounds."""
+            attributed = earlier or crash.fingerprints
+            for fingerprint in attributed:
+                attribution = attributions.setdefault(
+                    fingerprint, Attribution()
+                )
+                attribution.is_sole_suspect = (
+                    attribution.is_sole_suspect or len(attributed) == 1
+                )
+                _add_crash(attribution, crash.at_s, quarantine_s)
+        self._attributions = attributions
+
+    def _expire(self, now_s: float) -> None:
+        """Drops expired entries, and the oldest crashes beyond the limit."""
         while self._crashes and (
-            now_s - self._crashes[0].at_s > MEMORY_S
+            now_s - self._crashes[0].at_s > CRASH_RETENTION_S
             or len(self._crashes) >= MAX_CRASHES
         ):
             self._crashes.popleft()
-        for fingerprint, until_s in list(self._adopted_s.items()):
-            if until_s + MEMORY_S < now_s:
-                del self._adopted_s[fingerprint]
-
-
-def _add(charge: Charge, at_s: float, quarantine_s: float) -> None:
-    """Charges one more crash."""
-    if charge.crashes == 0 or at_s - charge.last_s > MERGE_S:
-        charge.times += 1
-    charge.crashes += 1
-    charge.last_s = at_s
-    if charge.times >= 2 and charge.alone:
-        charge.until_s = max(charge.until_s, at_s + quarantine_s)
-    elif charge.crashes >= 2:
-        charge.until_s = max(charge.until_s, at_s + SHORT_S)
+        for fingerprint, until_s in list(self._remote_until_s.items()):
+            if until_s + CRASH_RETENTION_S < now_s:
+                del self._remote_until_s[fingerprint]
+
+
+def _add_crash(
+    attribution: Attribution, at_s: float, quarantine_s: float
+) -> None:
+    """Adds one crash to an attribution and extends its quarantine."""
+    if attribution.crashes == 0 or at_s - attribution.last_s > MERGE_S:
+        attribution.incidents += 1
+    attribution.crashes += 1
+    attribution.last_s = at_s
+    if attribution.incidents >= 2 and attribution.is_sole_suspect:
+        attribution.until_s = max(attribution.until_s, at_s + quarantine_s)
+    elif attribution.crashes >= 2:
+        attribution.until_s = max(
+            attribution.until_s, at_s + SHORT_QUARANTINE_S
+        )
