--- a/src/azureramp/policy/propagation.py
+++ b/src/azureramp/policy/propagation.py
@@ -1,12 +1,12 @@
-"""One VM's copy of the configuration, and what may be added to it.
+"""One VM's copy of the configuration and the rules for updating it.
 
-Two rules keep it from ever reverting. The revision of a copy means that it
-holds every change up to that revision; so a change that is not newer than
-the revision is known already, whoever tells it and however late. And a
-change is applied only if it is newer than what the copy has of that key.
+Two rules prevent the copy from ever reverting. A copy at a revision contains
+every change up to it, so a change that is not newer than the revision is
+ignored, whatever its source and however late it arrives. And a change is
+applied only if it is newer than the copy's entry for its key.
 
-A single change may be ahead of the revision: it is in force at once, while
-the revision waits until what lies between is known too.
+A single change may be ahead of the copy's revision: it is in force immediately,
+while the revision advances only once the changes in between have arrived.
 """
 
 from __future__ import annotations
@@ -20,17 +20,18 @@
 """A resource's kind and name."""
 
 MAX_TOMBSTONES = 10_000
-"""Most deleted entries to keep, so that a long life can't fill the memory."""
+"""Maximum number of deleted entries kept, to bound the memory of a long-running
+process."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Part:
-    """What one copy tells another.
+    """An update that one copy sends to another.
 
     Attributes:
-        after: The entries are all the changes after this revision; 0 if they
-            are the whole configuration.
-        revision: The revision that they lead to.
+        after: The entries are all changes after this revision; 0 if they are
+            the whole configuration.
+        revision: The revision of a copy that has applied them.
         entries: The entries, ascending by revision.
     """
 
@@ -44,14 +45,15 @@
 
     Attributes:
         configuration: The copy.
-        floor: The copy knows of every deletion after this revision, so it
-            can tell the changes since then; of earlier ones only the whole.
+        floor: The copy has every deletion after this revision, so it can send
+            the changes since then; a copy that is further behind needs the
+            whole configuration.
     """
 
     __slots__ = ("configuration", "floor")
 
     def __init__(self) -> None:
-        """Makes an empty copy, at revision 0."""
+        """Creates an empty copy, at revision 0."""
         self.configuration = resources.Configuration()
         self.floor = 0
 
@@ -61,17 +63,17 @@
         present: Collection[Key],
         revision: int,
     ) -> list[resources.Versioned]:
-        """Takes the whole configuration as it was at a revision.
+        """Applies a complete configuration as of some revision.
 
-        A whole holds no deleted keys: a deletion shows only by the absence
-        of a key that we have. A whole from the past lacks what came after
-        it, and is dropped whole.
+        It contains no deleted keys: a key that this copy has and that is
+        absent from it was deleted. A complete configuration that is not newer
+        than this copy lacks later changes, so it is ignored altogether.
 
         Args:
             entries: The entries.
-            present: The keys that are there, those that can't be decoded
-                included.
-            revision: The revision that it reflects.
+            present: The existing keys, including those whose values can't be
+                decoded.
+            revision: The revision of the complete configuration.
 
         Returns:
             The entries that came into force.
@@ -93,16 +95,16 @@
     def take_changes(
         self, entries: Iterable[resources.Versioned], after: int, revision: int
     ) -> list[resources.Versioned]:
-        """Takes all the changes between two revisions.
+        """Applies all changes between two revisions.
 
-        If the copy does not reach up to `after`, the changes come into force
-        ahead of the revision, which stays.
+        If the copy's revision is below `after`, the changes come into force
+        but the copy's revision stays as it is.
 
         Args:
-            entries: All the changes after `after`, up to `revision`; later
-                ones may be among them.
-            after: Where they begin.
-            revision: Where they end.
+            entries: All changes after `after` up to `revision`; they may
+                include later ones.
+            after: The revision before the first change.
+            revision: The revision of the last change.
 
         Returns:
             The entries that came into force.
@@ -118,35 +120,35 @@
     def apply_newer(
         self, entries: Iterable[resources.Versioned]
     ) -> list[resources.Versioned]:
-        """Applies what is newer than the revision and the key's entry.
+        """Applies entries newer than the revision and the key's own entry.
 
-        Guards against sources that answer from the past and messages that
-        come late or twice: nothing older ever replaces anything.
+        Outdated reads and late or duplicate messages have no effect: an older
+        entry never replaces a newer one.
 
         Returns:
             The entries that came into force, ascending by revision.
         """
-        known = self.configuration.entries
+        current = self.configuration.entries
         newest: dict[Key, resources.Versioned] = {}
         for entry in entries:
             key = (entry.kind, entry.name)
-            other = newest.get(key) or known.get(key)
+            other = newest.get(key) or current.get(key)
             if entry.revision <= self.configuration.revision:
                 continue
             if other is None or entry.revision > other.revision:
                 newest[key] = entry
-        known.update(newest)
+        current.update(newest)
         return sorted(newest.values(), key=lambda entry: entry.revision)
 
     def select_since(self, after: int) -> Part:
-        """Selects what another copy lacks that is at a revision.
+        """Selects the entries that a copy at some revision lacks.
 
         Args:
             after: The other copy's revision.
 
         Returns:
-            The changes since, or the whole if not every deletion since is
-            known here any more.
+            The changes since then, or the whole configuration if this copy no
+            longer has every deletion since then.
         """
         whole = after < self.floor
         entries = [
@@ -160,7 +162,7 @@
         )
 
     def take_part(self, part: Part) -> list[resources.Versioned]:
-        """Takes what another copy told; see `select_since`.
+        """Applies an update from another copy; see `select_since`.
 
         Returns:
             The entries that came into force.
@@ -171,11 +173,11 @@
         return self.take_changes(part.entries, part.after, part.revision)
 
     def _drop_tombstones(self) -> None:
-        """Drops the oldest deleted entries past the limit.
+        """Drops the oldest deleted entries beyond the limit.
 
-        The rule that nothing up to the revision is applied still keeps them
-        deleted. The floor rises, so that a copy that lacks the deletion gets
-        the whole.
+        They stay deleted, since no entry up to the revision is ever applied.
+        The floor rises, so that a copy that lacks one of these deletions gets
+        the whole configuration.
         """
         deleted = [
             entry
--- a/src/azureramp/policy/watching.py
+++ b/src/azureramp/policy/watching.py
@@ -1,8 +1,9 @@
-"""Which VMs hold the configuration watch and ask for confirmation.
+"""Choice of the VMs that watch the configuration and request confirmations.
 
-Each waiting watch is a call that the platform counts, so only a few VMs of
-a cell hold one. They are chosen by rendezvous hash among the live VMs, so
-that all agree without a word and a lost one is replaced at once.
+Each open watch is a call that counts toward the platform's limits, so only a
+few VMs of a cell have one. They are chosen by rendezvous hashing among the live
+VMs, so that all VMs agree without messages and a lost watcher is replaced
+immediately.
 """
 
 from __future__ import annotations
@@ -12,14 +13,22 @@
 import xxhash
 
 IDLE_S = 5.0
-"""Time between confirmations while a majority is in contact, in seconds."""
+"""Interval between confirmations while a majority is in contact, in seconds."""
 
 NEEDED_S = 0.5
-"""The same while only the platform's confirmation lets a VM go on."""
+"""The same while a VM can continue only with the platform's confirmation."""
 
 
 def compute_rank(own: str, live: Iterable[str]) -> int:
-    """Computes a VM's place in the order by which watchers are chosen."""
+    """Computes a VM's rank in the order in which watchers are chosen.
+
+    Args:
+        own: The VM's name.
+        live: The names of the live VMs.
+
+    Returns:
+        The rank, from 0.
+    """
     weight = _compute_weight(own)
     return sum(
         (_compute_weight(vm), vm) > (weight, own) for vm in live if vm != own
@@ -29,18 +38,19 @@
 def is_watcher(
     rank: int, live: int, watchers: int, age_s: float, interval_s: float
 ) -> bool:
-    """Tells whether a VM watches the store now.
+    """Returns True if a VM should watch the store now.
 
-    The first ones always do. If no confirmation comes from them, the store
-    may be cut off from just these, so the others take turns, never more than
-    `watchers` at once: when an outage ends, no crowd comes back.
+    The VMs with the first ranks always do. If they deliver no confirmation,
+    possibly only they are unable to reach the store, so the other VMs take
+    turns. No more than `watchers` of them watch at the same time, so that the
+    store is not overloaded when an outage ends.
 
     Args:
         rank: The VM's rank.
-        live: How many live VMs there are, this one included.
-        watchers: How many VMs should watch.
-        age_s: Age of the newest confirmation that is known, in seconds.
-        interval_s: Time between confirmations, in seconds.
+        live: Number of live VMs, including this one.
+        watchers: Number of VMs that should watch.
+        age_s: Age of the latest known confirmation, in seconds.
+        interval_s: Interval between confirmations, in seconds.
     """
     if rank < watchers:
         return True
--- a/tests/policy/test_propagation.py
+++ b/tests/policy/test_propagation.py
@@ -1,4 +1,4 @@
-"""One VM's copy of the configuration."""
+"""One VM's copy of the configuration, and the choice of its watchers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return copy
 
 
-def show(copy: propagation.Copy) -> dict[str, int]:
+def get_revisions(copy: propagation.Copy) -> dict[str, int]:
     return {
         name: entry.revision
         for (_, name), entry in copy.configuration.entries.items()
@@ -33,45 +33,45 @@
     }
 
 
-def test_a_whole_from_the_past_is_dropped() -> None:
+def test_an_outdated_complete_configuration_is_ignored() -> None:
     copy = make_copy(make_entry("a", 5), make_entry("b", 9))
 
     assert copy.take_whole([make_entry("a", 3)], {(KIND, "a")}, 7) == []
-    assert show(copy) == {"a": 5, "b": 9}
+    assert get_revisions(copy) == {"a": 5, "b": 9}
 
 
-def test_what_a_whole_lacks_was_deleted_unless_it_is_newer() -> None:
+def test_absent_entries_are_deleted_unless_they_are_newer() -> None:
     copy = make_copy(make_entry("a", 5), make_entry("b", 6))
     copy.apply_newer([make_entry("c", 12)])
 
     copy.take_whole([make_entry("a", 5)], {(KIND, "a")}, 10)
 
-    assert show(copy) == {"a": 5, "c": 12}
+    assert get_revisions(copy) == {"a": 5, "c": 12}
     assert copy.configuration.revision == 10
 
 
-def test_a_late_message_does_not_bring_a_deleted_entry_back() -> None:
+def test_a_late_message_does_not_restore_a_deleted_entry() -> None:
     copy = make_copy(make_entry("a", 5), make_entry("b", 6))
     copy.take_changes([make_entry("a", 8, deleted=True)], 6, 8)
     del copy.configuration.entries[(KIND, "a")]
 
     assert copy.take_changes([make_entry("a", 7)], 6, 7) == []
-    assert show(copy) == {"b": 6}
+    assert get_revisions(copy) == {"b": 6}
 
 
-def test_changes_after_a_gap_are_in_force_but_leave_the_revision() -> None:
+def test_changes_after_a_gap_apply_without_a_new_revision() -> None:
     copy = make_copy(make_entry("a", 5))
 
     assert copy.take_changes([make_entry("b", 9)], 8, 9)
-    assert show(copy) == {"a": 5, "b": 9}
+    assert get_revisions(copy) == {"a": 5, "b": 9}
     assert copy.configuration.revision == 5
     copy.take_changes([make_entry("c", 7), make_entry("b", 9)], 5, 9)
     assert copy.configuration.revision == 9
-    assert show(copy) == {"a": 5, "b": 9, "c": 7}
+    assert get_revisions(copy) == {"a": 5, "b": 9, "c": 7}
 
 
 @pytest.mark.parametrize(("after", "whole"), [(4, True), (5, False)])
-def test_who_may_lack_a_deletion_is_told_everything(
+def test_a_copy_that_may_lack_a_deletion_gets_the_whole(
     after: int, whole: bool
 ) -> None:
     copy = make_copy(make_entry("a", 5))
@@ -83,13 +83,15 @@
     assert len(part.entries) == (0 if whole else 1)
 
 
-def test_deleted_entries_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_deleted_entries_is_bounded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(propagation, "MAX_TOMBSTONES", 4)
     copy = make_copy(make_entry("a", 5))
     for number in range(10):
         revision = 6 + number
-        gone = make_entry(f"n{number}", revision, deleted=True)
-        copy.take_changes([gone], revision - 1, revision)
+        deletion = make_entry(f"n{number}", revision, deleted=True)
+        copy.take_changes([deletion], revision - 1, revision)
 
     assert len(copy.configuration.entries) <= 5
     assert copy.select_since(7).after == 0
@@ -97,7 +99,9 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 8, 68])
-def test_the_first_few_watch_and_the_others_take_turns(size: int) -> None:
+def test_the_first_ranks_always_watch_and_the_others_take_turns(
+    size: int,
+) -> None:
     names = [f"vm-{number}" for number in range(size)]
     ranks = [
         watching.compute_rank(name, [n for n in names if n != name])
@@ -105,13 +109,13 @@
     ]
     assert sorted(ranks) == list(range(size))
 
-    def count(age_s: float) -> int:
+    def count_watchers(age_s: float) -> int:
         return sum(
             watching.is_watcher(rank, size, 2, age_s, 5.0) for rank in ranks
         )
 
-    assert count(0.0) == min(2, size)
-    assert max(count(float(age_s)) for age_s in range(2000)) <= 4
+    assert count_watchers(0.0) == min(2, size)
+    assert max(count_watchers(float(age_s)) for age_s in range(2000)) <= 4
     turns = {
         rank
         for age_s in range(2000)
