--- a/src/azureramp/policy/queues.py
+++ b/src/azureramp/policy/queues.py
@@ -1,4 +1,4 @@
-"""The queue before a searcher: by priority, then by deadline, bounded."""
+"""Bounded queue of a searcher, ordered by priority and then by deadline."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Waiting(Generic[_T]):
-    """One thing that waits.
+    """A queued item.
 
     Attributes:
-        priority: How urgent it is.
-        deadline_s: When it is of no more use to anybody.
-        end_s: When it gives up waiting, at the deadline or before.
-        content: The thing.
+        priority: The request's priority.
+        deadline_s: When the caller stops waiting for the result.
+        end_s: When the item expires from the queue; at most `deadline_s`.
+        content: The item itself.
     """
 
     priority: resources.Priority
@@ -30,41 +30,41 @@
     content: _T
 
     def get_rank(self) -> tuple[int, float]:
-        """Returns the sort key: the lower goes first."""
+        """Returns the sort key; the lowest is dispatched first."""
         return (int(self.priority), self.deadline_s)
 
 
 class Queue(Generic[_T]):
-    """A queue bounded in length and in time.
+    """A queue bounded in length and in waiting time.
 
-    The order is strict by priority, so deferrable work is never chosen while
-    something more urgent waits: it delays urgent work at most by the service
-    time of what already runs. And something is chosen whenever anything
-    waits, so nothing starves while there is spare capacity.
+    Priority is strict: deferrable work is never dispatched while more urgent
+    work is queued, so it delays urgent work by at most the service time of the
+    calls already running. `pop` always returns an item if there is one, so no
+    priority starves while there is spare capacity.
     """
 
     __slots__ = ("_first_end_s", "_heap", "_sequence")
 
     def __init__(self) -> None:
-        """Makes an empty queue."""
+        """Creates an empty queue."""
         self._heap: list[tuple[tuple[int, float], int, Waiting[_T]]] = []
         self._sequence = 0
         self._first_end_s = math.inf
 
     def __len__(self) -> int:
-        """Returns how many wait."""
+        """Returns the number of queued items."""
         return len(self._heap)
 
     def push(self, waiting: Waiting[_T], limit: int) -> Waiting[_T] | None:
-        """Adds one; past the limit the last in order falls out.
+        """Adds an item; beyond the limit the last item in order is evicted.
 
         Args:
-            waiting: The thing to add.
-            limit: Most that may wait.
+            waiting: The item to add.
+            limit: Maximum length of the queue.
 
         Returns:
-            The one that had to go, which may be the new one; None if all
-            have room.
+            The evicted item, which may be the new one; None if the queue is
+            within its limit.
         """
         self._sequence += 1
         self._first_end_s = min(self._first_end_s, waiting.end_s)
@@ -78,66 +78,76 @@
         return worst[2]
 
     def peek(self) -> Waiting[_T] | None:
-        """Returns the next one without taking it; None if none waits."""
+        """Returns the next item without removing it; None if empty."""
         return self._heap[0][2] if self._heap else None
 
     def pop(self) -> Waiting[_T]:
-        """Takes the next one; there must be one."""
+        """Removes and returns the next item.
+
+        Raises:
+            IndexError: If the queue is empty.
+        """
         return heapq.heappop(self._heap)[2]
 
     def expire(self, now_s: float) -> list[Waiting[_T]]:
-        """Takes out all that have waited to their end, in order.
+        """Removes and returns the expired items, in order.
 
         Args:
-            now_s: The time.
+            now_s: The current time, in seconds.
         """
         if now_s < self._first_end_s:
             return []
-        expired = self._take(lambda waiting: waiting.end_s <= now_s)
+        expired = self._remove_matching(lambda waiting: waiting.end_s <= now_s)
         self._first_end_s = min(
             (entry[2].end_s for entry in self._heap), default=math.inf
         )
         return expired
 
     def remove(self, content: _T) -> bool:
-        """Takes one thing out; False if it doesn't wait."""
-        return bool(self._take(lambda waiting: waiting.content is content))
+        """Removes an item; returns False if it is not in the queue."""
+        return bool(
+            self._remove_matching(lambda waiting: waiting.content is content)
+        )
 
     def clear(self) -> list[Waiting[_T]]:
-        """Takes all out, in order."""
-        return self._take(lambda waiting: True)
+        """Removes and returns all items, in order."""
+        return self._remove_matching(lambda waiting: True)
 
     def count_before(self, priority: resources.Priority) -> int:
-        """Counts those that may go before a new one of this priority."""
+        """Counts the items that may be dispatched before a new one.
+
+        Args:
+            priority: The new item's priority.
+        """
         return sum(entry[2].priority <= priority for entry in self._heap)
 
-    def _take(
-        self, is_taken: Callable[[Waiting[_T]], bool]
+    def _remove_matching(
+        self, matches: Callable[[Waiting[_T]], bool]
     ) -> list[Waiting[_T]]:
-        """Takes out all of a sort, in order."""
-        taken = [entry for entry in self._heap if is_taken(entry[2])]
-        if taken:
+        """Removes and returns the items that match a predicate, in order."""
+        removed = [entry for entry in self._heap if matches(entry[2])]
+        if removed:
             self._heap = [
-                entry for entry in self._heap if not is_taken(entry[2])
+                entry for entry in self._heap if not matches(entry[2])
             ]
             heapq.heapify(self._heap)
-        taken.sort(key=lambda entry: entry[:2])
-        return [entry[2] for entry in taken]
+        removed.sort(key=lambda entry: entry[:2])
+        return [entry[2] for entry in removed]
 
 
 def estimate_wait_ms(
     before: int, in_use: int, limit: int, service_ms: float
 ) -> float:
-    """Estimates how long a new one will wait for its slot.
+    """Estimates how long a new item waits for a slot.
 
     Args:
-        before: How many wait that go before it.
-        in_use: Slots in use.
-        limit: Slots that may be in use.
+        before: Number of queued items that are dispatched before it.
+        in_use: Number of slots in use.
+        limit: Number of slots that may be in use.
         service_ms: The usual service time, in milliseconds; 0 if unknown.
 
     Returns:
-        The time in milliseconds.
+        The waiting time, in milliseconds.
     """
     rounds = max(0, before + in_use - limit + 1) / max(1, limit)
     return rounds * service_ms
