--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -1,4 +1,4 @@
-"""The cold-start ramp of a searcher: how much it may get at once."""
+"""Cold-start ramp of a searcher: its limit of concurrent requests."""
 
 from __future__ import annotations
 
@@ -7,75 +7,80 @@
 import statistics
 
 NORMAL_FACTOR = 2.0
-"""A latency up to this many times the usual one is normal."""
+"""A latency up to this multiple of the usual one is normal."""
 
-COLD_FACTOR = 3.0
-"""Recent latencies this many times the usual one say: cold again."""
+SLOW_FACTOR = 3.0
+"""A latency above this multiple of the usual one is slow; several slow calls
+indicate that a warm searcher is cold again."""
 
-RECENT = 4
-"""How many of the last latencies are the recent ones."""
+RECENT_CALLS = 4
+"""Number of latest calls that are checked for slow ones."""
 
-SLOW_OF_RECENT = 3
-"""So many slow ones among the recent say: cold again. Stragglers of one in a
-hundred make this happen by chance about once in 250,000 calls."""
+SLOW_CALLS_TO_RESET = 3
+"""Number of slow calls among the recent ones that resets a warm searcher to
+cold. If 1 call in 100 is a straggler, this happens by chance about once in
+250,000 calls."""
 
-HISTORY = 64
-"""How many latencies make the usual one, by their median."""
+MEDIAN_WINDOW = 64
+"""Number of latencies whose median is the usual latency."""
 
-REFRESH = 8
-"""After how many latencies the median is worked out anew: sorting them for
-each question took a tenth of a call's processor time."""
+MEDIAN_INTERVAL = 8
+"""Number of calls after which the median is recomputed. Sorting the latencies
+on each read took a tenth of a call's CPU time."""
 
-SETTLED = 0.7
-"""Latencies have settled if the later half's median is no lower than this
-share of the earlier half's: a searcher that warms up still gets faster."""
+SETTLED_RATIO = 0.7
+"""Latencies have settled if the median of the later half is at least this share
+of the earlier half's: the latency of a searcher that is warming up still
+falls."""
 
-UNKNOWN_CALLS = 8
-"""Successes to watch for settling where no usual latency is known."""
+SETTLING_CALLS = 8
+"""Number of successes after which latencies may count as settled, while the
+usual latency is unknown."""
 
-CHANGED_CALLS = 32
-"""Successes to watch before another usual latency is believed."""
+RELEARNING_CALLS = 32
+"""Number of successes after which latencies may count as settled at a level
+other than the usual one."""
 
-FAILURES = 3
-"""Failures in a row that put a warm searcher back to cold."""
+FAILURES_TO_RESET = 3
+"""Consecutive failures that reset a warm searcher to cold."""
 
 
 class State(enum.Enum):
-    """Whether a searcher bears its full load."""
+    """Whether a searcher can handle its full load."""
 
     COLD = "cold"
     WARM = "warm"
 
 
 class Ramp:
-    """The limit of one searcher, as its owner may use it.
+    """The limit of concurrent requests that an owner applies to one searcher.
 
-    It begins cold at the declared cold limit, doubles after as many
-    successes at normal latency as the limit is high, and is warm once it
-    reaches the slots. A failure halves it, and each reason to take the
-    searcher for cold puts it back to the cold limit.
+    It starts cold at the declared cold limit, doubles after as many
+    consecutive successes at normal latency as the current limit, and is warm
+    once it reaches the number of slots. A failure halves the limit of a cold
+    searcher. Any sign that the searcher is cold resets it to the cold limit.
 
     Attributes:
         state: Cold or warm.
-        limit: How many requests the searcher gets at once now.
-        reason: Why the state is what it is, in a word.
-        epoch: Counts the turns to cold. A call that began in an earlier
-            epoch says nothing of this one.
-        held: True while the searcher reports to be cold and its report is
-            heeded; it delays the ramp only where no usual latency is known.
+        limit: Current limit of concurrent requests.
+        reason: A one-word reason for the current state.
+        epoch: Number of resets to cold. Results of calls that began in an
+            earlier epoch are ignored.
+        held: True while the searcher reports that it is cold and the report is
+            accepted; it delays the ramp only if no usual latency is known.
     """
 
     __slots__ = (
+        "_cold_latencies_ms",
         "_cold_limit",
         "_failures",
         "_latencies_ms",
         "_median_ms",
+        "_since_median",
         "_slots",
         "_slow",
         "_streak",
-        "_unseen",
         "_usual_ms",
-        "_watched_ms",
         "epoch",
         "held",
         "limit",
@@ -84,24 +89,26 @@
     )
 
     def __init__(self, slots: int, cold_limit: int) -> None:
-        """Makes the ramp of a searcher of which nothing is known: cold.
+        """Creates the ramp of a searcher without history, in the cold state.
 
         Args:
-            slots: The searcher's slots.
-            cold_limit: How many requests it bears at once in cold start.
+            slots: The searcher's number of slots.
+            cold_limit: Limit of concurrent requests during a cold start.
         """
         self._slots = slots
         self._cold_limit = max(1, min(cold_limit, slots))
         self._latencies_ms: collections.deque[float] = collections.deque(
-            maxlen=HISTORY
+            maxlen=MEDIAN_WINDOW
         )
-        self._watched_ms: collections.deque[float] = collections.deque(
-            maxlen=CHANGED_CALLS
+        self._cold_latencies_ms: collections.deque[float] = collections.deque(
+            maxlen=RELEARNING_CALLS
+        )
+        self._slow: collections.deque[bool] = collections.deque(
+            maxlen=RECENT_CALLS
         )
-        self._slow: collections.deque[bool] = collections.deque(maxlen=RECENT)
         self._usual_ms = 0.0
         self._median_ms = 0.0
-        self._unseen = 0
+        self._since_median = 0
         self._streak = 0
         self._failures = 0
         self.limit = self._cold_limit
@@ -111,17 +118,18 @@
         self.held = False
 
     def resume(self, limit: int, usual_ms: float, slow: int = 0) -> None:
-        """Goes on where another owner's ramp was.
+        """Continues from the state of another owner's ramp.
 
-        A searcher that turned cold shortly before a handoff would otherwise
-        have to give every sign of it anew, to each of its owners.
+        Without it, a searcher that turned cold shortly before a handoff would
+        be detected only after the new owner has seen enough slow calls of its
+        own.
 
         Args:
             limit: The other ramp's limit.
             usual_ms: Its usual service time, in milliseconds; 0 if unknown.
             slow: How many of its recent calls were slow.
         """
-        self._slow.extend([True] * min(slow, SLOW_OF_RECENT - 1))
+        self._slow.extend([True] * min(slow, SLOW_CALLS_TO_RESET - 1))
         self._usual_ms = usual_ms
         self.limit = max(1, min(limit, self._slots))
         self.reason = "handoff"
@@ -129,7 +137,7 @@
             self.state = State.WARM
 
     def resize(self, slots: int, cold_limit: int) -> None:
-        """Takes other declared limits; a warm searcher stays warm."""
+        """Applies changed declared limits; a warm searcher stays warm."""
         self._slots = slots
         self._cold_limit = max(1, min(cold_limit, slots))
         if self.state is State.WARM:
@@ -138,7 +146,11 @@
             self.limit = min(self.limit, slots)
 
     def adopt_usual(self, usual_ms: float) -> None:
-        """Takes other searchers' usual service time if none is known."""
+        """Uses other searchers' usual service time if this one has none.
+
+        Args:
+            usual_ms: The usual service time, in milliseconds.
+        """
         if self._usual_ms == 0.0 and not self._latencies_ms:
             self._usual_ms = usual_ms
 
@@ -153,25 +165,25 @@
         return sum(self._slow)
 
     def get_expected_ms(self) -> float:
-        """Returns what a call takes now, in milliseconds; 0 if unknown.
+        """Returns the expected service time, in milliseconds; 0 if unknown.
 
-        A cold searcher takes longer than usual.
+        It is longer than usual for a cold searcher.
         """
-        if self.state is State.COLD and self._watched_ms:
-            latest = list(self._watched_ms)[-RECENT:]
+        if self.state is State.COLD and self._cold_latencies_ms:
+            latest = list(self._cold_latencies_ms)[-RECENT_CALLS:]
             return max(self._usual_ms, statistics.median_low(latest))
         return self.get_usual_ms()
 
     def turn_cold(self, reason: str) -> None:
-        """Goes back to the cold limit.
+        """Resets the ramp to the cold limit.
 
         Args:
-            reason: Why, in a word.
+            reason: The reason, in one word.
         """
         self._usual_ms = self.get_usual_ms()
         self._latencies_ms.clear()
         self._median_ms = 0.0
-        self._watched_ms.clear()
+        self._cold_latencies_ms.clear()
         self._slow.clear()
         self._streak = 0
         self._failures = 0
@@ -181,7 +193,7 @@
         self.epoch += 1
 
     def succeed(self, took_ms: float, epoch: int) -> None:
-        """Takes a success.
+        """Records a successful call.
 
         Args:
             took_ms: The service time, in milliseconds.
@@ -192,20 +204,20 @@
         self._failures = 0
         match self.state:
             case State.WARM:
-                self._see(took_ms)
+                self._record_warm_success(took_ms)
             case State.COLD:
-                self._climb(took_ms)
+                self._record_cold_success(took_ms)
 
     def end_unanswered(self, after_ms: float, epoch: int) -> None:
-        """Takes a call that was given up after some time.
+        """Records a call that was cancelled before its reply.
 
-        A hedged call's loser is cancelled before it ends, so a searcher that
-        turned cold would show by no latency at all; that it took at least
-        this long is known. A hedge begins where few usual calls still run,
-        so a time that is not normal any more is enough to count as slow.
+        The slower call of a hedged pair is cancelled, so a searcher that turned
+        cold might never return a latency; the time until the cancellation is a
+        lower bound of it. Hedges start at a time that few usual calls exceed,
+        so a call cancelled after more than the normal latency counts as slow.
 
         Args:
-            after_ms: The time, in milliseconds.
+            after_ms: The time until the cancellation, in milliseconds.
             epoch: The ramp's epoch when the call was dispatched.
         """
         usual_ms = self.get_usual_ms()
@@ -214,68 +226,75 @@
         if after_ms > usual_ms * NORMAL_FACTOR:
             self._streak = 0
             if self.state is State.WARM:
-                self._judge(True)
+                self._record_speed(True)
 
     def fail(self, epoch: int) -> None:
-        """Takes a failure or a shed; see `succeed`."""
+        """Records a failed or shed call; see `succeed`."""
         if epoch != self.epoch:
             return
         self._streak = 0
         self._failures += 1
         if self.state is State.COLD:
             self.limit = max(1, self.limit // 2)
-        elif self._failures >= FAILURES:
+        elif self._failures >= FAILURES_TO_RESET:
             self.turn_cold("failures")
 
-    def _see(self, took_ms: float) -> None:
-        """Takes a success of a warm searcher."""
+    def _record_warm_success(self, took_ms: float) -> None:
+        """Records the latency of a warm searcher's success."""
         usual_ms = self.get_usual_ms()
-        slow = usual_ms > 0 and took_ms > usual_ms * COLD_FACTOR
+        slow = usual_ms > 0 and took_ms > usual_ms * SLOW_FACTOR
         self._latencies_ms.append(took_ms)
-        self._unseen += 1
+        self._since_median += 1
         known = len(self._latencies_ms)
-        if self._unseen >= REFRESH or RECENT <= known < HISTORY // 2:
-            self._unseen = 0
+        if (
+            self._since_median >= MEDIAN_INTERVAL
+            or RECENT_CALLS <= known < MEDIAN_WINDOW // 2
+        ):
+            self._since_median = 0
             self._median_ms = statistics.median_low(self._latencies_ms)
-        self._judge(slow)
+        self._record_speed(slow)
 
-    def _judge(self, slow: bool) -> None:
-        """Turns cold if the recent latencies say so."""
+    def _record_speed(self, slow: bool) -> None:
+        """Records whether a call was slow; resets to cold after several."""
         self._slow.append(slow)
-        if sum(self._slow) >= SLOW_OF_RECENT:
+        if sum(self._slow) >= SLOW_CALLS_TO_RESET:
             self.turn_cold("latency")
 
-    def _climb(self, took_ms: float) -> None:
-        """Takes a success of a cold searcher."""
-        self._watched_ms.append(took_ms)
+    def _record_cold_success(self, took_ms: float) -> None:
+        """Records the latency of a cold searcher's success."""
+        self._cold_latencies_ms.append(took_ms)
         if self._usual_ms and took_ms <= self._usual_ms * NORMAL_FACTOR:
             self._streak += 1
             if self._streak >= self.limit:
-                self._double()
+                self._double_limit()
             return
         self._streak = 0
         if self._has_settled():
-            # Without a usual latency, or with one that the searcher doesn't
-            # reach any more (a larger index), one that no longer falls is
-            # taken for usual; else the ramp would stay low for good.
-            later = list(self._watched_ms)[len(self._watched_ms) // 2 :]
+            # If no usual latency is known, or the searcher no longer reaches it
+            # (because of a larger index), the latency at which it has settled
+            # becomes the usual one. Otherwise the limit would never rise.
+            later = list(self._cold_latencies_ms)[
+                len(self._cold_latencies_ms) // 2 :
+            ]
             self._usual_ms = statistics.median_low(later)
-            self._double()
+            self._double_limit()
 
     def _has_settled(self) -> bool:
-        """Tells whether a cold searcher's latencies no longer fall."""
-        needed = CHANGED_CALLS if self._usual_ms else UNKNOWN_CALLS
-        if self.held or len(self._watched_ms) < needed:
+        """Returns True if a cold searcher's latencies have stopped falling."""
+        needed = RELEARNING_CALLS if self._usual_ms else SETTLING_CALLS
+        if self.held or len(self._cold_latencies_ms) < needed:
             return False
-        watched = list(self._watched_ms)
-        middle = len(watched) // 2
-        earlier = statistics.median_low(watched[:middle])
-        return statistics.median_low(watched[middle:]) >= earlier * SETTLED
+        latencies = list(self._cold_latencies_ms)
+        middle = len(latencies) // 2
+        earlier = statistics.median_low(latencies[:middle])
+        return (
+            statistics.median_low(latencies[middle:]) >= earlier * SETTLED_RATIO
+        )
 
-    def _double(self) -> None:
-        """Raises the limit one step."""
+    def _double_limit(self) -> None:
+        """Doubles the limit; at the number of slots the searcher is warm."""
         self._streak = 0
-        self._watched_ms.clear()
+        self._cold_latencies_ms.clear()
         self.limit = min(self._slots, self.limit * 2)
         if self.limit >= self._slots:
             self.state = State.WARM
--- a/tests/policy/test_ramps.py
+++ b/tests/policy/test_ramps.py
@@ -18,7 +18,7 @@
 def make_warm(slots: int = 4, cold_limit: int = 1) -> ramps.Ramp:
     ramp = ramps.Ramp(slots, cold_limit)
     ramp.resume(slots, USUAL_MS)
-    for _ in range(ramps.HISTORY):
+    for _ in range(ramps.MEDIAN_WINDOW):
         ramp.succeed(USUAL_MS, ramp.epoch)
     return ramp
 
@@ -29,7 +29,7 @@
     assert (ramp.state, ramp.limit) == (ramps.State.COLD, 2)
 
 
-def test_it_doubles_after_as_many_normal_successes_as_the_limit() -> None:
+def test_the_limit_doubles_after_that_many_normal_successes() -> None:
     ramp = make_warm(slots=8)
     ramp.turn_cold("incarnation")
     limits = []
@@ -44,7 +44,7 @@
 def test_slow_successes_do_not_raise_the_limit() -> None:
     ramp = make_warm()
     ramp.turn_cold("incarnation")
-    for _ in range(ramps.CHANGED_CALLS - 1):
+    for _ in range(ramps.RELEARNING_CALLS - 1):
         ramp.succeed(COLD_MS, ramp.epoch)
 
     assert ramp.limit == 1
@@ -64,7 +64,9 @@
     ("slow", "state"),
     [(1, "warm"), (2, "warm"), (3, "cold"), (4, "cold")],
 )
-def test_recent_latencies_tell_a_turn_to_cold(slow: int, state: str) -> None:
+def test_slow_recent_calls_reset_a_searcher_to_cold(
+    slow: int, state: str
+) -> None:
     ramp = make_warm()
     for _ in range(slow):
         ramp.succeed(COLD_MS, ramp.epoch)
@@ -72,24 +74,24 @@
     assert ramp.state.value == state
 
 
-def test_stragglers_of_one_in_a_hundred_do_not_turn_a_searcher_cold() -> None:
+def test_one_straggler_in_a_hundred_does_not_reset_a_searcher() -> None:
     ramp = make_warm()
     rng = random.Random(5)
-    turned = 0
+    resets = 0
     for _ in range(20_000):
         factor = 10.0 if rng.random() < 0.01 else 1.0
         ramp.succeed(USUAL_MS * factor * rng.lognormvariate(0, 0.2), ramp.epoch)
-        turned += ramp.state is ramps.State.COLD
+        resets += ramp.state is ramps.State.COLD
         if ramp.state is ramps.State.COLD:
             ramp.resume(4, USUAL_MS)
 
-    assert turned == 0
+    assert resets == 0
 
 
-def test_a_call_given_up_early_says_nothing_and_late_counts_as_slow() -> None:
-    """Every slow call of a searcher that turned cold is hedged away.
+def test_a_cancelled_call_counts_as_slow_only_if_it_ran_long() -> None:
+    """Guards against a cold searcher that stays undetected due to hedges.
 
-    Its replies are never seen, only that they had not come in time.
+    All its slow calls are cancelled, so the owner never sees their latency.
     """
     ramp = make_warm()
     for _ in range(10):
@@ -101,25 +103,25 @@
     assert (early, ramp.state) == (ramps.State.WARM, ramps.State.COLD)
 
 
-def test_a_loser_of_a_hedge_counts_once_its_time_is_not_normal() -> None:
-    """A backend server turns cold, and each slow call loses to its hedge.
+def test_a_call_cancelled_after_the_normal_time_counts_as_slow() -> None:
+    """Guards against a cold searcher that keeps its full limit due to hedges.
 
-    The losers are cancelled at about twice the usual time, long before a
-    cold call would end: if that said nothing, the owner would go on with
-    the full limit for as long as the hedges win.
+    Its calls are cancelled at about twice the usual time, long before they
+    would end. If they were ignored, the limit would stay as long as the hedges
+    answer first.
     """
     ramp = make_warm()
-    for _ in range(ramps.SLOW_OF_RECENT):
+    for _ in range(ramps.SLOW_CALLS_TO_RESET):
         ramp.end_unanswered(USUAL_MS * 2.2, ramp.epoch)
 
     assert (ramp.state, ramp.limit) == (ramps.State.COLD, 1)
 
 
 def test_slow_calls_before_a_handoff_count_after_it() -> None:
-    """A searcher turns cold, and changes its owner after two slow calls.
+    """A searcher turns cold and gets a new owner after two slow calls.
 
-    Without them the new owner would wait for three of its own, at the full
-    limit.
+    If they were not handed off, the new owner would use the full limit until it
+    has seen three slow calls itself.
     """
     before = make_warm()
     for _ in range(2):
@@ -131,15 +133,15 @@
     assert after.state is ramps.State.COLD
 
 
-def test_failures_in_a_row_turn_a_warm_searcher_cold() -> None:
+def test_consecutive_failures_reset_a_warm_searcher_to_cold() -> None:
     ramp = make_warm()
-    for _ in range(ramps.FAILURES):
+    for _ in range(ramps.FAILURES_TO_RESET):
         ramp.fail(ramp.epoch)
 
     assert (ramp.state, ramp.reason) == (ramps.State.COLD, "failures")
 
 
-def test_a_call_from_before_the_turn_says_nothing_of_the_ramp() -> None:
+def test_calls_of_an_earlier_epoch_are_ignored() -> None:
     ramp = make_warm()
     before = ramp.epoch
     ramp.turn_cold("latency")
@@ -149,29 +151,29 @@
     assert ramp.limit == 1
 
 
-def test_without_a_usual_latency_it_waits_until_latencies_settle() -> None:
+def test_without_usual_latency_the_limit_rises_once_settled() -> None:
     ramp = ramps.Ramp(slots=4, cold_limit=1)
     falling = [100 * 0.8**step for step in range(16)]
     for took_ms in falling:
         ramp.succeed(took_ms, ramp.epoch)
     while_falling = ramp.limit
-    for _ in range(ramps.CHANGED_CALLS):
+    for _ in range(ramps.RELEARNING_CALLS):
         ramp.succeed(USUAL_MS, ramp.epoch)
 
     assert (while_falling, ramp.limit) == (1, 4)
 
 
-def test_a_lasting_change_of_latency_does_not_hold_the_ramp_for_good() -> None:
-    """A larger index version makes every call three times as slow for good."""
+def test_a_permanent_change_of_latency_does_not_block_the_ramp() -> None:
+    """A larger index version makes all calls permanently 3.5 times as slow."""
     ramp = make_warm(slots=2)
     ramp.turn_cold("latency")
-    for _ in range(ramps.CHANGED_CALLS + 2):
+    for _ in range(ramps.RELEARNING_CALLS + 2):
         ramp.succeed(USUAL_MS * 3.5, ramp.epoch)
 
     assert (ramp.state, ramp.limit) == (ramps.State.WARM, 2)
 
 
-def test_a_report_to_be_cold_holds_back_only_what_is_unknown() -> None:
+def test_a_cold_report_delays_only_a_ramp_without_usual_latency() -> None:
     unknown = ramps.Ramp(slots=2, cold_limit=1)
     known = make_warm(slots=2)
     known.turn_cold("lost")
@@ -184,17 +186,16 @@
 
 
 class RampMachine(stateful.RuleBasedStateMachine):
-    """A searcher that turns cold as it likes, and its owner's ramp.
+    """A searcher that restarts at any time, and its owner's ramp.
 
-    The owner starts a call only below the limit. While the searcher is cold
-    its calls are slow; the owner is told of restarts before it starts
-    another call, and never of a silent turn. Whatever happens, between a
-    turn that the ramp knows of and the searcher's first normal reply, no
-    more than the cold limit may be in it.
+    The owner starts a call only below the limit. While the searcher is cold,
+    its calls are slow. The owner is informed of a restart before it starts
+    another call. From a known restart until the searcher is warm again, no more
+    than the cold limit of calls may run.
     """
 
     def __init__(self) -> None:
-        """Begins with a new searcher."""
+        """Starts with a new searcher."""
         super().__init__()
         self.cold_limit = 2
         self.slots = 8
@@ -205,7 +206,7 @@
 
     @stateful.rule()
     def start(self) -> None:
-        """Starts a call if there is room."""
+        """Starts a call if the limit allows it."""
         if len(self.running) < self.ramp.limit:
             self.running.append(self.ramp.epoch)
 
@@ -231,7 +232,7 @@
 
     @stateful.rule()
     def restart(self) -> None:
-        """Restarts the searcher: its calls are lost, and it shows."""
+        """Restarts the searcher; its calls are lost, and the owner knows it."""
         self.cold = True
         self.running.clear()
         self.ramp.turn_cold("incarnation")
@@ -243,7 +244,7 @@
 
     @stateful.invariant()
     def keep_the_cold_limit(self) -> None:
-        """A searcher known to be cold has at most its cold limit."""
+        """Checks that a cold searcher runs at most its cold limit of calls."""
         assert 1 <= self.ramp.limit <= self.slots
         if self.ramp.state is ramps.State.WARM:
             assert self.ramp.limit == self.slots
@@ -251,7 +252,7 @@
             assert len(self.running) <= self.cold_limit
 
     def _end(self, data: st.DataObject) -> int:
-        """Takes a running call out."""
+        """Removes a running call and returns its epoch."""
         position = data.draw(st.integers(0, len(self.running) - 1))
         return self.running.pop(position)
 
