--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds of the idempotency records: their age, their size, what is noted."""
+"""Limits on the age, the rate and the total size of idempotency records."""
 
 from __future__ import annotations
 
@@ -8,64 +8,66 @@
 from azureramp.policy import idempotency
 
 RETENTION_S = 86_400.0
-"""How long a record is kept at least, in seconds."""
+"""Minimum time that a record is kept, in seconds."""
 
 WINDOW_S = 600.0
-"""How long one lease takes new records, in seconds.
+"""How long new records are attached to one lease, in seconds.
 
-A lease lives for a retention and a window, so that a record written at the
-window's end is kept for a whole retention too.
+A lease stays valid for one retention plus one window, so that a record written
+at the end of the window is also kept for a whole retention.
 """
 
 MAX_STORED_BYTES = 1_000_000_000
-"""The most that all records together may take in the store."""
+"""Maximum size of all records in the store, in bytes."""
 
 OVERHEAD_BYTES = 600
-"""What a record takes in the store besides its result, at most."""
+"""Maximum size of a record in the store without its result, in bytes."""
 
 RECORDS_PER_S = 200.0
-"""The most new records in a second, of all VMs together.
+"""Maximum rate of new records per second, over all VMs.
 
-With their outcomes they take less than 400 writes of the several hundred that
-the store takes for everything; see docs/design/idempotency.md.
+Including the writes of their outcomes, this is less than 400 of the several
+hundred writes per second that the store accepts for all purposes; see
+docs/design/idempotency.md.
 """
 
 BURST_S = 1.0
-"""How many seconds' worth of records may come at once."""
+"""Maximum burst of new records, in seconds at the full rate."""
 
 BURST_SHARE = 0.1
-"""The share of `MAX_STORED_BYTES` that is for bursts."""
+"""The share of `MAX_STORED_BYTES` that is reserved for bursts."""
 
 MAX_RECORD_BYTES = OVERHEAD_BYTES + (idempotency.MAX_RESULT_BYTES + 2) * 4 // 3
-"""The most that one record takes; JSON carries the result as base64."""
+"""Maximum size of one record, in bytes; JSON encodes the result as base64."""
 
 MAX_SIGHTINGS = 10_000
-"""How many claims of other VMs one VM remembers having seen."""
+"""Maximum number of other VMs' claims whose first sighting is kept."""
 
 
 class Bucket:
-    """A token bucket: an amount that grows with time, up to a bound."""
+    """A token bucket."""
 
     __slots__ = ("_at_s", "_tokens")
 
     def __init__(self) -> None:
-        """Makes a full one."""
+        """Creates a full bucket."""
         self._tokens = math.inf
         self._at_s = 0.0
 
     def take(
         self, amount: float, now_s: float, per_s: float, most: float
     ) -> float:
-        """Takes an amount, if there is as much.
+        """Takes tokens from the bucket if there are enough.
 
         Args:
-            amount: How much.
-            now_s: The time, in seconds.
-            per_s: How fast it grows.
-            most: Its bound; at least `amount`.
+            amount: The number of tokens to take.
+            now_s: The current time, in seconds.
+            per_s: Tokens added per second.
+            most: The bucket's capacity; at least `amount`.
 
         Returns:
-            0 if there was as much, else the time until there is, in seconds.
+            0 if the tokens were taken, else the time until there are enough,
+            in seconds.
         """
         self._tokens += (now_s - self._at_s) * per_s
         self._tokens = min(self._tokens, most)
@@ -76,29 +78,32 @@
         return 0.0
 
     def give_back(self, amount: float) -> None:
-        """Gives back what was taken and not needed."""
+        """Returns unused tokens to the bucket."""
         self._tokens += amount
 
 
 class Pace:
-    """Bounds how fast this VM claims, by its share of the store's writes.
+    """Limits this VM's rate of claims to its share of the store's writes.
 
-    When an outage ends, everybody who was refused comes back within seconds.
-    Without this bound the store would meet all of them at once.
+    After an outage all rejected callers retry within seconds. Without this
+    limit the store would receive all their claims at once.
     """
 
     __slots__ = ("_bucket",)
 
     def __init__(self) -> None:
-        """Makes a pace with a full burst."""
+        """Creates a rate limit with a full burst."""
         self._bucket = Bucket()
 
     def take(self, now_s: float, vms: int) -> float:
-        """Takes the right to one claim; returns as `Bucket.take`.
+        """Takes the permission for one claim.
 
         Args:
-            now_s: The time, in seconds.
-            vms: How many VMs share the store.
+            now_s: The current time, in seconds.
+            vms: Number of VMs that share the store.
+
+        Returns:
+            See `Bucket.take`.
         """
         per_s = RECORDS_PER_S / max(vms, 1)
         most = max(per_s * BURST_S, 1.0)
@@ -108,67 +113,76 @@
 class Quota:
     """The bytes of records that this VM may still write.
 
-    The platform deletes what is older than a retention and two windows, so
-    what all VMs write in that time is all that is stored. A VM that bounds
-    its own writes, on its own clock, keeps its share of the bound. A restart
-    forgets what was used, and may use the share for bursts once more.
+    The platform deletes records older than one retention and two windows, so
+    the stored records are those that all VMs wrote within that time. Each VM
+    stays within its share of the limit by limiting its own writes, measured by
+    its own clock. After a restart the used amount is unknown and the full burst
+    is available again.
     """
 
     __slots__ = ("_bucket",)
 
     def __init__(self) -> None:
-        """Makes an unused quota."""
+        """Creates an unused quota."""
         self._bucket = Bucket()
 
     def take(self, now_s: float, vms: int) -> float:
-        """Takes room for a record of the largest size.
+        """Reserves the bytes for a record of maximum size.
 
         Args:
-            now_s: The time, in seconds.
-            vms: How many VMs share the store.
+            now_s: The current time, in seconds.
+            vms: Number of VMs that share the store.
 
         Returns:
-            As `Bucket.take`.
+            See `Bucket.take`.
         """
         most = get_burst_bytes(vms)
         per_s = get_bytes_per_s(vms)
         return self._bucket.take(MAX_RECORD_BYTES, now_s, per_s, most)
 
     def give_back(self, stored_bytes: int) -> None:
-        """Gives back what a record did not need.
+        """Returns the reserved bytes that a record did not use.
 
         Args:
-            stored_bytes: What it takes in the store.
+            stored_bytes: The record's size in the store, in bytes.
         """
         self._bucket.give_back(max(MAX_RECORD_BYTES - stored_bytes, 0))
 
 
 def get_burst_bytes(vms: int) -> float:
-    """Returns what one VM may write at once, in bytes."""
+    """Returns the size of one VM's burst, in bytes."""
     share = MAX_STORED_BYTES * BURST_SHARE / max(vms, 1)
     return max(share, MAX_RECORD_BYTES)
 
 
 def get_bytes_per_s(vms: int) -> float:
-    """Returns what one VM may write in the long run, in bytes a second."""
+    """Returns one VM's sustained rate of writes, in bytes per second."""
     kept_s = RETENTION_S + 2 * WINDOW_S
     return MAX_STORED_BYTES * (1 - BURST_SHARE) / kept_s / max(vms, 1)
 
 
 class Sightings:
-    """When this VM first saw each claim of others, bounded."""
+    """When this VM first saw each claim of another VM, bounded in size."""
 
-    __slots__ = ("_seen",)
+    __slots__ = ("_first_seen_s",)
 
     def __init__(self) -> None:
-        """Makes it empty."""
-        self._seen: collections.OrderedDict[str, float] = (
+        """Creates an empty table."""
+        self._first_seen_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
     def get_age_s(self, nonce: str, now_s: float) -> float:
-        """Notes a claim and returns how long it has been known, in seconds."""
-        first_s = self._seen.setdefault(nonce, now_s)
-        while len(self._seen) > MAX_SIGHTINGS:
-            self._seen.popitem(last=False)
+        """Records a claim and returns the time since its first sighting.
+
+        Args:
+            nonce: The claim's nonce.
+            now_s: The current time, in seconds.
+
+        Returns:
+            The time, in seconds; 0 for a new claim.
+        """
+        first_s = self._first_seen_s.setdefault(nonce, now_s)
+        while len(self._first_seen_s) > MAX_SIGHTINGS:
+            self._first_seen_s.popitem(last=False)
         return now_s - first_s
