--- a/src/azureramp/policy/relaying.py
+++ b/src/azureramp/policy/relaying.py
@@ -1,8 +1,9 @@
-"""Which VM hears of the store's changes from which.
+"""Choice of the relay from which a VM receives the store's changes.
 
-A watch by every VM costs a call for each change and VM, and the store's rates
-grow more slowly than the tier. One VM of each availability zone watches, tells
-the others of its zone, and announces them.
+If every VM watched the store, each change would cost one call per VM, but the
+store's rate limits grow more slowly than the number of VMs. Therefore one VM of
+each availability zone watches the store, forwards changes to the other VMs of
+its zone and announces them in the store.
 """
 
 from __future__ import annotations
@@ -13,9 +14,9 @@
 from azureramp import catalog
 from azureramp.ports.store import api as store_api
 
-MOST_REMOVALS = 2048
-"""Most deleted keys that are remembered; older changes are then told by
-telling everything anew."""
+MAX_DELETIONS = 2048
+"""Maximum number of deleted keys kept. A VM that lacks older deletions receives
+all entries anew."""
 
 
 def choose_relay(
@@ -25,23 +26,23 @@
     seeds: Sequence[str],
     avoided: Collection[str],
 ) -> str | None:
-    """Chooses whom a VM asks.
+    """Chooses the VM from which a VM requests changes.
 
-    The VMs of a zone choose the one with most processor, since its link is
-    mostly the widest, and stay with one that announces others already.
+    It is the zone's VM with the most CPU cores, which usually has the link with
+    the highest bandwidth. Among equal ones, a VM that already announces others
+    is preferred.
 
     Args:
-        vm: The VM.
+        vm: The name of the VM that needs a relay.
         zone: Its availability zone.
-        members: The VMs that are known.
-        seeds: The addresses of some VMs of any zone, best first, to be asked
-            while none of the zone is known; empty if this VM is one of them.
-        avoided: The addresses of those that didn't answer just now.
+        members: The known VMs.
+        seeds: The addresses of some VMs of any zone, best first, used while no
+            VM of the zone is known; empty if this VM is one of them.
+        avoided: The addresses of VMs that recently failed to answer.
 
     Returns:
-        The address of the VM to ask; None if this one should watch the store
-        itself. All VMs of a zone choose the same one while they know the same
-        members.
+        The relay's address; None if this VM should watch the store itself. VMs
+        of one zone that know the same members choose the same relay.
     """
     near = [member for member in members if member.zone == zone]
     keepers = {member.keeper for member in near}
@@ -64,63 +65,63 @@
 
 
 class Copy:
-    """The newest entry of each key, to tell others of.
+    """The newest entry of each key, kept for forwarding to other VMs.
 
     Attributes:
-        revision: The store's revision that it has followed to.
-        floor: Changes up to this revision may be forgotten.
+        revision: The store's revision up to which the copy is complete.
+        floor: Deletions up to this revision may have been dropped.
     """
 
-    __slots__ = ("_entries", "_removed", "floor", "revision")
+    __slots__ = ("_deletions", "_entries", "floor", "revision")
 
     def __init__(self) -> None:
-        """Makes an empty copy."""
+        """Creates an empty copy."""
         self._entries: dict[str, store_api.Entry] = {}
-        self._removed: collections.OrderedDict[str, store_api.Entry] = (
+        self._deletions: collections.OrderedDict[str, store_api.Entry] = (
             collections.OrderedDict()
         )
         self.revision = 0
         self.floor = 0
 
     def put(self, entry: store_api.Entry) -> bool:
-        """Takes an entry; False if a newer one of its key is known."""
-        known = self._entries.get(entry.key) or self._removed.get(entry.key)
+        """Stores an entry; returns False if its key has a newer one."""
+        known = self._entries.get(entry.key) or self._deletions.get(entry.key)
         if known is not None and entry.revision < known.revision:
             return False
         if entry.value is not None:
-            self._removed.pop(entry.key, None)
+            self._deletions.pop(entry.key, None)
             self._entries[entry.key] = entry
             return True
         self._entries.pop(entry.key, None)
-        self._removed.pop(entry.key, None)
-        self._removed[entry.key] = entry
-        if len(self._removed) > MOST_REMOVALS:
-            _, oldest = self._removed.popitem(last=False)
+        self._deletions.pop(entry.key, None)
+        self._deletions[entry.key] = entry
+        if len(self._deletions) > MAX_DELETIONS:
+            _, oldest = self._deletions.popitem(last=False)
             self.floor = max(self.floor, oldest.revision)
         return True
 
     def get_revision(self, key: str) -> int:
-        """Returns the revision of a key's entry, `CREATE` if there is none."""
+        """Returns the revision of a key's entry; `CREATE` if there is none."""
         entry = self._entries.get(key)
         return store_api.CREATE if entry is None else entry.revision
 
     def list_keys(self) -> list[str]:
-        """Returns the keys that exist."""
+        """Returns the existing keys."""
         return list(self._entries)
 
     def list_changes(self, after: int) -> tuple[store_api.Entry, ...] | None:
-        """Returns the changes after a revision, by revision.
+        """Returns the changes after a revision, in order of revision.
 
         Returns:
-            The changes; for revision 0 everything that exists; None if some
-            may be forgotten.
+            The changes; all existing entries for revision 0; None if some of
+            the deletions may have been dropped.
         """
         if after == 0:
             changes = list(self._entries.values())
         elif after < self.floor:
             return None
         else:
-            both = (*self._entries.values(), *self._removed.values())
+            both = (*self._entries.values(), *self._deletions.values())
             changes = [entry for entry in both if entry.revision > after]
         changes.sort(key=lambda entry: entry.revision)
         return tuple(changes)
--- a/tests/policy/test_relaying.py
+++ b/tests/policy/test_relaying.py
@@ -1,4 +1,4 @@
-"""Which VM hears of the store's changes from which."""
+"""Choice of the relay from which a VM receives the store's changes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     )
 
 
-def test_the_vms_of_a_zone_ask_the_one_with_most_processor() -> None:
+def test_the_vms_of_a_zone_choose_the_one_with_the_most_cores() -> None:
     members = [
         make_member("vm-1"),
         make_member("vm-2", cores=2.0),
@@ -26,8 +26,8 @@
     assert relaying.choose_relay("vm-2", "a", members, ["seed:81"], ()) is None
 
 
-def test_one_that_announces_others_is_kept() -> None:
-    """Guards against a whole zone that moves when a VM comes back."""
+def test_a_vm_that_already_announces_others_is_preferred() -> None:
+    """Guards against a zone that changes its relay when a VM recovers."""
     members = [
         make_member("vm-1"),
         make_member("vm-2"),
@@ -37,7 +37,7 @@
     assert relaying.choose_relay("vm-2", "a", members, [], ()) is None
 
 
-def test_one_that_didn_t_answer_is_passed_over() -> None:
+def test_a_vm_that_did_not_answer_is_skipped() -> None:
     members = [make_member("vm-1"), make_member("vm-2"), make_member("vm-3")]
     chosen = relaying.choose_relay("vm-3", "a", members, [], {"vm-1:81"})
     assert chosen == "vm-2:81"
@@ -45,7 +45,7 @@
     assert relaying.choose_relay("vm-3", "a", members, [], avoided) is None
 
 
-def test_seeds_are_asked_while_the_zone_knows_none_of_its_vms() -> None:
+def test_seeds_are_used_while_no_vm_of_the_zone_is_known() -> None:
     members = [make_member("vm-1", zone="b")]
     seeds = ["s-1:81", "s-2:81"]
     assert relaying.choose_relay("vm-9", "a", members, seeds, ()) == "s-1:81"
