--- a/tests/policy/test_replicas.py
+++ b/tests/policy/test_replicas.py
@@ -1,4 +1,4 @@
-"""The choice of a searcher, and what a lying reporter costs."""
+"""Choice of a searcher from measurements, and the effect of false reports."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def make_board(**took_ms: float) -> replicas.Scoreboard:
-    """Makes a scoreboard on which each searcher has some time."""
+    """Creates a scoreboard with the given time for each searcher."""
     board = replicas.Scoreboard()
     for _ in range(30):
         for name, each_ms in took_ms.items():
@@ -52,7 +52,7 @@
     reports=st.lists(REPORTS, max_size=6),
     seed=st.integers(0, 1000),
 )
-def test_no_report_leads_to_a_searcher_worse_than_the_stated_bound(
+def test_no_report_leads_to_a_score_beyond_the_tolerance(
     times: list[float], reports: list[messages.SearcherState], seed: int
 ) -> None:
     board = make_board(**dict(zip(NAMES, times, strict=True)))
@@ -66,15 +66,16 @@
         )
         for name in NAMES
     }
-    most = min(scores.values()) * (1 + replicas.TIE)
-    assert scores[chosen] <= most * (1 + 1e-9)
+    limit = min(scores.values()) * (1 + replicas.SCORE_TOLERANCE)
+    assert scores[chosen] <= limit * (1 + 1e-9)
 
 
-def test_a_liar_among_equals_gets_at_most_its_bounded_odds() -> None:
-    """One searcher always says that it is idle, the others tell the truth.
+def test_a_false_report_shifts_the_odds_by_a_bounded_factor() -> None:
+    """Guards against an owner that attracts all work by false reports.
 
-    It must not draw everybody's work onto itself: the odds shift by at most
-    two to one, and not at all once its own times show it to be slower.
+    One searcher is always reported as idle, the others correctly. The odds
+    shift by at most 2 to 1, and not at all once measurements show that the
+    searcher is slower.
     """
     states = {
         "a": query_parts.make_state("a", queued=0),
@@ -82,15 +83,15 @@
         "c": query_parts.make_state("c", queued=500),
     }
 
-    equal = count_choices(make_board(a=10, b=10, c=10), states)
+    tied = count_choices(make_board(a=10, b=10, c=10), states)
     slower = count_choices(make_board(a=14, b=10, c=10), states)
 
-    odds = replicas.REPORT_ODDS
-    assert equal["a"] == pytest.approx(odds / (odds + 2), abs=0.03)
+    odds = replicas.MAX_REPORT_FACTOR
+    assert tied["a"] == pytest.approx(odds / (odds + 2), abs=0.03)
     assert slower["a"] == 0.0
 
 
-def test_own_work_in_flight_turns_the_next_choice_away() -> None:
+def test_calls_in_flight_divert_the_next_choice() -> None:
     board = make_board(a=10, b=10)
     states = {name: query_parts.make_state(name) for name in ("a", "b")}
 
@@ -100,11 +101,11 @@
     assert count_choices(board, states, ("a", "b"))["a"] == 0.0
 
 
-def test_a_silent_searcher_is_avoided_though_it_never_answers() -> None:
-    """A searcher accepts and goes silent; each call ends as cancelled.
+def test_an_unresponsive_searcher_is_avoided() -> None:
+    """Guards against a good score of a searcher that stopped responding.
 
-    No time of it is ever measured. If only results counted, it would keep
-    the good score of yesterday.
+    It accepts calls, and each of them is cancelled without a result. If only
+    results counted, its score would never change.
     """
     board = make_board(a=10, b=10)
 
@@ -126,11 +127,11 @@
     assert count_choices(board, {}, ("a", "b"), later_s)["a"] > 0.4
 
 
-def test_one_straggler_does_not_condemn_a_searcher() -> None:
+def test_one_straggler_hardly_changes_a_searcher_s_score() -> None:
     board = make_board(a=10, b=10)
     board.begin("a")
     board.finish("a", 100.0, 0.0)
 
-    once = board.get_score("a", 2, 0.0) / board.get_score("b", 2, 0.0)
+    ratio = board.get_score("a", 2, 0.0) / board.get_score("b", 2, 0.0)
 
-    assert once < 1.5
+    assert ratio < 1.5
