--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -1,12 +1,13 @@
-"""How far a roll-out goes, and which versions a VM may send requests to.
-
-The pattern: a service's searchers are replaced by ones of a new version, which
-may be bad from its start, later, under load, or on one route only, and the old
-ones end at the moment in which the roll-out is said to be completed. The new
-version gets a small part of the requests for most of the time (the trial).
-Late in that time all traffic moves to it while the old searchers still wait,
-so that a fault under load shows and can be undone. Only if that holds, and no
-VM has a call at an old searcher any more, the roll-out is completed.
+"""Phase changes of a roll-out, and the versions that a VM may send requests to.
+
+A roll-out replaces a service's searchers by ones of a new version. The new
+version may be faulty from the start, later, under load, or on one route only,
+and the old searchers stop as soon as the roll-out is completed. During the
+canary phase, which takes most of the time, the new version gets a small share
+of the requests. Then all traffic moves to it while the old searchers are still
+running, so that a fault under load is detected and can be rolled back. The
+roll-out is completed only if this succeeds and no VM has a call in flight at an
+old searcher.
 """
 
 from __future__ import annotations
@@ -18,66 +19,67 @@
 from azureramp import catalog, rollout_types
 from azureramp.policy import exposure, version_evidence
 
-LATEST_SHARE = 0.88
-"""When a roll-out is completed, as a share of its time. The rest is for a slow
-store, and for the news to get to the operators."""
+MAX_COMPLETION_SHARE = 0.88
+"""Latest time of completion, as a share of the roll-out's duration. The rest is
+for slow store writes and for informing the operators."""
 
-FINAL_S = 1.0
-"""Least time kept for the last write, in seconds, where there is as much."""
+FINAL_WRITE_S = 1.0
+"""Time reserved for the final write, in seconds, if the duration allows it."""
 
-MOST_FINAL_SHARE = 0.25
-"""Most of the time that is kept for that."""
+MAX_FINAL_WRITE_SHARE = 0.25
+"""Upper limit of the time for the final write, as a share of the duration."""
 
-LEAST_MOVED_SHARE = 0.1
-MOST_MOVED_SHARE = 0.35
-"""Share of the time that all traffic is on the new version before it is
-completed, at least and at most."""
+MIN_MOVED_SHARE = 0.1
+MAX_MOVED_SHARE = 0.35
+"""Bounds of the time that all traffic is on the new version before completion,
+as shares of the duration."""
 
-EXPECTED_PART = 0.5
-"""Part of the requests that are to be expected until the deadline which counts
-already for the exposure: callers may leave."""
+EXPECTED_REQUESTS_SHARE = 0.5
+"""Share of the requests expected until the deadline that already counts toward
+the allowed exposure. It is below 1 because callers may stop sending."""
 
-MOVED_PART = 0.9
-"""Part of the exposure left that the time with all traffic may use."""
+MOVED_EXPOSURE_SHARE = 0.9
+"""Share of the remaining exposure that the phase with all traffic may use."""
 
 MOVE_LAG_S = 0.5
-"""Time until all VMs have moved, in seconds."""
+"""Time until all VMs have moved their traffic, in seconds."""
 
-LEAST_ANSWERS = 15
-LEAST_ANSWER_SHARE = 0.05
-"""Answers of the new version under all traffic without which it isn't proved:
-so many, or that share of all requests to a service that has few."""
+MIN_ANSWERS = 15
+MIN_ANSWER_SHARE = 0.05
+"""Answers that the new version must give under all traffic to be proved: this
+number, or this share of all requests if the service has few."""
 
-SETTLE_S = 0.5
-SETTLE_SHARE = 0.05
-"""Least time on trial before all traffic moves, in seconds and as a share of
-all its time: a new driver hears first what the VMs know."""
+MIN_CANARY_S = 0.5
+MIN_CANARY_SHARE = 0.05
+"""Minimum time in the canary phase before all traffic moves, in seconds and as
+a share of the duration; the lower one applies. A new driver needs it to receive
+the VMs' reports."""
 
-LEAST_SEARCHERS = 0.5
-"""Searchers of the new version that must be usable before all traffic moves, as
-a share of the old ones: they have to bear it."""
+MIN_SEARCHER_SHARE = 0.5
+"""Usable searchers of the new version that are required before all traffic
+moves, as a share of the old ones, so that they can handle the load."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Situation:
-    """What is known of a roll-out when the next step is decided.
+    """State of a roll-out from which the next phase change is decided.
 
     Attributes:
         order: The order.
-        phase: How far it is.
-        age_s: How long ago it was ordered, in seconds.
-        phase_s: How long ago this phase began, in seconds.
-        withdrawn: True once the operators took the order back.
-        verdict: What the answers of the new version show.
-        answers: How many of these there are since the phase began.
-        requests: Requests to the service since the order.
-        used: Calls that may have been made to the new version.
-        allowed: Calls that it may get so far.
-        rate: Requests a second to the service.
-        new_usable: Searchers of the new version that may get requests.
-        old_usable: The same of the old versions.
-        all_moved: True if every VM has confirmed that none of its calls is at
-            an old searcher.
+        phase: The current phase.
+        age_s: Time since the order, in seconds.
+        phase_s: Time since the phase began, in seconds.
+        withdrawn: True once the operators have withdrawn the order.
+        verdict: The evaluation of the new version's answers.
+        answers: Number of the new version's answers since the phase began.
+        requests: Number of requests to the service since the order.
+        used: Upper limit of the calls made to the new version.
+        allowed: Number of calls that the new version may get so far.
+        rate: Requests per second to the service.
+        new_usable: Number of usable searchers of the new version.
+        old_usable: Number of usable searchers of the old versions.
+        all_moved: True if every VM has confirmed that none of its calls is in
+            flight at an old searcher.
     """
 
     order: rollout_types.Order
@@ -102,7 +104,7 @@
 
     Attributes:
         phase: The new phase.
-        reason: Why.
+        reason: The reason for the change.
     """
 
     phase: rollout_types.Phase
@@ -110,7 +112,7 @@
 
 
 def decide(now: Situation) -> Step | None:
-    """Decides on the next step; None to go on."""
+    """Decides on the next phase change; None to stay in the current phase."""
     rolled_back = rollout_types.Phase.ROLLED_BACK
     if now.verdict is version_evidence.Verdict.WORSE:
         return Step(rolled_back, "the new version answers worse")
@@ -118,103 +120,110 @@
         return Step(rolled_back, "the order was taken back")
     match now.phase:
         case rollout_types.Phase.TRIAL:
-            return _decide_in_trial(now)
+            return _decide_in_canary(now)
         case rollout_types.Phase.MOVING:
-            return _decide_while_moving(now)
+            return _decide_in_moving(now)
         case _:
             return None
 
 
 def get_final_s(duration_s: float) -> float:
-    """Returns the time that is kept for the last write, in seconds."""
-    return min(FINAL_S, MOST_FINAL_SHARE * duration_s)
+    """Returns the time reserved for the final write, in seconds."""
+    return min(FINAL_WRITE_S, MAX_FINAL_WRITE_SHARE * duration_s)
 
 
 def get_complete_s(duration_s: float, rate: float, allowed: int) -> float:
     """Returns when to complete a roll-out, in seconds after its order.
 
-    As late as is safe: a version may turn bad late. What it gets from then to
-    the deadline still counts, so a busy service is completed later.
+    It is as late as is safe, since a version may become faulty late. The calls
+    between completion and the deadline count toward the exposure, so a service
+    with a high request rate is completed later.
 
     Args:
-        duration_s: The roll-out's time, in seconds.
-        rate: Requests a second to the service.
-        allowed: Calls that the new version may get.
+        duration_s: The roll-out's duration, in seconds.
+        rate: Requests per second to the service.
+        allowed: Number of calls that the new version may get.
     """
-    left_s = (1.0 - LATEST_SHARE) * duration_s
+    left_s = (1.0 - MAX_COMPLETION_SHARE) * duration_s
     if rate > 0:
         left_s = min(left_s, allowed / 2 / rate)
     return duration_s - max(get_final_s(duration_s), left_s)
 
 
 def get_move_s(now: Situation) -> float:
-    """Returns when all traffic is to move, in seconds after the order.
+    """Returns when all traffic should move, in seconds after the order.
 
     Returns:
-        The time; infinite if the new version has had so many requests that it
-        can't be proved any more.
+        The time; infinite if the new version has used so much of its exposure
+        that the rest is not enough to prove it.
     """
     duration_s = now.order.duration_s
     complete_s = get_complete_s(duration_s, now.rate, now.allowed)
     left = now.allowed - now.used
-    if left < min(LEAST_ANSWERS, LEAST_ANSWER_SHARE * now.requests):
+    if left < min(MIN_ANSWERS, MIN_ANSWER_SHARE * now.requests):
         return math.inf
-    moved_s = MOST_MOVED_SHARE * duration_s
+    moved_s = MAX_MOVED_SHARE * duration_s
     if now.rate > 0:
-        moved_s = min(moved_s, MOVE_LAG_S + MOVED_PART * left / now.rate)
-    return complete_s - max(moved_s, LEAST_MOVED_SHARE * duration_s)
+        moved_s = min(
+            moved_s, MOVE_LAG_S + MOVED_EXPOSURE_SHARE * left / now.rate
+        )
+    return complete_s - max(moved_s, MIN_MOVED_SHARE * duration_s)
 
 
 def count_allowed(
     terms: exposure.Terms, requests: float, rate: float, left_s: float
 ) -> int:
-    """Counts the calls that the new version may get in all.
+    """Returns the total number of calls that the new version may get.
 
     Args:
-        terms: The operators' bound.
-        requests: Requests to the service since the order.
-        rate: Requests a second, of late.
+        terms: The operators' limit.
+        requests: Number of requests to the service since the order.
+        rate: Recent requests per second.
         left_s: Time until the deadline, in seconds.
     """
-    expected = EXPECTED_PART * rate * max(0.0, left_s)
+    expected = EXPECTED_REQUESTS_SHARE * rate * max(0.0, left_s)
     return exposure.count_allowed(terms, requests + expected)
 
 
 def count_trial_calls(
     terms: exposure.Terms, requests: int, age_s: float, move_s: float
 ) -> int:
-    """Counts the calls that the trial may have made so far.
+    """Returns the number of calls that the canary phase may have made so far.
 
-    They are spread over its time, since a version may turn bad late.
+    They are spread over the phase, since a version may become faulty late.
 
     Args:
-        terms: The operators' bound.
-        requests: Requests to the service since the order.
-        age_s: How long ago it was ordered, in seconds.
-        move_s: When the trial ends, in seconds after the order.
+        terms: The operators' limit.
+        requests: Number of requests to the service since the order.
+        age_s: Time since the order, in seconds.
+        move_s: When the canary phase ends, in seconds after the order.
     """
     passed = min(1.0, max(0.0, age_s) / max(move_s, 1e-3))
     allowed = exposure.count_allowed(
         dataclasses.replace(terms, fixed=terms.fixed * passed), requests
     )
-    by_bound = exposure.TRIAL_PART * allowed
-    return max(1, round(min(by_bound, exposure.MOST_TRIAL_SHARE * requests)))
+    by_terms = exposure.TRIAL_PART * allowed
+    return max(1, round(min(by_terms, exposure.MOST_TRIAL_SHARE * requests)))
 
 
-def _decide_in_trial(now: Situation) -> Step | None:
-    """Decides while the new version gets few requests."""
+def _decide_in_canary(now: Situation) -> Step | None:
+    """Decides during the canary phase."""
     duration_s = now.order.duration_s
     if now.age_s >= duration_s - get_final_s(duration_s) / 2:
         reason = "its time ends, and its traffic could not be moved"
         return Step(rollout_types.Phase.ROLLED_BACK, reason)
-    settled = now.phase_s >= min(SETTLE_S, SETTLE_SHARE * duration_s)
-    if not settled or now.age_s < get_move_s(now) or not _can_bear_all(now):
+    settled = now.phase_s >= min(MIN_CANARY_S, MIN_CANARY_SHARE * duration_s)
+    if (
+        not settled
+        or now.age_s < get_move_s(now)
+        or not _has_enough_searchers(now)
+    ):
         return None
     return Step(rollout_types.Phase.MOVING, "the trial showed nothing worse")
 
 
-def _decide_while_moving(now: Situation) -> Step | None:
-    """Decides while all traffic goes to the new version."""
+def _decide_in_moving(now: Situation) -> Step | None:
+    """Decides while all traffic is on the new version."""
     duration_s = now.order.duration_s
     complete_s = get_complete_s(duration_s, now.rate, now.allowed)
     completed = rollout_types.Phase.COMPLETED
@@ -222,12 +231,13 @@
     if now.age_s >= complete_s and now.all_moved and proved:
         return Step(completed, "all traffic has moved and nothing is worse")
     if now.age_s >= duration_s - get_final_s(duration_s) / 2:
-        if not proved or not _can_bear_all(now):
+        if not proved or not _has_enough_searchers(now):
             reason = "its time ends, and the new version isn't proved"
             return Step(rollout_types.Phase.ROLLED_BACK, reason)
         return Step(completed, "its time ends, and nothing is worse")
     if now.age_s < complete_s and now.used >= now.allowed:
-        # Going back would leave nothing to prove it with later.
+        # After a return to the canary phase no exposure would be left to prove
+        # the version later.
         if proved:
             reason = "all traffic has moved, and more may not be tried"
             return Step(completed, reason) if now.all_moved else None
@@ -240,32 +250,32 @@
 
 
 def _is_proved(now: Situation) -> bool:
-    """Tells whether enough answers speak for the new version."""
-    least = min(LEAST_ANSWERS, LEAST_ANSWER_SHARE * now.requests)
-    enough = now.answers >= least
+    """Returns True if enough answers show that the new version is not worse."""
+    minimum = min(MIN_ANSWERS, MIN_ANSWER_SHARE * now.requests)
+    enough = now.answers >= minimum
     return enough and now.verdict is version_evidence.Verdict.OPEN
 
 
-def _can_bear_all(now: Situation) -> bool:
-    """Tells whether the new searchers are enough for all requests."""
-    least = max(1.0, LEAST_SEARCHERS * now.old_usable)
-    return now.new_usable >= least
+def _has_enough_searchers(now: Situation) -> bool:
+    """Returns True if the new searchers can handle all requests."""
+    minimum = max(1.0, MIN_SEARCHER_SHARE * now.old_usable)
+    return now.new_usable >= minimum
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Versions:
-    """Which versions of a service's searchers a VM may use.
+    """The versions of a service's searchers that a VM may use.
 
     Attributes:
-        target: The version on trial; empty for none.
-        barred: Versions that get nothing.
+        target: The version in its canary phase; empty if there is none.
+        barred: Versions that get no requests.
     """
 
     target: str
     barred: frozenset[str]
 
     def allows_old(self, version: str) -> bool:
-        """Tells whether a version serves as before."""
+        """Returns True if a version is neither the target nor barred."""
         return version != self.target and version not in self.barred
 
 
@@ -274,10 +284,10 @@
     record: rollout_types.Record | None,
     present: Collection[str],
 ) -> Versions | None:
-    """Finds which versions a VM may use.
+    """Determines which versions a VM may use.
 
-    A VM that knows an order and nothing of its progress sends nothing to the
-    new version.
+    A VM that has received an order but no record of its progress sends no
+    requests to the new version.
 
     Args:
         order: The newest order for the service, if there is one.
@@ -285,7 +295,7 @@
         present: The versions of the service's searchers at the order.
 
     Returns:
-        The versions; None if any may be used.
+        The versions; None if all may be used.
     """
     if record is not None and (
         order is None or order.revision <= record.order.revision
@@ -304,11 +314,11 @@
     before: rollout_types.Record | None,
     present: Collection[str],
 ) -> bool:
-    """Tells whether a service runs the version of an order already.
+    """Returns True if a service already runs only the ordered version.
 
     Args:
         order: The order.
-        before: The record of the roll-out before, if there was one.
+        before: The record of the previous roll-out, if there was one.
         present: The versions of the service's searchers at the order.
     """
     serving = set(present) - get_barred(before) | set(present) & {order.target}
@@ -316,10 +326,10 @@
 
 
 def get_barred(record: rollout_types.Record | None) -> frozenset[str]:
-    """Returns the versions that get nothing after a roll-out.
+    """Returns the versions that get no requests after a roll-out.
 
-    Those of one that a later order replaces are among them: its new version
-    was not proved.
+    They include the new version of a roll-out that was replaced by a later
+    order before it was proved.
     """
     if record is None:
         return frozenset()
@@ -329,7 +339,7 @@
 
 
 def _read_record(record: rollout_types.Record) -> Versions:
-    """Returns which versions may be used by a record."""
+    """Returns the versions that may be used according to a record."""
     if record.has_ended():
         return Versions("", get_barred(record))
     return Versions(record.order.target, frozenset(record.barred))
@@ -344,7 +354,7 @@
 
     Args:
         order: The order.
-        before: The record of the roll-out before, if there was one.
+        before: The record of the previous roll-out, if there was one.
         present: The versions of the service's searchers at the order.
     """
     barred = get_barred(before) - {order.target}
@@ -357,12 +367,12 @@
 ) -> tuple[str, ...]:
     """Ranks the VMs that may drive a roll-out, best first.
 
-    All VMs rank alike while they know the same members. Those with most
-    processor go first, since many VMs report to the driver.
+    VMs that know the same members compute the same ranking. Those with the most
+    CPU cores come first, since many VMs report to the driver.
 
     Args:
-        members: The VMs that are known.
-        without: A VM that is passed over; empty for none.
+        members: The known VMs.
+        without: A VM to leave out; empty for none.
     """
     fit = [
         member
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -1,4 +1,4 @@
-"""How far a roll-out goes, and which versions serve meanwhile."""
+"""Phase changes of a roll-out, and the versions in use during it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     usual={},
     reason="",
 )
-ON_TRIAL = rollouts.Situation(
+IN_CANARY = rollouts.Situation(
     order=ORDER,
     phase=PHASE.TRIAL,
     age_s=5.0,
@@ -44,7 +44,7 @@
     all_moved=False,
 )
 MOVED = dataclasses.replace(
-    ON_TRIAL, phase=PHASE.MOVING, age_s=10.7, answers=20, all_moved=True
+    IN_CANARY, phase=PHASE.MOVING, age_s=10.7, answers=20, all_moved=True
 )
 
 
@@ -53,49 +53,49 @@
     return None if step is None else step.phase
 
 
-def test_the_trial_goes_on_until_late() -> None:
-    assert decide(ON_TRIAL) is None
-    assert decide(ON_TRIAL, age_s=10.0) is PHASE.MOVING
+def test_the_canary_phase_takes_most_of_the_time() -> None:
+    assert decide(IN_CANARY) is None
+    assert decide(IN_CANARY, age_s=10.0) is PHASE.MOVING
 
 
-def test_all_traffic_moves_only_where_the_new_searchers_can_bear_it() -> None:
-    assert decide(ON_TRIAL, age_s=10.0, new_usable=1) is None
-    assert decide(ON_TRIAL, age_s=10.0, new_usable=0, old_usable=0) is None
-    assert decide(ON_TRIAL, age_s=11.6, new_usable=0) is PHASE.ROLLED_BACK
+def test_all_traffic_moves_only_if_there_are_enough_new_searchers() -> None:
+    assert decide(IN_CANARY, age_s=10.0, new_usable=1) is None
+    assert decide(IN_CANARY, age_s=10.0, new_usable=0, old_usable=0) is None
+    assert decide(IN_CANARY, age_s=11.6, new_usable=0) is PHASE.ROLLED_BACK
 
 
-def test_a_new_driver_hears_the_vms_before_it_moves_traffic() -> None:
-    assert decide(ON_TRIAL, age_s=10.0, phase_s=0.1) is None
+def test_a_new_driver_waits_for_reports_before_it_moves_traffic() -> None:
+    assert decide(IN_CANARY, age_s=10.0, phase_s=0.1) is None
 
 
-def test_a_version_that_used_up_its_requests_is_not_moved_to() -> None:
-    """Guards against a restart of all VMs that lets the exposure grow on."""
-    assert decide(ON_TRIAL, age_s=10.0, used=58) is None
-    assert decide(ON_TRIAL, age_s=11.6, used=58) is PHASE.ROLLED_BACK
+def test_traffic_does_not_move_once_the_exposure_is_used_up() -> None:
+    """Guards against exposure that grows further after all VMs restart."""
+    assert decide(IN_CANARY, age_s=10.0, used=58) is None
+    assert decide(IN_CANARY, age_s=11.6, used=58) is PHASE.ROLLED_BACK
 
 
-@pytest.mark.parametrize("before", [ON_TRIAL, MOVED])
-def test_a_worse_version_is_rolled_back_at_once(
+@pytest.mark.parametrize("before", [IN_CANARY, MOVED])
+def test_a_worse_version_is_rolled_back_immediately(
     before: rollouts.Situation,
 ) -> None:
     assert decide(before, verdict=VERDICT.WORSE) is PHASE.ROLLED_BACK
 
 
-@pytest.mark.parametrize("before", [ON_TRIAL, MOVED])
-def test_an_order_that_is_taken_back_ends_its_roll_out(
+@pytest.mark.parametrize("before", [IN_CANARY, MOVED])
+def test_a_withdrawn_order_is_rolled_back(
     before: rollouts.Situation,
 ) -> None:
     assert decide(before, withdrawn=True) is PHASE.ROLLED_BACK
 
 
-def test_it_is_completed_late_and_once_every_vm_has_moved() -> None:
+def test_a_roll_out_is_completed_late_and_after_every_vm_moved() -> None:
     assert decide(MOVED, age_s=9.8) is None
     assert decide(MOVED, all_moved=False) is None
     assert decide(MOVED) is PHASE.COMPLETED
 
 
-def test_it_is_not_completed_without_answers_under_all_traffic() -> None:
-    """Guards against a version that is bad under load only."""
+def test_a_roll_out_needs_answers_under_all_traffic() -> None:
+    """Guards against a version that is faulty only under load."""
     assert decide(MOVED, answers=1) is None
     assert decide(MOVED, answers=1, age_s=11.6) is PHASE.ROLLED_BACK
     assert decide(MOVED, verdict=VERDICT.SUSPECT) is None
@@ -103,7 +103,7 @@
     assert suspect is PHASE.ROLLED_BACK
 
 
-def test_few_answers_prove_a_service_with_few_requests() -> None:
+def test_few_answers_are_enough_for_a_service_with_few_requests() -> None:
     few = dataclasses.replace(MOVED, requests=20, answers=2, rate=2.0)
     assert decide(few) is PHASE.COMPLETED
 
@@ -114,18 +114,20 @@
     assert decide(early) is PHASE.COMPLETED
 
 
-def test_nothing_follows_an_end() -> None:
+def test_a_completed_roll_out_does_not_change_phase() -> None:
     assert decide(MOVED, phase=PHASE.COMPLETED) is None
 
 
 @pytest.mark.parametrize("duration_s", [1.0, 4.0, 12.0, 600.0])
 @pytest.mark.parametrize("rate", [0.0, 1.0, 20.0, 2000.0])
-def test_all_steps_fit_into_the_time(duration_s: float, rate: float) -> None:
+def test_all_phases_fit_into_the_duration(
+    duration_s: float, rate: float
+) -> None:
     allowed = exposure.count_allowed(exposure.Terms(0.1, 50), rate * duration_s)
     complete_s = rollouts.get_complete_s(duration_s, rate, allowed)
     assert 0.5 * duration_s < complete_s < duration_s
     now = dataclasses.replace(
-        ON_TRIAL,
+        IN_CANARY,
         order=dataclasses.replace(ORDER, duration_s=duration_s),
         rate=rate,
         allowed=allowed,
@@ -135,7 +137,7 @@
     assert 0.0 < rollouts.get_move_s(now) < complete_s
 
 
-def test_the_trial_s_calls_are_spread_over_its_time() -> None:
+def test_canary_calls_are_spread_over_the_phase() -> None:
     terms = exposure.Terms(0.1, 50)
     counts = [
         rollouts.count_trial_calls(terms, 20 * second, second, 9.0)
@@ -146,7 +148,7 @@
     assert counts[-1] <= 0.1 * 180 + 50
 
 
-def test_a_vm_that_knows_only_an_order_leaves_the_new_version_alone() -> None:
+def test_an_order_without_a_record_bars_the_new_version() -> None:
     versions = rollouts.find_versions(ORDER, None, {"v1"})
     assert versions is not None
     assert versions.target == "v2"
@@ -154,23 +156,23 @@
     assert not versions.allows_old("v2")
 
 
-def test_without_order_and_record_every_version_serves() -> None:
+def test_without_order_and_record_every_version_may_be_used() -> None:
     assert rollouts.find_versions(None, None, {"v1", "v2"}) is None
 
 
-def test_a_service_that_runs_the_version_already_goes_on() -> None:
+def test_a_service_that_already_runs_the_version_keeps_it() -> None:
     assert rollouts.find_versions(ORDER, None, {"v2"}) is None
     assert rollouts.is_present(ORDER, None, {"v2"})
     assert not rollouts.is_present(ORDER, None, {"v1", "v2"})
 
 
-def test_a_service_without_searchers_waits_for_its_trial() -> None:
+def test_a_service_without_searchers_waits_for_its_canary_phase() -> None:
     versions = rollouts.find_versions(ORDER, None, set())
     assert versions is not None
     assert versions.target == "v2"
 
 
-def test_after_the_end_the_other_version_gets_nothing() -> None:
+def test_after_a_roll_out_the_other_version_is_barred() -> None:
     done = dataclasses.replace(RECORD, phase=PHASE.COMPLETED)
     versions = rollouts.find_versions(ORDER, done, {"v1"})
     assert versions is not None
@@ -183,7 +185,7 @@
     assert not versions.allows_old("v2")
 
 
-def test_a_second_order_bars_the_version_that_the_first_one_tried() -> None:
+def test_a_second_order_bars_the_target_of_the_first_one() -> None:
     second = rollout_types.Order("s", "v3", 12.0, 20)
     versions = rollouts.find_versions(second, RECORD, {"v1", "v2"})
     assert versions is not None
@@ -198,13 +200,13 @@
     assert rollouts.start(again, back, {"v1"}) == (("v1",), ())
 
 
-def test_the_roll_out_back_to_the_old_version_frees_it() -> None:
+def test_a_roll_out_of_the_barred_old_version_allows_it() -> None:
     done = dataclasses.replace(RECORD, phase=PHASE.COMPLETED)
     back = rollout_types.Order("s", "v1", 12.0, 20)
     assert rollouts.start(back, done, {"v2"}) == (("v2",), ())
 
 
-def test_strong_vms_drive_first_and_those_that_leave_never() -> None:
+def test_drivers_are_ranked_by_cores_without_leaving_vms() -> None:
     def make(vm: str, cores: float, leaving: bool = False) -> catalog.Member:
         return catalog.Member(vm, "z", f"{vm}:80", f"{vm}:81", cores, leaving)
 
@@ -213,6 +215,6 @@
     assert rollouts.rank_drivers(members, "b") == ("d", "a")
 
 
-def test_a_version_is_not_moved_to_where_nothing_is_left() -> None:
-    now = dataclasses.replace(ON_TRIAL, used=60)
+def test_no_move_is_planned_without_remaining_exposure() -> None:
+    now = dataclasses.replace(IN_CANARY, used=60)
     assert rollouts.get_move_s(now) == math.inf
