--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -1,9 +1,9 @@
-"""Which announcements of other VMs a VM writes to the store, and which not.
+"""The roster entries that a VM writes to the store for other VMs.
 
-A lease and an entry written by every VM cost calls that grow with the VMs, and
-renewals all day. The VM that tells the others of its availability zone of the
-store's changes hears of each of them anyway, so it writes their entries under
-its own lease, several in one call.
+If every VM wrote its own entry under its own lease, the number of store calls,
+constant renewals included, would grow with the number of VMs. The relay of an
+availability zone receives requests from all its VMs anyway, so it writes their
+entries under its own lease, several in one call.
 """
 
 from __future__ import annotations
@@ -14,23 +14,24 @@
 from azureramp import catalog
 
 SILENT_S = 2.6
-"""How long a VM that doesn't ask is taken to live, in seconds: two of its
-questions may be lost."""
+"""How long a VM that sends no request is still treated as running, in seconds:
+two of its requests may be lost."""
 
 CUT_S = 0.7
-"""The same after the connection of its question ended, in seconds: a process
-that was killed shows by that, and one that lives asks again soon."""
+"""The same after the connection of its request was closed, in seconds: this is
+how a killed process is detected, and a running one soon sends another
+request."""
 
 
 @dataclasses.dataclass(slots=True)
 class Follower:
-    """A VM that asks this one for changes.
+    """A VM that requests changes from this one.
 
     Attributes:
-        member: What to announce of it.
-        until_s: It is taken to live until then.
-        written: The revision of this VM's newest write of its entry; None if
-            it has written none.
+        member: The member entry to write for it.
+        until_s: When it is no longer treated as running, in seconds.
+        written: The revision of this VM's latest write of the entry; None if
+            it has not written it.
         attempted: The store's revision before a write whose answer was lost;
             None if there is none.
     """
@@ -46,8 +47,8 @@
     """A VM's entry in this VM's copy of the store.
 
     Attributes:
-        member: What it says.
-        revision: Its revision.
+        member: The entry's content.
+        revision: The entry's revision.
     """
 
     member: catalog.Member
@@ -56,12 +57,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Update:
-    """One entry to be written or taken back.
+    """An entry to write or delete.
 
     Attributes:
-        vm: The VM whose entry it is.
-        member: What to write; None to delete the entry.
-        expected: The entry's present revision; 0 if there is none.
+        vm: The VM that the entry describes.
+        member: The content to write; None to delete the entry.
+        expected: The entry's current revision; 0 if there is none.
     """
 
     vm: str
@@ -75,25 +76,25 @@
     revision: int,
     now_s: float,
 ) -> None:
-    """Forgets the followers that are gone or are announced by others.
+    """Drops the followers that have stopped or are announced by other VMs.
 
-    An entry that somebody else changed or deleted after this VM wrote it
-    belongs to another VM now, or its VM left. If it still asks here, its next
-    question makes it a follower again.
+    If another VM changed or deleted an entry after this VM wrote it, then the
+    follower has left or another VM announces it now. A follower that is dropped
+    but still sends requests to this VM is added again by the next one.
 
     Args:
-        followers: The followers by name.
-        present: The entries by VM.
+        followers: The followers by name; lost ones are removed.
+        present: The entries in the store by VM.
         revision: The store's revision that `present` reflects.
-        now_s: The time.
+        now_s: The current time, in seconds.
     """
     for vm, follower in list(followers.items()):
-        _find_lost_answer(follower, present.get(vm))
+        _confirm_write(follower, present.get(vm))
         written = follower.written
         lost = False
         if written is not None and written <= revision:
-            known = present.get(vm)
-            lost = known is None or known.revision > written
+            current = present.get(vm)
+            lost = current is None or current.revision > written
         if lost or follower.until_s <= now_s:
             del followers[vm]
 
@@ -104,42 +105,45 @@
     present: Mapping[str, Present],
     revision: int,
 ) -> list[Update]:
-    """Plans the changes that bring the store to what the followers say.
+    """Plans the writes that bring the store in line with the followers.
 
-    An entry with this VM as its keeper whose VM doesn't ask any more is taken
-    back, also one that a write left whose answer was lost.
+    An entry whose keeper is this VM is deleted if its VM no longer sends
+    requests, even if the answer to the write that created it was lost.
 
     Args:
         keeper: This VM's name.
         followers: The followers by name, without those that are lost.
-        present: The entries by VM.
+        present: The entries in the store by VM.
         revision: The store's revision that `present` reflects.
     """
     updates: list[Update] = []
     for vm, follower in followers.items():
         if follower.written is not None and follower.written > revision:
-            # The copy doesn't show this VM's last write yet.
+            # The copy doesn't contain this VM's last write yet.
             continue
-        known = present.get(vm)
+        current = present.get(vm)
         if (
             follower.written is None
-            or known is None
-            or known.member != follower.member
+            or current is None
+            or current.member != follower.member
         ):
-            expected = 0 if known is None else known.revision
+            expected = 0 if current is None else current.revision
             updates.append(Update(vm, follower.member, expected))
     updates += [
-        Update(vm, None, known.revision)
-        for vm, known in present.items()
-        if known.member.keeper == keeper and vm not in followers
+        Update(vm, None, current.revision)
+        for vm, current in present.items()
+        if current.member.keeper == keeper and vm not in followers
     ]
     return updates
 
 
-def _find_lost_answer(follower: Follower, known: Present | None) -> None:
-    """Takes a write whose answer was lost for done if the copy shows it."""
-    if follower.attempted is None or known is None:
+def _confirm_write(follower: Follower, current: Present | None) -> None:
+    """Treats a write whose answer was lost as done if the copy contains it."""
+    if follower.attempted is None or current is None:
         return
-    if known.revision > follower.attempted and known.member == follower.member:
-        follower.written = known.revision
+    if (
+        current.revision > follower.attempted
+        and current.member == follower.member
+    ):
+        follower.written = current.revision
         follower.attempted = None
--- a/tests/policy/test_roster.py
+++ b/tests/policy/test_roster.py
@@ -1,4 +1,4 @@
-"""Which announcements a VM writes for the VMs that ask it."""
+"""The roster entries that a VM writes for its followers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return roster.Follower(make_member(vm), NOW_S + 1.0, written)
 
 
-def test_a_new_follower_is_written_over_whatever_entry_it_has() -> None:
+def test_a_new_follower_s_entry_replaces_any_existing_one() -> None:
     followers = {vm: make_follower(vm) for vm in ("vm-1", "vm-2")}
     present = {"vm-2": roster.Present(make_member("vm-2", keeper=""), 7)}
     assert roster.plan(KEEPER, followers, present, 9) == [
@@ -30,20 +30,20 @@
     ]
 
 
-def test_nothing_is_written_while_nothing_changes() -> None:
+def test_unchanged_entries_are_not_written() -> None:
     followers = {"vm-1": make_follower("vm-1", written=8)}
     present = {"vm-1": roster.Present(make_member("vm-1"), 8)}
     assert roster.plan(KEEPER, followers, present, 9) == []
 
 
-def test_a_write_that_the_copy_doesn_t_show_yet_is_not_repeated() -> None:
+def test_a_write_is_not_repeated_while_the_copy_lags() -> None:
     followers = {"vm-1": make_follower("vm-1", written=8)}
     assert roster.plan(KEEPER, followers, {}, 7) == []
     roster.drop_lost(followers, {}, 7, NOW_S)
     assert "vm-1" in followers
 
 
-def test_a_change_of_a_follower_is_written() -> None:
+def test_a_changed_follower_s_entry_is_written() -> None:
     followers = {"vm-1": make_follower("vm-1", written=8)}
     present = {"vm-1": roster.Present(make_member("vm-1"), 8)}
     busy = dataclasses.replace(make_member("vm-1"), busy=True)
@@ -52,8 +52,8 @@
     assert update == roster.Update("vm-1", busy, 8)
 
 
-def test_an_entry_without_its_follower_is_taken_back() -> None:
-    """Guards against a dead VM's entry that lives as long as its keeper."""
+def test_an_entry_without_a_follower_is_deleted() -> None:
+    """Guards against a stopped VM's entry that stays until its keeper stops."""
     present = {
         "vm-1": roster.Present(make_member("vm-1"), 8),
         "vm-2": roster.Present(make_member("vm-2", keeper="vm-9"), 8),
@@ -62,8 +62,8 @@
     assert update == roster.Update("vm-1", None, 8)
 
 
-def test_followers_that_are_silent_or_taken_over_are_forgotten() -> None:
-    """Guards against two VMs that write the same entry in turns."""
+def test_followers_that_stopped_or_have_another_keeper_are_dropped() -> None:
+    """Guards against two VMs that alternately overwrite the same entry."""
     followers = {
         vm: make_follower(vm, written=8)
         for vm in ("kept", "silent", "removed", "taken")
@@ -78,7 +78,7 @@
     assert list(followers) == ["kept"]
 
 
-def test_a_write_whose_answer_was_lost_counts_once_the_copy_shows_it() -> None:
+def test_a_write_with_a_lost_answer_counts_once_the_copy_has_it() -> None:
     followers = {"vm-1": make_follower("vm-1")}
     followers["vm-1"].attempted = 8
     older = {"vm-1": roster.Present(make_member("vm-1"), 8)}
