--- a/src/azureramp/policy/routing.py
+++ b/src/azureramp/policy/routing.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which part of a split route."""
+"""Lookup of a request's route, and weighted choice of its service."""
 
 from __future__ import annotations
 
@@ -6,33 +6,37 @@
 
 from azureramp import catalog
 
-MOST_SPLITS = 4096
-"""Most split routes that balances are kept for; changed weights add more."""
+MAX_BALANCES = 4096
+"""Maximum number of split routes with kept balances; each change of a route's
+weights adds one."""
 
 
 class Table:
-    """The routes of one configuration, to look requests up in.
+    """The routing table of one configuration.
 
-    Prefixes end with a slash, so the path is cut at its slashes from the end
-    until a prefix fits: as many steps as the path has parts, however many
-    routes there are.
+    Prefixes end with a slash, so a lookup shortens the path slash by slash from
+    its end until a prefix matches. The number of steps depends on the number of
+    path segments, not on the number of routes.
     """
 
     __slots__ = ("_by_host",)
 
     def __init__(self, configuration: catalog.Configuration) -> None:
-        """Makes the table of a configuration."""
+        """Builds the table from a configuration."""
         self._by_host: dict[str, dict[str, catalog.Route]] = {}
         for route in configuration.routes:
             by_prefix = self._by_host.setdefault(route.host, {})
             by_prefix[route.prefix] = route
 
     def find(self, host: str, path: str) -> catalog.Route | None:
-        """Returns the route with the longest prefix that begins a path.
+        """Returns the route with the longest prefix of a path.
 
         Args:
-            host: The host that the caller named, lower case, without a port.
-            path: The path, without its query, as sent.
+            host: The requested host, in lower case and without a port.
+            path: The path as sent, without its query.
+
+        Returns:
+            The route; None if no route matches.
         """
         by_prefix = self._by_host.get(host)
         if by_prefix is None:
@@ -49,15 +53,15 @@
 class Splitter:
     """Distributes a route's requests over its services by their weights.
 
-    Smooth weighted round robin: each VM's own sequence keeps to the weights
-    to within one request, where random choice would be off by several in a
-    hundred over a few hundred requests.
+    It uses smooth weighted round robin: each VM's own sequence deviates from
+    the weights by at most one request, while a random choice would deviate by
+    several percent over a few hundred requests.
     """
 
     __slots__ = ("_credits",)
 
     def __init__(self) -> None:
-        """Makes a splitter with no requests behind it."""
+        """Creates a splitter with empty balances."""
         self._credits: dict[
             tuple[str, tuple[catalog.Weighted, ...]], dict[str, float]
         ] = collections.defaultdict(dict)
@@ -66,7 +70,7 @@
         """Returns the service of a route's next request."""
         if len(choices) == 1:
             return choices[0].service
-        if len(self._credits) > MOST_SPLITS:
+        if len(self._credits) > MAX_BALANCES:
             self._credits.clear()
         balance = self._credits[route, choices]
         total = sum(choice.weight for choice in choices)
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and how split routes are shared out."""
+"""Route lookup, weighted choice of services, and merging of results."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "wanted"),
+    ("path", "expected"),
     [
         ("/a/x", "/a/"),
         ("/a/b/x", "/a/b/"),
@@ -34,17 +34,17 @@
         ("/other/x/y/z", "/"),
     ],
 )
-def test_the_longest_prefix_wins(path: str, wanted: str) -> None:
+def test_the_longest_prefix_wins(path: str, expected: str) -> None:
     routes = tuple(make_route(each) for each in ("/", "/a/", "/a/b/"))
     limits = catalog.CallerLimits()
     table = routing.Table(catalog.Configuration(1, routes, {}, limits))
     found = table.find("h", path)
     assert found is not None
-    assert found.prefix == wanted
+    assert found.prefix == expected
     assert table.find("another", path) is None
 
 
-def test_weights_are_kept_to_within_one_request() -> None:
+def test_splits_deviate_from_the_weights_by_at_most_one_request() -> None:
     splitter = routing.Splitter()
     choices = (
         catalog.Weighted("a", 0.7),
@@ -58,7 +58,7 @@
     assert counts["c"] == 0
 
 
-def test_remainders_are_dropped_and_equal_records_all_count() -> None:
+def test_merging_drops_partial_records_and_keeps_duplicates() -> None:
     low, high = b"\x01" * 16, b"\x02" * 16
     parts = [low + high + b"rest", high]
     assert merging.merge(parts, 3) == high + high + low
