--- a/src/azureramp/policy/rules.py
+++ b/src/azureramp/policy/rules.py
@@ -1,4 +1,4 @@
-"""The closed list of rules that resources must keep."""
+"""The closed list of validation rules for resources."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Rule(enum.Enum):
-    """What a field must be; the value is the stable code."""
+    """A validation rule for a field; the value is its stable code."""
 
     TYPE = "type"
     EMPTY = "empty"
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Problem:
-    """One rule that one field breaks.
+    """A rule that a field violates.
 
     Attributes:
         field: The field's path, such as `shards[1].low`.
-        rule: The rule.
-        value: The value that breaks it, or what it should be.
+        rule: The violated rule.
+        value: The invalid value, or the expected one; may be empty.
     """
 
     field: str
--- a/src/azureramp/policy/validation.py
+++ b/src/azureramp/policy/validation.py
@@ -1,7 +1,7 @@
-"""Whether a resource may be declared, beside the ones in force.
+"""Validation of resources against the configuration in force.
 
-Each finding names the field and one rule of a closed list, see `rules`; the
-texts of the rules are in `texts`.
+Each problem names a field and one rule of a closed list; see `rules`. The texts
+of the rules are in `texts`.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
     Args:
         resource: The resource.
-        configuration: What is in force.
+        configuration: The configuration in force.
 
     Returns:
-        Every problem found; none if it may be declared.
+        All problems found; empty if the resource is valid.
     """
     problems = list(_check_name("name", resource.name))
     match resource:
@@ -54,15 +54,15 @@
 def check_deletion(
     kind: str, name: str, configuration: resources.Configuration
 ) -> list[_Problem]:
-    """Checks that nothing in force refers to a resource to be deleted.
+    """Checks that no other resource refers to one that is to be deleted.
 
     Args:
         kind: The resource's kind.
         name: The resource's name.
-        configuration: What is in force.
+        configuration: The configuration in force.
 
     Returns:
-        One problem for each resource that refers to it.
+        A problem for each resource that refers to it.
     """
     users: list[str] = []
     servers = configuration.get_backend_servers()
@@ -85,18 +85,18 @@
                 if name in caller.services
             ]
         case "backend_server" if name in servers:
-            gone = {searcher.name for searcher in servers[name].searchers}
-            users = sorted(_find_maps_of(gone, configuration))
+            removed = {searcher.name for searcher in servers[name].searchers}
+            users = sorted(_find_maps_of(removed, configuration))
     return [_Problem("name", _Rule.STILL_REFERENCED, user) for user in users]
 
 
 def _check_name(field: str, name: str) -> Iterator[_Problem]:
-    """Checks a name: both languages' letters, in one form only."""
+    """Checks a name; letters of any language are allowed, in NFC form."""
     if not name:
         yield _Problem(field, _Rule.EMPTY)
     if len(name) > MAX_NAME_CHARACTERS:
         yield _Problem(field, _Rule.TOO_LONG, str(MAX_NAME_CHARACTERS))
-    # The same letters in two forms would be two names that look the same.
+    # Without normalization, two different names could look the same.
     if unicodedata.normalize("NFC", name) != name:
         yield _Problem(field, _Rule.NOT_NFC, name)
     bad = [letter for letter in name if not _is_allowed(letter)]
@@ -111,27 +111,27 @@
 def _check_names(
     field: str, names: Iterable[str], *, may_be_empty: bool = False
 ) -> Iterator[_Problem]:
-    """Checks a list of names, each of which may be there once."""
+    """Checks a list of names without duplicates."""
     seen: set[str] = set()
     for number, name in enumerate(names):
-        place = f"{field}[{number}]"
-        yield from _check_name(place, name)
+        path = f"{field}[{number}]"
+        yield from _check_name(path, name)
         if name in seen:
-            yield _Problem(place, _Rule.DUPLICATE, name)
+            yield _Problem(path, _Rule.DUPLICATE, name)
         seen.add(name)
     if not seen and not may_be_empty:
         yield _Problem(field, _Rule.EMPTY)
 
 
-def _check_known(
-    field: str, names: Iterable[str], known: Iterable[str]
+def _check_references(
+    field: str, names: Iterable[str], declared: Iterable[str]
 ) -> Iterator[_Problem]:
-    """Checks that what is referred to is there."""
-    there = set(known)
+    """Checks that the referenced resources exist."""
+    declared_names = set(declared)
     for number, name in enumerate(names):
-        if name not in there:
-            place = f"{field}[{number}]"
-            yield _Problem(place, _Rule.UNKNOWN_REFERENCE, name)
+        if name not in declared_names:
+            path = f"{field}[{number}]"
+            yield _Problem(path, _Rule.UNKNOWN_REFERENCE, name)
 
 
 def _check_bounds(
@@ -156,7 +156,7 @@
         if same and other.name != caller.name:
             yield _Problem("token_sha256", _Rule.DUPLICATE, other.name)
     yield from _check_names("services", caller.services)
-    yield from _check_known(
+    yield from _check_references(
         "services", caller.services, configuration.get_services()
     )
     yield from _check_bounds("weight", caller.weight, 1e-6, MAX_WEIGHT)
@@ -193,9 +193,9 @@
         addresses.add(searcher.address)
     before = servers.get(server.name)
     if before is not None:
-        gone = {searcher.name for searcher in before.searchers}
-        gone -= {searcher.name for searcher in server.searchers}
-        for user in sorted(_find_maps_of(gone, configuration)):
+        removed = {searcher.name for searcher in before.searchers}
+        removed -= {searcher.name for searcher in server.searchers}
+        for user in sorted(_find_maps_of(removed, configuration)):
             yield _Problem("searchers", _Rule.STILL_REFERENCED, user)
 
 
@@ -217,11 +217,11 @@
 def _check_map(
     shard_map: resources.ShardMap, configuration: resources.Configuration
 ) -> Iterator[_Problem]:
-    wanted = f"{shard_map.index}.{shard_map.version}"
+    expected = f"{shard_map.index}.{shard_map.version}"
     yield from _check_name("index", shard_map.index)
     yield from _check_bounds("version", shard_map.version, 1, 2**53)
-    if shard_map.name != wanted:
-        yield _Problem("name", _Rule.MAP_NAME, wanted)
+    if shard_map.name != expected:
+        yield _Problem("name", _Rule.MAP_NAME, expected)
     yield from _check_names(
         "shards", (shard.name for shard in shard_map.shards)
     )
@@ -234,13 +234,13 @@
     for number, shard in enumerate(shard_map.shards):
         field = f"shards[{number}].searchers"
         yield from _check_names(field, shard.searchers)
-        yield from _check_known(field, shard.searchers, searchers)
+        yield from _check_references(field, shard.searchers, searchers)
 
 
 def _check_ranges(
     shards: tuple[resources.Shard, ...],
 ) -> Iterator[_Problem]:
-    """Checks that the ranges follow on each other without gap or overlap."""
+    """Checks that the key ranges are contiguous and do not overlap."""
     for number, shard in enumerate(shards):
         field = f"shards[{number}]"
         if shard.low >= shard.high:
@@ -269,7 +269,7 @@
 def _find_maps_of(
     searchers: set[str], configuration: resources.Configuration
 ) -> Iterator[str]:
-    """Finds the shard maps that name any of some searchers."""
+    """Finds the shard maps that refer to any of the searchers."""
     for shard_map in configuration.get_shard_maps().values():
         named = {name for shard in shard_map.shards for name in shard.searchers}
         if named & searchers:
--- a/tests/policy/test_validation.py
+++ b/tests/policy/test_validation.py
@@ -1,4 +1,4 @@
-"""Which resources may be declared."""
+"""Validation of declared resources."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Case:
-    """A resource, and the field and the rule that it breaks."""
+    """An invalid resource, with the field and the rule that it violates."""
 
     resource: Any
     field: str
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.rule)
-def test_a_refusal_names_field_and_rule(case: Case) -> None:
+def test_a_problem_names_the_field_and_the_rule(case: Case) -> None:
     problems = validation.check(case.resource, make_configuration())
 
     assert (case.field, case.rule) in [
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("resource", [SERVER, MAP, CALLER, SERVICE, POLICY])
-def test_what_is_right_is_taken(resource: Any) -> None:
+def test_valid_resources_have_no_problems(resource: Any) -> None:
     assert validation.check(resource, make_configuration()) == []
 
 
@@ -148,7 +148,7 @@
         ("shard_map", "arrears.1", []),
     ],
 )
-def test_what_is_referred_to_is_not_deleted(
+def test_a_referenced_resource_is_not_deleted(
     kind: str, name: str, users: list[str]
 ) -> None:
     problems = validation.check_deletion(kind, name, make_configuration())
