--- a/src/azureramp/policy/sampling.py
+++ b/src/azureramp/policy/sampling.py
@@ -1,35 +1,35 @@
-"""How many log lines are written for requests that went well."""
+"""Rate limit for the log lines of successful requests."""
 
 from __future__ import annotations
 
 
 class Sampler:
-    """A token bucket that counts what it turned away.
+    """A token bucket that counts the log lines it rejects.
 
     Attributes:
-        left_out: Lines left out since they were last told of.
+        left_out: Lines left out since `take_left_out` was last called.
     """
 
-    __slots__ = ("_burst", "_per_s", "_taken_s", "_tokens", "left_out")
+    __slots__ = ("_burst", "_per_s", "_tokens", "_updated_s", "left_out")
 
     def __init__(self, per_s: float, burst: float) -> None:
-        """Makes a full bucket.
+        """Creates a full bucket.
 
         Args:
-            per_s: Lines a second in the long run.
-            burst: Lines at once.
+            per_s: Sustained rate, in lines per second.
+            burst: Maximum burst, in lines.
         """
         self._per_s = per_s
         self._burst = burst
         self._tokens = burst
-        self._taken_s = 0.0
+        self._updated_s = 0.0
         self.left_out = 0
 
     def take(self, now_s: float) -> bool:
-        """Tells whether a line may be written now."""
-        earned = (now_s - self._taken_s) * self._per_s
+        """Returns True if a line may be written now."""
+        earned = (now_s - self._updated_s) * self._per_s
         self._tokens = min(self._burst, self._tokens + max(0.0, earned))
-        self._taken_s = now_s
+        self._updated_s = now_s
         if self._tokens < 1.0:
             self.left_out += 1
             return False
@@ -37,6 +37,6 @@
         return True
 
     def take_left_out(self) -> int:
-        """Returns how many lines were left out, and begins anew."""
+        """Returns the number of lines left out and resets it to 0."""
         left_out, self.left_out = self.left_out, 0
         return left_out
