--- a/src/azureramp/policy/second_calls.py
+++ b/src/azureramp/policy/second_calls.py
@@ -1,47 +1,48 @@
-"""When a call that is late is made a second time, at another searcher.
-
-The pattern: a request to many shards waits for the slowest of them, and some
-searchers stand still for longer than the request has. Inputs are how long calls
-of the route last and the time that is left for the answer. A second call that
-goes out when nearly all first ones have ended often comes too late itself, so
-it goes out while a usual answer still comes in time, though not before a usual
-first call has ended.
+"""Delay before a late call is hedged at another searcher.
+
+A request to many shards waits for the slowest of them, and some searchers pause
+for longer than the request's time limit. The delay is computed from the
+durations of the route's calls and the time left for the answer. A hedge that is
+sent only when nearly all first calls have ended often comes too late itself.
+Therefore it is sent while a usual answer can still arrive in time, but not
+before a usual first call has ended.
 """
 
 from __future__ import annotations
 
-LEAST_SHARE = 0.1
-MOST_SHARE = 0.5
-"""The second call's time as a share of the route's target, at least and at
-most: sooner it would only double the work, later it would come too late."""
+MIN_DELAY_SHARE = 0.1
+MAX_DELAY_SHARE = 0.5
+"""Bounds of the hedge delay as shares of the route's target latency. An earlier
+hedge would only double the work, a later one would come too late."""
 
-FIRST_SHARE = 0.2
-"""The same while too few calls have been measured."""
+INITIAL_DELAY_SHARE = 0.2
+"""The hedge delay as a share of the target while too few calls are measured."""
 
-ANSWER_TIMES = 2.0
-"""Usual times that the second call gets before its answer is of no use."""
+ANSWER_TIME_FACTOR = 2.0
+"""Time reserved for the hedge to answer, as a multiple of the usual
+duration."""
 
-SOONEST_TIMES = 1.25
-"""Usual times that the first call gets in any case: sooner, calls that are well
-would be made twice."""
+MIN_DELAY_FACTOR = 1.25
+"""Minimum time that the first call gets, as a multiple of the usual duration.
+With less, calls of normal duration would be hedged."""
 
 
 def choose_time_s(
     late_s: float | None, usual_s: float, target_s: float, left_s: float
 ) -> float:
-    """Chooses after how long a second call is made, in seconds.
+    """Returns the delay after which a call is hedged, in seconds.
 
     Args:
-        late_s: The time that few calls of the route exceed, in seconds; None
-            while that is not known.
-        usual_s: How long they usually last, in seconds.
-        target_s: The route's target, in seconds.
-        left_s: The time within which an answer is of use, in seconds.
+        late_s: The duration that few calls of the route exceed, in seconds;
+            None while it is unknown.
+        usual_s: The usual duration of the route's calls, in seconds.
+        target_s: The route's target latency, in seconds.
+        left_s: The time left for a useful answer, in seconds.
     """
     if late_s is None:
-        return FIRST_SHARE * target_s
-    least_s = LEAST_SHARE * target_s
+        return INITIAL_DELAY_SHARE * target_s
+    min_s = MIN_DELAY_SHARE * target_s
     in_time_s = max(
-        left_s - ANSWER_TIMES * usual_s, SOONEST_TIMES * usual_s, least_s
+        left_s - ANSWER_TIME_FACTOR * usual_s, MIN_DELAY_FACTOR * usual_s, min_s
     )
-    return min(max(late_s, least_s), in_time_s, MOST_SHARE * target_s)
+    return min(max(late_s, min_s), in_time_s, MAX_DELAY_SHARE * target_s)
--- a/tests/policy/test_second_calls.py
+++ b/tests/policy/test_second_calls.py
@@ -1,4 +1,4 @@
-"""Second calls of a request to many shards with searchers that stand still."""
+"""Hedge delay for requests to many shards whose searchers may pause."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 USUAL_S = 0.012
 
 
-def test_it_is_made_while_a_usual_answer_still_comes_in_time() -> None:
-    """Guards against second calls left out since they would come too late."""
+def test_a_hedge_is_sent_while_a_usual_answer_comes_in_time() -> None:
+    """Guards against hedges that are not sent because they come too late."""
     time_s = second_calls.choose_time_s(0.06, USUAL_S, TARGET_S, 0.045)
-    assert time_s + second_calls.ANSWER_TIMES * USUAL_S <= 0.045
+    assert time_s + second_calls.ANSWER_TIME_FACTOR * USUAL_S <= 0.045
 
 
-def test_a_usual_first_call_has_ended_before() -> None:
+def test_a_hedge_is_sent_only_after_a_usual_first_call() -> None:
     for left_s in (0.01, 0.03, 0.06):
         time_s = second_calls.choose_time_s(0.06, USUAL_S, TARGET_S, left_s)
         assert time_s > USUAL_S
 
 
-def test_where_few_calls_are_late_it_waits_no_longer_than_these() -> None:
+def test_the_delay_is_at_most_the_time_of_late_calls() -> None:
     time_s = second_calls.choose_time_s(0.02, USUAL_S, TARGET_S, 0.07)
     assert time_s == 0.02
 
 
 @pytest.mark.parametrize("late_s", [None, 0.0, 0.02, 5.0])
 @pytest.mark.parametrize("left_s", [0.0, 0.02, 0.07, math.inf])
-def test_it_stays_within_shares_of_the_target(
+def test_the_delay_is_within_its_shares_of_the_target(
     late_s: float | None, left_s: float
 ) -> None:
     time_s = second_calls.choose_time_s(late_s, USUAL_S, TARGET_S, left_s)
     assert 0.1 * TARGET_S <= time_s <= 0.5 * TARGET_S
 
 
-def test_stragglers_at_a_request_s_end_do_not_move_what_is_usual() -> None:
-    """Guards against a usual time that is that of the last few answers."""
+def test_stragglers_at_a_request_s_end_keep_the_usual_time() -> None:
+    """Guards against a usual time computed from only the last few answers."""
     pace = pacing.Pace()
     for _ in range(6):
         for _ in range(75):
