--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -1,8 +1,8 @@
-"""Which searcher of a service gets a call.
+"""Choice of a searcher of a service for a call.
 
-A VM goes by what it measures itself: how its calls to each searcher compare
-with those to the others, and which are still without an answer. What the
-searchers report lags, so it only adds to that.
+A VM uses its own measurements: the duration of its calls to each searcher
+relative to the others, and the calls still in flight. The searchers' load
+reports are delayed, so they only supplement the measurements.
 """
 
 from __future__ import annotations
@@ -13,71 +13,75 @@
 from collections.abc import Iterable
 
 SMOOTHING = 0.2
-"""Weight of the newest time in a searcher's mean: about the last five calls
-count, so that a searcher that turns slow is left within a few calls."""
+"""Weight of the latest time in a searcher's moving average. It covers about the
+last five calls, so that a searcher that becomes slow is avoided within a few
+calls."""
 
-OTHER_ZONE = 0.8
-"""What a searcher in another availability zone costs in the choice, in usual
-calls: its bytes are paid for. Less than one, so that a near searcher whose
-slots are all taken gives way to a free one elsewhere."""
+CROSS_ZONE_COST = 0.8
+"""Extra cost of a searcher in another availability zone, as a multiple of a
+usual call, since traffic between zones is charged. It is less than 1, so that a
+free searcher in another zone is preferred to one in this zone whose slots are
+all in use."""
 
-NEAR_SLOWER = 1.5
-"""How much longer a call to a searcher in this VM's zone may last before one
-elsewhere is taken, in usual calls: the bytes to another zone are paid for, and
-a request to many shards waits for the slowest of them anyway."""
+SAME_ZONE_TOLERANCE = 1.5
+"""How much longer a call to a searcher in this VM's zone may take before one in
+another zone is preferred, as a multiple of a usual call. Traffic between zones
+is charged, and a request to many shards waits for the slowest of them
+anyway."""
 
-OVERDUE = 4.0
-"""What a call that is overdue costs its searcher in the choice, in usual
-calls: a searcher that pauses holds everything it has."""
+OVERDUE_COST = 4.0
+"""Extra cost per overdue call, as a multiple of a usual call: a searcher that
+pauses delays all calls that it has."""
 
-REPORT_FADES_S = 0.25
-"""How long a searcher's report of its load counts, in seconds."""
+MAX_REPORT_AGE_S = 0.25
+"""Age after which a searcher's load report is ignored, in seconds."""
 
-FORGET_S = 3.0
-"""In this time a searcher that gets no calls is half forgiven its slowness, in
-seconds: only a call shows that it is fast again."""
+HALF_LIFE_S = 3.0
+"""Half-life of the measurements of a searcher that gets no calls, in seconds.
+Only a new call can show that a slow searcher is fast again."""
 
-FAIL_BASE_S = 0.25
-"""How long a searcher is left alone after its calls begin to fail, in
-seconds; it doubles with each further failure."""
+BASE_BACKOFF_S = 0.25
+"""First backoff of a failing searcher, in seconds; it doubles with each further
+failure."""
 
-FAIL_MOST_S = 1.0
-"""Longest time that a failing searcher is left alone, in seconds. One that is
-back must not be missed for long while its shard has few others."""
+MAX_BACKOFF_S = 1.0
+"""Maximum backoff of a failing searcher, in seconds. It is short because a
+recovered searcher is needed soon if its shard has few others."""
 
 FAILURE_COST = 6.0
-"""What a searcher that fails every call costs in the choice, in usual calls;
-one that fails a part of them costs that part. A failed call costs a retry's
-time, a new connection and some of the bound on extra calls."""
+"""Extra cost of a searcher that fails every call, as a multiple of a usual
+call; it is scaled by the share of failed calls. A failed call costs the time of
+a retry, a new connection and some of the budget for extra calls."""
 
 FAILURE_SMOOTHING = 0.15
-"""Weight of the newest outcome in a searcher's share of failed calls."""
+"""Weight of the latest outcome in a searcher's share of failed calls."""
 
-TOLERATED = 2
-"""Failures in a row from which on a searcher is left alone. Single answers
-get lost without the searcher being at fault."""
+FAILURES_TO_BACKOFF = 2
+"""Number of consecutive failures that starts a searcher's backoff. A single
+answer may be lost without a fault of the searcher."""
 
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """What this VM knows of one searcher by its own calls.
+    """This VM's measurements of one searcher.
 
     Attributes:
-        slots: How many requests it runs at once.
+        slots: Number of requests that it runs concurrently.
         near: True if it is in this VM's availability zone.
-        in_flight: Calls that it has now.
-        overdue: Of these, how many are overdue.
-        slowness: Its mean time, relative to usual ones; 1 is usual.
-        measured_s: When a call last showed it.
-        failures: Failures in a row.
-        alive: True if the last failure came from the searcher itself, soon:
-            an error or a lost answer. One that can't be reached or is silent
-            shows no sign of life.
-        failed_share: The share of its latest calls that failed, 0 to 1.
-        rest_until_s: It is left alone until then.
-        trial: True while one call tries whether it is back.
-        waiting: Requests that it reported to wait or run beyond ours.
-        reported_s: When it reported that.
+        in_flight: Number of this VM's calls in flight.
+        overdue: Number of these that are overdue.
+        slowness: Average duration of its calls relative to the usual one; 1 is
+            usual.
+        measured_s: When a call last updated the measurements, in seconds.
+        failures: Number of consecutive failures.
+        alive: False if the last failure shows that the searcher may be down:
+            it could not be reached, or did not respond for long. True after an
+            error or a lost answer.
+        failure_rate: Moving average of the share of failed calls, 0 to 1.
+        backoff_until_s: When its backoff ends, in seconds.
+        trial: True while a single call probes whether it has recovered.
+        waiting: Reported number of other VMs' requests queued or running.
+        reported_s: When this was reported, in seconds.
     """
 
     slots: int
@@ -88,68 +92,77 @@
     measured_s: float = 0.0
     failures: int = 0
     alive: bool = True
-    failed_share: float = 0.0
-    rest_until_s: float = 0.0
+    failure_rate: float = 0.0
+    backoff_until_s: float = 0.0
     trial: bool = False
     waiting: float = 0.0
     reported_s: float = -1e9
 
     def add_time(self, ratio: float, now_s: float) -> None:
-        """Takes a call's time, relative to a usual one."""
+        """Records the duration of a call.
+
+        Args:
+            ratio: The duration, relative to the usual one.
+            now_s: The current time, in seconds.
+        """
         ratio = min(ratio, 20.0)
         self.slowness += SMOOTHING * (ratio - self.slowness)
         self.measured_s = now_s
 
     def add_success(self) -> None:
-        """Takes an answer of whatever kind that shows it alive."""
+        """Records an answer of any kind that shows that the searcher is up."""
         self.failures = 0
-        self.failed_share *= 1.0 - FAILURE_SMOOTHING
-        self.rest_until_s = 0.0
+        self.failure_rate *= 1.0 - FAILURE_SMOOTHING
+        self.backoff_until_s = 0.0
         self.trial = False
 
     def add_failure(
         self, now_s: float, sent: bool = True, silent: bool = False
     ) -> None:
-        """Takes a call that failed by the searcher's fault.
+        """Records a call that failed because of the searcher.
 
         Args:
-            now_s: The time.
-            sent: False if it could not be reached. That it is down says
-                nothing of how it does once it is back.
-            silent: True if nothing came of it for long.
+            now_s: The current time, in seconds.
+            sent: False if the searcher could not be reached. Such a failure
+                does not count in the share of failed calls, since it does not
+                predict the searcher's behavior once it is up again.
+            silent: True if the searcher did not respond for long.
         """
         self.failures += 1
         self.alive = sent and not silent
         if sent:
-            self.failed_share += FAILURE_SMOOTHING * (1.0 - self.failed_share)
+            self.failure_rate += FAILURE_SMOOTHING * (1.0 - self.failure_rate)
             self.measured_s = now_s
         self.trial = False
-        if self.failures >= TOLERATED:
-            doublings = min(self.failures - TOLERATED, 8)
-            rest_s = min(FAIL_MOST_S, FAIL_BASE_S * 2**doublings)
-            self.rest_until_s = now_s + rest_s
+        if self.failures >= FAILURES_TO_BACKOFF:
+            doublings = min(self.failures - FAILURES_TO_BACKOFF, 8)
+            backoff_s = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2**doublings)
+            self.backoff_until_s = now_s + backoff_s
 
     def rests(self, now_s: float) -> bool:
-        """Tells whether it is left alone now.
+        """Returns True if the searcher must not get calls now.
 
-        After its rest one call at a time tries whether it is back. One that
-        gave no sign of life gets none before a connection to it could be
-        opened: each call that tried it would make its request late.
+        After the backoff, one call at a time probes whether it has recovered.
+        A searcher that may be down gets no call until a connection to it could
+        be opened, since each call that probed it would make its request late.
         """
-        if self.failures < TOLERATED:
+        if self.failures < FAILURES_TO_BACKOFF:
             return False
-        return not self.alive or now_s < self.rest_until_s or self.trial
+        return not self.alive or now_s < self.backoff_until_s or self.trial
 
     def needs_proof(self, now_s: float) -> bool:
-        """Tells whether it is time to find out if it lives again."""
-        rested = self.failures >= TOLERATED and now_s >= self.rest_until_s
-        return rested and not self.alive
+        """Returns True if it may be down and its backoff has ended."""
+        backoff_ended = (
+            self.failures >= FAILURES_TO_BACKOFF
+            and now_s >= self.backoff_until_s
+        )
+        return backoff_ended and not self.alive
 
 
 def estimate(record: Record, now_s: float) -> float:
-    """Estimates how long one more call lasts, relative to a usual one.
+    """Estimates the duration of one more call, relative to the usual one.
 
-    It waits for a slot where all are taken.
+    The estimate includes the wait for a slot if all are in use.
     """
     slots = max(1, record.slots)
     ahead = max(0.0, _get_load(record, now_s) + 1 - slots)
@@ -157,110 +170,113 @@
 
 
 def has_queue(record: Record, now_s: float) -> bool:
-    """Tells whether calls wait for a slot."""
+    """Returns True if calls are waiting for a slot."""
     return _get_load(record, now_s) > record.slots
 
 
 def _get_slowness(record: Record, now_s: float) -> float:
-    """Returns a searcher's mean time as far as it is not forgiven."""
+    """Returns a searcher's relative duration, decayed toward the usual one."""
     if record.slowness < 1.0:
         return record.slowness
-    return 1.0 + (record.slowness - 1.0) * _get_kept(record, now_s)
+    return 1.0 + (record.slowness - 1.0) * _compute_decay(record, now_s)
 
 
-def _get_kept(record: Record, now_s: float) -> float:
-    """Returns how much of what was measured still counts, 0 to 1."""
+def _compute_decay(record: Record, now_s: float) -> float:
+    """Returns the weight of the measurements by their age, 0 to 1."""
     idle_s = max(0.0, now_s - record.measured_s)
-    return math.pow(0.5, idle_s / FORGET_S)
+    return math.pow(0.5, idle_s / HALF_LIFE_S)
 
 
 def _get_load(record: Record, now_s: float) -> float:
-    """Returns how many calls a searcher has, as far as this VM knows."""
+    """Returns the known number of calls that a searcher has."""
     load = float(record.in_flight)
-    if now_s - record.reported_s < REPORT_FADES_S:
+    if now_s - record.reported_s < MAX_REPORT_AGE_S:
         load += record.waiting
     return load
 
 
 def rate(record: Record, now_s: float) -> float:
-    """Rates a searcher for one more call; lower is better."""
+    """Returns a searcher's cost for one more call; lower is better."""
     load = _get_load(record, now_s)
-    # A call beside another in a free slot hardly waits; one beyond the slots
-    # waits for a whole call.
+    # While slots are free, concurrent calls hardly delay each other. A call
+    # beyond the slots waits for the duration of a whole call.
     slowness = _get_slowness(record, now_s)
     if record.near:
-        slowness = max(min(slowness, 1.0), slowness - NEAR_SLOWER)
-    rating = slowness * (1.0 + (load / max(1, record.slots)) ** 2)
-    rating += OVERDUE * record.overdue
-    rating += FAILURE_COST * record.failed_share * _get_kept(record, now_s)
+        slowness = max(min(slowness, 1.0), slowness - SAME_ZONE_TOLERANCE)
+    cost = slowness * (1.0 + (load / max(1, record.slots)) ** 2)
+    cost += OVERDUE_COST * record.overdue
+    cost += FAILURE_COST * record.failure_rate * _compute_decay(record, now_s)
     if not record.near:
-        rating += OTHER_ZONE
-    return rating
+        cost += CROSS_ZONE_COST
+    return cost
 
 
 def choose(
     records: Iterable[tuple[str, Record]], now_s: float, rng: random.Random
 ) -> str | None:
-    """Chooses among searchers.
+    """Chooses the best searcher.
 
     Args:
-        records: The ids of those that may be chosen, with their records.
-        now_s: The time.
-        rng: Breaks ties.
+        records: The ids and records of the candidates.
+        now_s: The current time, in seconds.
+        rng: Random source that varies the costs, to break ties.
 
     Returns:
-        The id of the best one that is not left alone; None if all are.
+        The id of the best searcher that may get calls; None if there is none.
     """
     best: str | None = None
-    best_rating = 0.0
+    best_cost = 0.0
     for searcher, record in records:
         if record.rests(now_s):
             continue
-        rating = rate(record, now_s) * (1.0 + 0.1 * rng.random())
-        if best is None or rating < best_rating:
-            best, best_rating = searcher, rating
+        cost = rate(record, now_s) * (1.0 + 0.1 * rng.random())
+        if best is None or cost < best_cost:
+            best, best_cost = searcher, cost
     return best
 
 
 def choose_unproven(
     records: Iterable[tuple[str, Record]], now_s: float
 ) -> str | None:
-    """Chooses among searchers that may be back, where there are no others.
+    """Chooses among searchers that may have recovered, if there are no others.
 
-    After a crash of all searchers of a service and a time without requests the
-    first request would else be refused, though they have long been back.
+    If all searchers of a service crashed and no requests came for a while, the
+    first request would otherwise be rejected, although the searchers have long
+    been up again.
 
     Args:
-        records: The ids of those that may be chosen, with their records.
-        now_s: The time.
+        records: The ids and records of the candidates.
+        now_s: The current time, in seconds.
 
     Returns:
-        The id of the best one that has rested and has no trial yet; None if
-        there is none.
+        The id of the best searcher whose backoff has ended and that is not yet
+        being probed; None if there is none.
     """
-    rested = [
+    recovering = [
         (rate(each, now_s), name)
         for name, each in records
         if each.needs_proof(now_s) and not each.trial
     ]
-    return min(rested)[1] if rested else None
+    return min(recovering)[1] if recovering else None
 
 
 def choose_faulty(
     records: Iterable[tuple[str, Record]], now_s: float
 ) -> str | None:
-    """Chooses among searchers that are left alone, as a last resort.
+    """Chooses among searchers in backoff, as a last resort.
 
-    Where all searchers of a service lose some of their answers, each fails
-    twice in a row soon, and requests would be refused though most of them
-    could be answered. One that shows no sign of life is no help.
+    If all searchers of a service lose some of their answers, each soon fails
+    twice in a row, and requests would be rejected although most of them could
+    be answered. Searchers that may be down are left out.
 
     Args:
-        records: The ids of those that may be chosen, with their records.
-        now_s: The time.
+        records: The ids and records of the candidates.
+        now_s: The current time, in seconds.
 
     Returns:
-        The id of the best one; None if none is alive.
+        The id of the best searcher; None if all may be down.
     """
-    alive = [(rate(each, now_s), name) for name, each in records if each.alive]
-    return min(alive)[1] if alive else None
+    failing = [
+        (rate(each, now_s), name) for name, each in records if each.alive
+    ]
+    return min(failing)[1] if failing else None
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""Which searcher gets a call."""
+"""Choice of a searcher for a call."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 def test_a_searcher_that_holds_an_overdue_call_is_avoided() -> None:
-    """Every searcher stands still for a moment every few seconds.
+    """Guards against calls sent to a paused searcher.
 
-    Calls sent to one that stands still wait with the others. A call that is
-    overdue there shows it, so new ones go to the other, however near.
+    Every searcher pauses for a moment every few seconds, and calls sent to it
+    wait until it resumes. An overdue call indicates a pause, so new calls go to
+    another searcher, even in another zone.
     """
     records = {
         "paused": selection.Record(2, near=True, in_flight=1, overdue=1),
@@ -26,7 +27,7 @@
     assert choose(records) == "other"
 
 
-def test_a_slow_searcher_is_left_and_forgiven_with_time() -> None:
+def test_a_slow_searcher_is_avoided_until_its_slowness_decays() -> None:
     slow = selection.Record(2, near=True)
     for _ in range(5):
         slow.add_time(8.0, 10.0)
@@ -35,7 +36,7 @@
     assert selection.rate(slow, 30.0) < selection.rate(slow, 10.0) / 2
 
 
-def test_the_near_one_goes_first_until_it_is_busy() -> None:
+def test_the_same_zone_is_preferred_until_its_slots_are_in_use() -> None:
     near = selection.Record(2, near=True)
     records = {"near": near, "far": selection.Record(2, near=False)}
     assert choose(records) == "near"
@@ -45,12 +46,13 @@
     assert choose(records) == "far"
 
 
-def test_a_near_searcher_that_looks_slower_for_a_moment_is_kept() -> None:
-    """A fifth of all calls cross zones though the near searcher is idle.
+def test_a_temporarily_slow_searcher_of_the_same_zone_is_used() -> None:
+    """Guards against cross-zone calls while the searcher in the zone is idle.
 
-    Searchers differ in speed by a half, and a pause or a long request makes
-    one look twice as slow for some calls. A request to many shards waits for
-    the slowest of them anyway; only one that is slow for good is left.
+    A fifth of all calls crossed zones: searchers differ in speed by a half, and
+    a pause or a long request makes one look twice as slow for some calls. A
+    request to many shards waits for the slowest of them anyway, so only a
+    searcher that stays slow is avoided.
     """
     near = selection.Record(2, near=True, slowness=2.2, measured_s=10.0)
     records = {"near": near, "far": selection.Record(2, near=False)}
@@ -59,7 +61,7 @@
     assert choose(records) == "far"
 
 
-def test_a_call_beyond_the_slots_is_expected_to_wait() -> None:
+def test_the_estimate_includes_the_wait_beyond_the_slots() -> None:
     record = selection.Record(2, near=True, slowness=7.0, measured_s=10.0)
     idle = selection.estimate(record, 10.0)
     record.in_flight = 1
@@ -68,18 +70,19 @@
     assert selection.estimate(record, 10.0) == 2 * idle
 
 
-def test_calls_wait_where_there_are_more_than_slots() -> None:
+def test_a_queue_exists_if_calls_exceed_the_slots() -> None:
     record = selection.Record(2, near=True, in_flight=2)
     assert not selection.has_queue(record, 10.0)
     record.waiting, record.reported_s = 1.0, 10.0
     assert selection.has_queue(record, 10.0)
 
 
-def test_a_silent_searcher_gets_no_call_before_it_shows_life() -> None:
-    """Each second a lookup is late while a searcher is without power.
+def test_an_unresponsive_searcher_gets_no_calls_until_it_recovers() -> None:
+    """Guards against late lookups that probe a searcher without power.
 
-    After its rest a call tried whether it is back. Now a new connection tries
-    it; a failing one that answers, if only by errors, is tried by a call.
+    After each backoff a call probed it, which made one lookup per second late.
+    An unresponsive searcher is now probed by a new connection; one that answers
+    with errors is still probed by a call.
     """
     silent = selection.Record(2, near=True)
     failing = selection.Record(2, near=True)
@@ -95,7 +98,7 @@
     assert not silent.rests(12.0)
 
 
-def test_one_that_may_be_back_is_tried_where_there_are_no_others() -> None:
+def test_a_possibly_recovered_searcher_is_probed_if_alone() -> None:
     records = {name: selection.Record(2, near=True) for name in ("a", "b")}
     for record in records.values():
         for _ in range(2):
@@ -106,11 +109,11 @@
     assert selection.choose_unproven(records.items(), 12.0) == "b"
 
 
-def test_failures_in_a_row_make_a_searcher_rest_and_a_trial_ends_it() -> None:
-    """All calls to a crashed searcher fail, one after another.
+def test_consecutive_failures_start_a_backoff_that_a_probe_ends() -> None:
+    """All calls to a crashed searcher fail.
 
-    It gets none for a moment, then a single one; the trial's failure makes
-    the rest longer, its success ends it.
+    It gets no calls during the backoff and then a single probe, whose failure
+    starts a longer backoff and whose success ends it.
     """
     record = selection.Record(2, near=True)
     record.add_failure(10.0)
@@ -126,7 +129,7 @@
     assert not record.rests(10.9)
 
 
-def test_nobody_is_chosen_when_all_rest() -> None:
+def test_no_searcher_is_chosen_if_all_are_in_backoff() -> None:
     record = selection.Record(2, near=True)
     for _ in range(3):
         record.add_failure(10.0)
@@ -134,11 +137,11 @@
     assert selection.choose(records.items(), 10.1, random.Random(1)) is None
 
 
-def test_a_searcher_that_loses_some_answers_is_used_less() -> None:
-    """Two in five answers of a searcher get lost, one at a time.
+def test_a_searcher_that_loses_some_answers_is_avoided() -> None:
+    """Guards against constant use of a searcher that loses 2 of 5 answers.
 
-    It never fails often enough in a row to rest, but each loss costs the
-    request a retry. The sound one is used until the faults are old.
+    Each loss costs the request a retry. The healthy searcher is preferred until
+    the failures have decayed.
     """
     faulty = selection.Record(2, near=True)
     for number in range(20):
@@ -147,12 +150,12 @@
         else:
             faulty.add_success()
         faulty.measured_s = 10.0
-    records = {"faulty": faulty, "sound": selection.Record(2, near=False)}
-    assert choose(records, 10.0) == "sound"
+    records = {"faulty": faulty, "healthy": selection.Record(2, near=False)}
+    assert choose(records, 10.0) == "healthy"
     assert choose(records, 40.0) == "faulty"
 
 
-def test_a_searcher_that_was_down_is_used_as_before_once_it_is_back() -> None:
+def test_a_recovered_searcher_has_its_usual_cost() -> None:
     record = selection.Record(2, near=True)
     for _ in range(4):
         record.add_failure(10.0, sent=False)
@@ -160,12 +163,12 @@
     assert selection.rate(record, 12.0) == before
 
 
-def test_where_all_fail_often_one_that_is_alive_is_used_all_the_same() -> None:
-    """All searchers of a shard lose two in five of their answers.
+def test_if_all_fail_often_a_responsive_searcher_is_used() -> None:
+    """Guards against rejected lookups if all searchers lose 2 of 5 answers.
 
-    Each soon fails twice in a row and is left alone. Lookups were refused
-    then, though three in five would have been answered; but one that can't be
-    reached or is silent would only take their time.
+    Each soon fails twice in a row and is in backoff, although it would answer
+    3 of 5 lookups. A searcher that can't be reached or does not respond is not
+    used, since it would only delay them.
     """
     lossy = selection.Record(2, near=True)
     silent = selection.Record(2, near=True)
