--- a/src/azureramp/policy/shares.py
+++ b/src/azureramp/policy/shares.py
@@ -1,10 +1,10 @@
-"""Each VM's part of what is bounded for all VMs together.
+"""Each VM's share of a limit that applies to all VMs together.
 
-The VMs advertised to callers do nearly all the work, so nearly all is split
-among them. No message is exchanged: each VM works out its part from the list
-of VMs that it knows. The lists differ for a moment after each change, so a part
-that grows does so only once whoever had it before has learned of the change,
-and nothing that it spent counts any more.
+The VMs advertised to callers do nearly all the work, so nearly the whole limit
+is divided among them. No messages are needed: each VM computes its share from
+the list of VMs that it knows. The lists differ for a moment after each change.
+Therefore a share grows only once the VM that had it before has received the
+change and its earlier use no longer counts in the limit's time window.
 """
 
 from __future__ import annotations
@@ -12,76 +12,81 @@
 import collections
 
 ADVERTISED_SHARE = 0.9
-"""What the VMs advertised to callers have together. The rest is for the
-others, which get a request now and then from callers with an old answer."""
+"""The total share of the VMs advertised to callers. The rest is for the others,
+which get occasional requests from callers with outdated addresses."""
 
 STALE_S = 3.0
-"""A VM that has not reached the store for this long has half a part, in
-seconds. Others may have taken its place by then without its knowing: its lease
-lasts as long. They may as well have not, where the store is away for all."""
+"""A VM that has not reached the store for this time, in seconds, uses half its
+share. This is how long its lease stays valid, so other VMs may have replaced it
+without its knowledge. They may also not have, if no VM can reach the store."""
 
 STALE_FACTOR = 0.5
 
-VIEW_LAG_S = 3.0
-"""How much later than others a VM may learn of a change, in seconds; beyond
-that its contact is stale."""
+MAX_UPDATE_DELAY_S = 3.0
+"""Maximum delay with which a VM receives a change later than others, in
+seconds; beyond that its contact is stale."""
 
 
 class Share:
-    """One VM's part over time: the least that it had in the last span.
+    """One VM's share over time: the minimum of a sliding time window.
 
     Attributes:
-        part: The part in force, 0 to 1.
+        part: The share in force, 0 to 1.
     """
 
-    __slots__ = ("_least", "_span_s", "part")
+    __slots__ = ("_minima", "_span_s", "part")
 
     def __init__(
         self, window_s: float, began_s: float, first_start: bool
     ) -> None:
-        """Makes the part of a process that has just begun.
+        """Creates the share of a process that has just started.
 
-        A process that replaces one that was killed doesn't know what that one
-        spent, so it has no part at first. When all VMs start together for the
-        first time, nothing was spent before.
+        A process that replaces a killed one does not know how much of the limit
+        that one used, so its share is 0 at first. If all VMs start together for
+        the first time, none of the limit has been used.
 
         Args:
-            window_s: The span for which the bound holds, in seconds.
-            began_s: When the process began.
+            window_s: The time window of the limit, in seconds.
+            began_s: When the process started, in seconds.
             first_start: True if the whole tier starts for the first time.
         """
         self.part = 0.0
-        self._span_s = window_s + VIEW_LAG_S
-        # Parts in the order of their times, each greater than the one before:
-        # one that is followed by a lesser one is never the least again.
-        self._least: collections.deque[tuple[float, float]] = (
+        self._span_s = window_s + MAX_UPDATE_DELAY_S
+        # Times and shares, both ascending. A share that is followed by a lower
+        # one can't be the minimum again, so it is dropped.
+        self._minima: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
         if not first_start:
-            self._least.append((began_s, 0.0))
+            self._minima.append((began_s, 0.0))
 
     def update(self, part: float, now_s: float) -> float:
-        """Takes the part by today's list; returns the part in force."""
-        while self._least and self._least[-1][1] >= part:
-            self._least.pop()
-        self._least.append((now_s, part))
+        """Records the current share and returns the share in force.
+
+        Args:
+            part: The share according to the current list of VMs, 0 to 1.
+            now_s: The current time, in seconds.
+        """
+        while self._minima and self._minima[-1][1] >= part:
+            self._minima.pop()
+        self._minima.append((now_s, part))
         oldest_s = now_s - self._span_s
-        while len(self._least) > 1 and self._least[0][0] < oldest_s:
-            self._least.popleft()
-        self.part = self._least[0][1]
+        while len(self._minima) > 1 and self._minima[0][0] < oldest_s:
+            self._minima.popleft()
+        self.part = self._minima[0][1]
         return self.part
 
 
 def compute_part(
     advertised: int, others: int, is_advertised: bool, stale: bool
 ) -> float:
-    """Returns a VM's part by the list that it knows, 0 to 1.
+    """Returns a VM's share according to the list of VMs that it knows, 0 to 1.
 
     Args:
-        advertised: How many VMs are advertised.
-        others: How many VMs there are besides.
-        is_advertised: True if the VM is among them.
-        stale: True if the VM has not reached the store for a while.
+        advertised: Number of VMs that are advertised to callers.
+        others: Number of VMs that are not advertised.
+        is_advertised: True if this VM is advertised.
+        stale: True if this VM has not reached the store for `STALE_S`.
     """
     if is_advertised:
         part = ADVERTISED_SHARE / max(1, advertised)
--- a/tests/policy/test_shares.py
+++ b/tests/policy/test_shares.py
@@ -1,4 +1,4 @@
-"""Each VM's part of what is bounded for all VMs together."""
+"""Each VM's share of a limit that applies to all VMs together."""
 
 from __future__ import annotations
 
@@ -11,35 +11,38 @@
 WINDOW_S = 10.0
 
 
-def test_a_process_that_replaces_another_has_no_part_at_first() -> None:
-    """All VMs are killed, and the budget is overdrawn when they are back.
+def test_a_replacing_process_has_no_share_at_first() -> None:
+    """Guards against an exceeded limit after all VMs were killed.
 
-    Each had spent its part of the fixed number just before. A new process
-    can't know, so it waits for one window and until every VM knows of it;
-    only a first start can't have spent anything.
+    Each may have used its share just before. A new process can't know that, so
+    it waits for one time window and until every VM has received its entry. Only
+    at the first start of the tier nothing was used before.
     """
     part = shares.compute_part(4, 4, is_advertised=True, stale=False)
     assert part == shares.ADVERTISED_SHARE / 4
     again = shares.Share(WINDOW_S, 0.0, first_start=False)
     assert again.update(part, 3.0) == 0.0
     assert again.update(part, WINDOW_S) == 0.0
-    assert again.update(part, WINDOW_S + shares.VIEW_LAG_S + 0.1) == part
+    assert (
+        again.update(part, WINDOW_S + shares.MAX_UPDATE_DELAY_S + 0.1) == part
+    )
     assert shares.Share(WINDOW_S, 0.0, first_start=True).update(part, 0) == part
 
 
-def test_the_vms_that_serve_have_what_the_others_do_not_use() -> None:
-    """Most searchers of a shard reject most calls, and few are made again.
+def test_the_advertised_vms_have_nearly_the_whole_limit() -> None:
+    """Guards against a limit that mostly belongs to VMs without requests.
 
-    6 of 64 VMs are advertised. Split evenly, nine tenths of the extra
-    calls that the operators allow lay with VMs that hardly get a request.
+    6 of 64 VMs are advertised. With equal shares, nine tenths of the allowed
+    extra calls belonged to VMs that hardly get requests, so few calls were
+    retried when most searchers of a shard rejected most calls.
     """
-    told = shares.compute_part(6, 58, is_advertised=True, stale=False)
+    advertised = shares.compute_part(6, 58, is_advertised=True, stale=False)
     other = shares.compute_part(6, 58, is_advertised=False, stale=False)
-    assert told * 6 + other * 58 == pytest.approx(1.0)
-    assert told > 9 / 64
+    assert advertised * 6 + other * 58 == pytest.approx(1.0)
+    assert advertised > 9 / 64
 
 
-def test_a_part_shrinks_at_once_and_grows_after_a_window() -> None:
+def test_a_share_shrinks_immediately_and_grows_after_a_window() -> None:
     share = shares.Share(WINDOW_S, 0.0, first_start=True)
     assert share.update(0.2, 0.0) == 0.2
     assert share.update(0.1, 5.0) == 0.1
@@ -50,44 +53,50 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_all_parts_together_stay_within_the_whole(seed: int) -> None:
-    """VMs are told of in turn, each learns late, and one is cut for long.
+def test_all_shares_together_stay_within_the_limit(seed: int) -> None:
+    """The advertised VMs change, and each VM receives the changes late.
 
-    A VM that was told of spends all that it has at any moment, and does not
-    know for up to three seconds that another has its place; one that is cut
-    from the store for a whole outage never learns. Spent in any window is no
-    more than the whole, less what is kept for safety.
+    An advertised VM may use its whole share at any time and does not know for
+    up to three seconds that another VM has replaced it. One VM is unable to
+    reach the store and never receives the changes. The total use in any time
+    window stays within the limit, including its safety factor.
     """
     rng = random.Random(seed)
     names = [f"vm-{number}" for number in range(12)]
-    cut = names[0]
+    isolated = names[0]
     parts = {name: shares.Share(WINDOW_S, 0.0, True) for name in names}
     views = {name: set(names[:5]) for name in names}
     lists: list[tuple[float, set[str]]] = [(0.0, set(names[:5]))]
-    lag_s = {name: rng.uniform(0, shares.VIEW_LAG_S) for name in names}
+    lag_s = {name: rng.uniform(0, shares.MAX_UPDATE_DELAY_S) for name in names}
     spent: list[tuple[float, float]] = []
-    held = dict.fromkeys(names, 0.0)
+    parts_in_force = dict.fromkeys(names, 0.0)
     own: dict[str, list[tuple[float, float]]] = {name: [] for name in names}
     for step in range(600):
         now_s = step / 5
         if rng.random() < 0.02:
             lists.append((now_s, set(rng.sample(names, rng.randint(4, 7)))))
         for name in names:
-            if name != cut or now_s < 20:
-                seen = [told for at, told in lists if at <= now_s - lag_s[name]]
+            if name != isolated or now_s < 20:
+                seen = [
+                    advertised
+                    for at, advertised in lists
+                    if at <= now_s - lag_s[name]
+                ]
                 views[name] = seen[-1] if seen else lists[0][1]
-            told = views[name]
-            raw = shares.compute_part(
-                len(told),
-                len(names) - len(told),
-                name in told,
-                stale=name == cut and now_s > 20 + shares.STALE_S,
+            advertised = views[name]
+            listed_part = shares.compute_part(
+                len(advertised),
+                len(names) - len(advertised),
+                name in advertised,
+                stale=name == isolated and now_s > 20 + shares.STALE_S,
             )
-            held[name] = parts[name].update(raw, now_s)
-            used = sum(much for at, much in own[name] if at > now_s - WINDOW_S)
-            much = held[name] - used
-            if much > 0 and rng.random() < 0.5:
-                own[name].append((now_s, much))
-                spent.append((now_s, much))
-        whole = sum(much for at, much in spent if at > now_s - WINDOW_S)
-        assert whole * allowances.SAFETY <= 1.0
+            parts_in_force[name] = parts[name].update(listed_part, now_s)
+            used = sum(
+                amount for at, amount in own[name] if at > now_s - WINDOW_S
+            )
+            amount = parts_in_force[name] - used
+            if amount > 0 and rng.random() < 0.5:
+                own[name].append((now_s, amount))
+                spent.append((now_s, amount))
+        total = sum(amount for at, amount in spent if at > now_s - WINDOW_S)
+        assert total * allowances.SAFETY <= 1.0
