--- a/src/azureramp/policy/snapshots.py
+++ b/src/azureramp/policy/snapshots.py
@@ -1,4 +1,4 @@
-"""The choice of the one index version that an answer comes from."""
+"""Choice of the index version that a query is pinned to."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from azureramp import errors, messages, resources
 from azureramp.policy import topology
 
-ENOUGH_REPLICAS = 2
-"""Usable replicas of every shard (or all that are declared, if fewer) that a
-version must have before the first query is moved to it: a version that is
-still being rolled out has one replica a shard, which would get all the load.
-"""
+MIN_REPLICAS = 2
+"""Number of usable replicas that a version needs for every shard (or all
+declared ones, if fewer) before the first query is pinned to it. A version that
+is still being rolled out has one replica per shard, which would get the
+whole load."""
 
 
 Replicas = Mapping[str, tuple[str, ...]]
@@ -26,7 +26,7 @@
     """A pinned index version.
 
     Attributes:
-        shard_map: The version's shard map, as it was at pinning.
+        shard_map: The version's shard map at the time of pinning.
         replicas: The usable searchers of each shard, by the shard's name.
     """
 
@@ -41,14 +41,14 @@
     states: Mapping[str, messages.SearcherState],
     is_owned: Callable[[str], bool],
 ) -> tuple[str, ...]:
-    """Finds the searchers that may get work of a shard now.
+    """Returns the searchers that may get sub-requests to a shard now.
 
     Args:
         shard: The shard.
         version_name: The `index.version` that they must serve.
-        sites: Every declared searcher.
-        states: What the owners tell of their searchers.
-        is_owned: Tells whether a searcher has an owner VM to send to.
+        sites: All declared searchers.
+        states: The states that the owners report.
+        is_owned: Returns True if a searcher has an owner VM to send to.
     """
     usable = []
     for name in shard.searchers:
@@ -71,22 +71,22 @@
     rolled_out: int = 0,
     after: int = 0,
 ) -> expression.Result[Snapshot, errors.Failure]:
-    """Pins a version.
+    """Chooses the version that a query is pinned to.
 
-    In order: the newest version with enough replicas of every shard, or that
-    had them once; the newest with a replica of every shard; the one that
-    covers most. An answer that is short of a shard is still worth more than
-    none, and it says so.
+    In order of preference: the newest version that has enough replicas of every
+    shard, or once had them; the newest version with a replica of every shard;
+    the version that covers the largest share of the documents. An answer
+    without some shards is more useful than none, and it lists what is missing.
 
     Args:
         maps: The index's shard maps, the newest version first.
-        sites: Every declared searcher.
-        states: What the owners tell of their searchers.
-        is_owned: Tells whether a searcher has an owner VM to send to.
-        rolled_out: The newest version that has had enough replicas before; it
-            needs but one from then on, so that the loss of a replica does not
-            take answers back to an older version.
-        after: Only versions newer than this one.
+        sites: All declared searchers.
+        states: The states that the owners report.
+        is_owned: Returns True if a searcher has an owner VM to send to.
+        rolled_out: The newest version that has ever had enough replicas. One
+            replica per shard is sufficient for it, so that the loss of a
+            replica does not revert answers to an older version.
+        after: Only versions newer than this one are considered.
 
     Returns:
         The snapshot, or `NO_SNAPSHOT`.
@@ -96,20 +96,20 @@
         for shard_map in maps
         if shard_map.version > after
     ]
-    whole = [one for one in candidates if _is_served(one, 1)]
-    for one in whole:
+    complete = [one for one in candidates if _has_replicas(one, 1)]
+    for one in complete:
         version = one.shard_map.version
-        if version <= rolled_out or _is_served(one, ENOUGH_REPLICAS):
+        if version <= rolled_out or _has_replicas(one, MIN_REPLICAS):
             return expression.Ok(one)
-    if whole:
-        return expression.Ok(whole[0])
-    best = max(candidates, key=measure_size, default=None)
+    if complete:
+        return expression.Ok(complete[0])
+    best = max(candidates, key=compute_coverage, default=None)
     if best is None or not any(best.replicas.values()):
         return expression.Error(errors.Failure(errors.Kind.NO_SNAPSHOT))
     return expression.Ok(best)
 
 
-def measure_size(snapshot: Snapshot) -> float:
+def compute_coverage(snapshot: Snapshot) -> float:
     """Returns the share of the documents with a usable replica, 0 to 1."""
     shards = snapshot.shard_map.shards
     total = sum(shard.size for shard in shards)
@@ -118,13 +118,13 @@
 
 
 def is_whole(snapshot: Snapshot) -> bool:
-    """Tells whether every shard has a replica."""
-    return _is_served(snapshot, 1)
+    """Returns True if every shard has a usable replica."""
+    return _has_replicas(snapshot, 1)
 
 
 def has_enough(snapshot: Snapshot) -> bool:
-    """Tells whether every shard has enough replicas."""
-    return _is_served(snapshot, ENOUGH_REPLICAS)
+    """Returns True if every shard has `MIN_REPLICAS` usable replicas."""
+    return _has_replicas(snapshot, MIN_REPLICAS)
 
 
 def _make_snapshot(
@@ -133,7 +133,7 @@
     states: Mapping[str, messages.SearcherState],
     is_owned: Callable[[str], bool],
 ) -> Snapshot:
-    """Finds the usable replicas of every shard of a version."""
+    """Collects the usable replicas of every shard of a version."""
     name = f"{shard_map.index}.{shard_map.version}"
     return Snapshot(
         shard_map,
@@ -144,10 +144,10 @@
     )
 
 
-def _is_served(snapshot: Snapshot, wanted: int) -> bool:
-    """Tells whether every shard has that many replicas, or all it can."""
+def _has_replicas(snapshot: Snapshot, required: int) -> bool:
+    """Returns True if every shard has that many replicas, or all declared."""
     return all(
         len(snapshot.replicas[shard.name])
-        >= max(1, min(wanted, len(shard.searchers)))
+        >= max(1, min(required, len(shard.searchers)))
         for shard in snapshot.shard_map.shards
     )
--- a/tests/policy/test_snapshots.py
+++ b/tests/policy/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Which version a query is pinned to."""
+"""Choice of the index version that a query is pinned to."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 @pytest.mark.parametrize(
-    ("story", "serves_new", "rolled_out", "pinned"),
+    ("case", "serves_new", "rolled_out", "pinned"),
     [
         ("all replicas have it", ALL, 0, 2),
         ("one replica a shard has it so far", ("s0-0", "s1-0"), 0, 1),
         ("a replica was lost after the rollout", ("s0-0", "s1-0"), 2, 2),
         ("a shard has no replica of it", ("s0-0", "s0-1"), 2, 1),
-        ("nobody has it", (), 0, 1),
+        ("no replica has it", (), 0, 1),
     ],
 )
 def test_the_newest_version_that_enough_replicas_serve_is_pinned(
-    story: str, serves_new: tuple[str, ...], rolled_out: int, pinned: int
+    case: str, serves_new: tuple[str, ...], rolled_out: int, pinned: int
 ) -> None:
     states = {
         name: query_parts.make_state(
@@ -41,13 +41,13 @@
         rolled_out=rolled_out,
     )
 
-    assert chosen.ok.shard_map.version == pinned, story
+    assert chosen.ok.shard_map.version == pinned, case
 
 
 @pytest.mark.parametrize(
     "lost", ["out of service", "not usable", "no owner", "unknown"]
 )
-def test_a_shard_without_a_usable_replica_leaves_the_best_short_version(
+def test_without_a_complete_version_the_largest_coverage_is_chosen(
     lost: str,
 ) -> None:
     gone = ("s0-0", "s0-1")
@@ -69,7 +69,7 @@
     )
 
     assert chosen.ok.replicas == {"0": (), "1": ("s1-0", "s1-1")}
-    assert snapshots.measure_size(chosen.ok) == 0.5
+    assert snapshots.compute_coverage(chosen.ok) == 0.5
 
 
 def test_without_any_replica_there_is_no_snapshot() -> None:
@@ -80,7 +80,7 @@
     assert chosen.error.kind is errors.Kind.NO_SNAPSHOT
 
 
-def test_a_shard_declared_with_one_replica_has_enough_with_it() -> None:
+def test_one_replica_is_enough_for_a_shard_declared_with_one() -> None:
     single = query_parts.make_map([10], version=2, replicas=1)
 
     chosen = snapshots.choose(
