--- a/src/azureramp/policy/telling.py
+++ b/src/azureramp/policy/telling.py
@@ -1,42 +1,49 @@
-"""Which searchers' states a heartbeat must hold."""
+"""Selection of the searcher states to include in heartbeats."""
 
 from __future__ import annotations
 
 from azureramp import messages
 
-FULL_EVERY = 4
-"""At least each so many heartbeats hold the states, since one may be lost."""
+FULL_HEARTBEAT_INTERVAL = 4
+"""At least one in this number of heartbeats contains the states, since a
+heartbeat may be lost."""
 
 
 class States:
-    """The states that were told last."""
+    """The searcher states that were sent last."""
 
-    __slots__ = ("_silent", "_told")
+    __slots__ = ("_omitted", "_sent")
 
     def __init__(self) -> None:
-        """Makes one that has told nothing."""
-        self._told: tuple[tuple[object, ...], ...] | None = None
-        self._silent = 0
+        """Creates an instance that has sent no states."""
+        self._sent: tuple[tuple[object, ...], ...] | None = None
+        self._omitted = 0
 
     def choose(
         self, states: tuple[messages.SearcherState, ...]
     ) -> tuple[messages.SearcherState, ...] | None:
-        """Chooses what the next heartbeat tells.
+        """Selects the states to include in the next heartbeat.
 
-        What decides whether a searcher may be used is told at once; its
-        queue and its service time, which change all the time, with the next
-        full heartbeat.
+        Changes that determine whether a searcher may be used are sent with the
+        next heartbeat. The queue length and the service time change constantly
+        and are sent with the next full heartbeat.
+
+        Args:
+            states: The current states.
 
         Returns:
-            The states; None if nothing of weight has changed.
+            The states; None if the heartbeat can omit them.
         """
-        weighty = tuple(
+        significant = tuple(
             (s.searcher, s.incarnation, s.usable, s.limit, s.versions)
             for s in states
         )
-        self._silent += 1
-        if weighty == self._told and self._silent < FULL_EVERY:
+        self._omitted += 1
+        if (
+            significant == self._sent
+            and self._omitted < FULL_HEARTBEAT_INTERVAL
+        ):
             return None
-        self._told = weighty
-        self._silent = 0
+        self._sent = significant
+        self._omitted = 0
         return states
