--- a/src/azureramp/policy/topology.py
+++ b/src/azureramp/policy/topology.py
@@ -1,4 +1,4 @@
-"""The configuration in the shape in which the query path asks for it."""
+"""The configuration, indexed for the query path."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Site:
-    """Where a searcher is.
+    """The location of a searcher.
 
     Attributes:
         searcher: The searcher.
         server: The name of its backend server.
         zone: The name of its availability zone.
-        in_service: False while its zone is out or its server is leaving.
+        in_service: False while its zone is out of service or its server is
+            leaving.
     """
 
     searcher: resources.Searcher
@@ -26,14 +27,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Topology:
-    """One configuration revision, indexed.
+    """An indexed revision of the configuration.
 
     Attributes:
-        sites: Every declared searcher by name.
+        sites: All declared searchers by name.
         maps: The shard maps of each index, the newest version first.
         services: The services by name.
-        callers: The callers by the hash of their token; two that share one
-            are listed together.
+        callers: The callers by the hash of their token; callers with the same
+            token are listed together.
         zones_out: The availability zones out of service.
         policy: The settings of the query path.
     """
@@ -66,7 +67,7 @@
 def _build_sites(
     configuration: resources.Configuration, zones_out: frozenset[str]
 ) -> dict[str, Site]:
-    """Finds the place of each searcher."""
+    """Collects the location of each searcher."""
     sites = {}
     for server in configuration.get_backend_servers().values():
         in_service = (
@@ -83,7 +84,7 @@
 def _build_maps(
     configuration: resources.Configuration,
 ) -> dict[str, tuple[resources.ShardMap, ...]]:
-    """Sorts the shard maps by index and version."""
+    """Groups the shard maps by index, the newest version first."""
     maps: dict[str, list[resources.ShardMap]] = {}
     for shard_map in configuration.get_shard_maps().values():
         maps.setdefault(shard_map.index, []).append(shard_map)
