--- a/src/azureramp/policy/version_evidence.py
+++ b/src/azureramp/policy/version_evidence.py
@@ -1,13 +1,13 @@
-"""Whether a new version of a service's searchers answers worse than the old.
-
-The pattern: some of the answers of a new version fail, or take several times
-as long, from its start, later, under load, or on one route only. Inputs are
-counts of answers by route and searcher, pooled over all VMs; the old version's
-counts of the same moment say what is usual. The outcome is whether the new
-version is worse. Each route is a sequential test of its own, so that a fault of
-one route isn't diluted by the others, and one over all routes finds a fault
-where each route has few requests. A test restarts once it speaks for the new
-version, so that a fault that begins late is found as soon as an early one.
+"""Statistical test whether a new version answers worse than the old one.
+
+Some answers of a faulty version fail or take several times as long as usual,
+from its start, later, under load, or on one route only. The test's inputs are
+counts of answers by route and searcher, summed over all VMs. The old version's
+counts at the same time determine what is usual. Each route has its own
+sequential test, so that a fault of one route is not diluted by the others.
+Another test over all routes detects a fault if each route has few requests. A
+test's log odds never fall below 0, so that good answers do not delay the
+detection of a fault that begins late.
 """
 
 from __future__ import annotations
@@ -17,52 +17,55 @@
 import enum
 import math
 
-EFFECT = 0.15
-USUAL_FACTOR = 0.6
-"""The share of otherwise good answers that a worse version spoils: so much, and
-more by this factor where bad answers are usual."""
+MIN_EFFECT = 0.15
+EFFECT_FACTOR = 0.6
+"""The share of otherwise good answers that are bad in a worse version: the
+first value, plus the second one times the usual share of bad answers."""
 
-FALSE_ALARM = 0.0005
-"""Chance that a sequence of usual answers is taken for a worse version."""
+FALSE_ALARM_PROBABILITY = 0.0005
+"""Probability that a sequence of usual answers is treated as a worse
+version."""
 
-REJECTED = -math.log(FALSE_ALARM)
+REJECTED_LOG_ODDS = -math.log(FALSE_ALARM_PROBABILITY)
 
-SUSPECTED = 2.5
-"""Odds, as a logarithm, from which on more answers are wanted."""
+SUSPECT_LOG_ODDS = 2.5
+"""Log odds from which on a version is suspect and more answers are
+needed."""
 
-CONFIRMED = 2.0
-"""What the searchers other than the worst one must show, as a logarithm of
-odds: a single searcher that is slow or broken says nothing of its version."""
+CONFIRMING_LOG_ODDS = 2.0
+"""Minimum log odds of all searchers except the worst one. A single slow or
+broken searcher is no evidence against its version."""
 
-LEAST_SHARE = 0.02
-MOST_SHARE = 0.4
+MIN_USUAL_SHARE = 0.02
+MAX_USUAL_SHARE = 0.4
 """Bounds of the usual share of bad answers. A few answers of the old version
-show no less than the first; beyond the second a roll-out is hard to judge, and
-a version that is worse still differs."""
+can't prove a lower share than the first. Above the second, versions are
+difficult to compare, but a worse version still differs."""
 
 PRIOR_ANSWERS = 8.0
 PRIOR_BAD = 1.0
-"""Answers that the old version is taken to have given before the first ones are
-known, and how many of them were bad: while little is known of it, a bad answer
-of the new version says little."""
+"""Assumed earlier answers of the old version, and how many of them were bad.
+While few real ones are known, a bad answer of the new version is weak
+evidence."""
 
-FADES_S = 4.0
-"""In this time answers of the old version count half, in seconds: what is usual
-follows troubles that hit both versions."""
+HALF_LIFE_S = 4.0
+"""Half-life of the old version's answers, in seconds. The usual share of bad
+answers thus follows problems that affect both versions."""
 
-MANY = 200
-"""Answers from which on a small difference counts as well."""
+MIN_COMPARED_ANSWERS = 200
+"""Number of answers of each version from which on small differences are
+tested."""
 
-CLEAR = 5.0
-"""The difference between the two versions, in standard errors, that shows a
-slightly worse one among many answers."""
+CLEAR_STANDARD_ERRORS = 5.0
+"""The difference between the versions, in standard errors, above which a
+slightly worse version is detected among many answers."""
 
 ALL_ROUTES = ""
-"""Stands for all routes together."""
+"""Key of the counts and the test over all routes."""
 
 
 class Verdict(enum.Enum):
-    """What the answers show."""
+    """The result of evaluating the answers."""
 
     OPEN = "open"
     SUSPECT = "suspect"
@@ -71,11 +74,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """How answers ended.
+    """Counts of answers.
 
     Attributes:
-        answers: How many there were.
-        bad: Of these, how many failed or took several times as long as usual.
+        answers: Number of answers; not an integer after decay.
+        bad: Number of these that failed or took several times as long as
+            usual.
     """
 
     answers: float = 0.0
@@ -88,55 +92,63 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Test:
+class SequentialTest:
     """A sequential test of one route.
 
     Attributes:
-        odds: For a worse version, as a logarithm, over all searchers.
-        by_searcher: The same for each searcher by itself.
+        log_odds: For a worse version, over all searchers; at least 0.
+        by_searcher: The same for each searcher alone.
     """
 
-    odds: float = 0.0
+    log_odds: float = 0.0
     by_searcher: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def add(self, searcher: str, change: float) -> None:
-        """Takes what answers of a searcher speak for."""
-        self.odds = max(0.0, self.odds + change)
+        """Adds the log odds of a searcher's answers."""
+        self.log_odds = max(0.0, self.log_odds + change)
         own = self.by_searcher.get(searcher, 0.0)
         self.by_searcher[searcher] = max(0.0, own + change)
 
-    def judge(self) -> Verdict:
-        """Judges the version, not one searcher alone."""
-        if self.odds < SUSPECTED:
+    def evaluate(self) -> Verdict:
+        """Evaluates the version, ignoring a fault of a single searcher."""
+        if self.log_odds < SUSPECT_LOG_ODDS:
             return Verdict.OPEN
-        odds = self.by_searcher.values()
-        confirmed = len(odds) < 2 or sum(odds) - max(odds) >= CONFIRMED
-        if self.odds >= REJECTED and confirmed:
+        log_odds = self.by_searcher.values()
+        confirmed = (
+            len(log_odds) < 2
+            or sum(log_odds) - max(log_odds) >= CONFIRMING_LOG_ODDS
+        )
+        if self.log_odds >= REJECTED_LOG_ODDS and confirmed:
             return Verdict.WORSE
         return Verdict.SUSPECT
 
 
 class Evidence:
-    """What is known of a new version.
+    """The answers of a new and an old version, with their tests.
 
     Attributes:
-        new: Its answers by route and searcher.
-        old: The old version's answers by route, all of them.
+        new: The new version's answers by route and searcher.
+        old: The old version's answers by route, without decay.
     """
 
-    __slots__ = ("_faded_s", "_recent", "_tests", "new", "old")
+    __slots__ = ("_decayed_s", "_recent", "_tests", "new", "old")
 
     def __init__(self, now_s: float) -> None:
-        """Makes one without any answers."""
+        """Creates an instance without answers."""
         self.new: dict[tuple[str, str], Tally] = {}
         self.old: dict[str, Tally] = {}
         self._recent: dict[str, Tally] = {}
-        self._faded_s = now_s
-        self._tests: dict[str, Test] = collections.defaultdict(Test)
+        self._decayed_s = now_s
+        self._tests: dict[str, SequentialTest] = collections.defaultdict(
+            SequentialTest
+        )
 
     def add_old(self, route: str, answers: int, bad: int, now_s: float) -> None:
-        """Adds answers of the old version, before those of the same moment."""
-        self._fade(now_s)
+        """Adds answers of the old version.
+
+        Must be called before `add_new` for answers of the same time.
+        """
+        self._decay(now_s)
         for tallies in (self.old, self._recent):
             for name in (route, ALL_ROUTES):
                 tallies.setdefault(name, Tally()).add(answers, bad)
@@ -148,13 +160,13 @@
         tally = self.new.setdefault((route, searcher), Tally())
         tally.add(answers, bad)
         usual = self.get_usual_share(route)
-        change = compute_odds(usual, answers, bad)
+        change = compute_log_odds(usual, answers, bad)
         for name in (route, ALL_ROUTES):
             self._tests[name].add(searcher, change)
 
     def get_verdict(self) -> Verdict:
-        """Returns what the answers show."""
-        verdicts = {test.judge() for test in self._tests.values()}
+        """Returns the result of evaluating all answers."""
+        verdicts = {test.evaluate() for test in self._tests.values()}
         if Verdict.WORSE in verdicts or self._is_clearly_worse():
             return Verdict.WORSE
         if Verdict.SUSPECT in verdicts:
@@ -165,51 +177,54 @@
         """Returns the old version's recent share of bad answers on a route."""
         tally = self._recent.get(route, Tally())
         share = (tally.bad + PRIOR_BAD) / (tally.answers + PRIOR_ANSWERS)
-        return min(max(share, LEAST_SHARE), MOST_SHARE)
+        return min(max(share, MIN_USUAL_SHARE), MAX_USUAL_SHARE)
 
     def count_new(self) -> Tally:
-        """Returns all answers of the new version."""
+        """Returns the counts of all answers of the new version."""
         total = Tally()
         for tally in self.new.values():
             total.add(tally.answers, tally.bad)
         return total
 
     def describe(self) -> str:
-        """Describes the bad and all answers by route, for logs."""
+        """Returns the counts of bad and all answers by route, for logs."""
         routes: dict[str, Tally] = {}
         for (route, _), tally in self.new.items():
             routes.setdefault(route, Tally()).add(tally.answers, tally.bad)
-        told = [
+        descriptions = [
             f"{route}: new {tally.bad:.0f}/{tally.answers:.0f}"
             f" old {self._describe_old(route)}"
             for route, tally in sorted(routes.items())
         ]
-        return "; ".join(told) or "no answers of the new version"
+        return "; ".join(descriptions) or "no answers of the new version"
 
     def _describe_old(self, route: str) -> str:
-        """Describes the old version's answers on a route."""
+        """Returns the old version's counts on a route, for logs."""
         tally = self.old.get(route, Tally())
         return f"{tally.bad:.0f}/{tally.answers:.0f}"
 
-    def _fade(self, now_s: float) -> None:
-        """Lets older answers of the old version count less."""
-        kept = math.pow(0.5, max(0.0, now_s - self._faded_s) / FADES_S)
-        self._faded_s = now_s
+    def _decay(self, now_s: float) -> None:
+        """Decays the recent answers of the old version."""
+        kept = math.pow(0.5, max(0.0, now_s - self._decayed_s) / HALF_LIFE_S)
+        self._decayed_s = now_s
         for tally in self._recent.values():
             tally.answers *= kept
             tally.bad *= kept
 
     def _is_clearly_worse(self) -> bool:
-        """Tells whether many answers show a small difference."""
+        """Returns True if many answers prove a small difference."""
         new, old = self.count_new(), self.old.get(ALL_ROUTES, Tally())
-        if new.answers < MANY or old.answers < MANY:
+        if (
+            new.answers < MIN_COMPARED_ANSWERS
+            or old.answers < MIN_COMPARED_ANSWERS
+        ):
             return False
         searchers: dict[str, float] = collections.defaultdict(float)
         for (_, searcher), tally in self.new.items():
             searchers[searcher] += tally.bad
         bad = new.bad
         if len(searchers) > 1:
-            # The worst searcher counts as much as the others do.
+            # The worst searcher's count is limited to the others' average.
             worst = max(searchers.values())
             bad = min(
                 bad, (bad - worst) * len(searchers) / (len(searchers) - 1)
@@ -219,21 +234,21 @@
             pooled * (1.0 - pooled) * (1 / new.answers + 1 / old.answers)
         )
         difference = bad / new.answers - old.bad / old.answers
-        return error > 0 and difference / error > CLEAR
+        return error > 0 and difference / error > CLEAR_STANDARD_ERRORS
 
 
-def compute_odds(usual: float, answers: int, bad: int) -> float:
-    """Computes what answers speak for, as a logarithm of odds.
+def compute_log_odds(usual: float, answers: int, bad: int) -> float:
+    """Computes the log odds for a worse version from some answers.
 
     Args:
-        usual: The usual share of bad answers, more than 0 and less than 1.
-        answers: How many answers there were.
-        bad: Of these, how many were bad.
+        usual: The usual share of bad answers, greater than 0 and less than 1.
+        answers: Number of answers.
+        bad: Number of these that were bad.
 
     Returns:
-        More than 0 if they fit a worse version better than a usual one.
+        The log odds; positive if a worse version explains the answers better.
     """
-    worse = usual + (EFFECT + USUAL_FACTOR * usual) * (1.0 - usual)
+    worse = usual + (MIN_EFFECT + EFFECT_FACTOR * usual) * (1.0 - usual)
     good = answers - bad
     return bad * math.log(worse / usual) + good * math.log(
         (1.0 - worse) / (1.0 - usual)
--- a/tests/policy/test_version_evidence.py
+++ b/tests/policy/test_version_evidence.py
@@ -1,4 +1,4 @@
-"""Versions whose answers fail or are slow: from the start, later, in part."""
+"""Detection of versions with more failed or slow answers than the old one."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 SEARCHERS = ("a", "b", "c")
 
 
-def play(
+def simulate(
     share: float,
     usual: float,
     answers: int,
@@ -21,7 +21,10 @@
     searchers: tuple[str, ...] = SEARCHERS,
     good_before: int = 0,
 ) -> int | None:
-    """Returns after how many answers the version is found to be worse."""
+    """Returns the number of answers until the version is found to be worse.
+
+    None if it is not found to be worse.
+    """
     rng = random.Random(seed)
     evidence = version_evidence.Evidence(0.0)
     for number in range(answers):
@@ -39,26 +42,28 @@
 
 
 @pytest.mark.parametrize("good_before", [0, 200])
-def test_a_bad_version_is_found_within_forty_answers(good_before: int) -> None:
-    """Guards against good answers of the start that hide a late fault."""
+def test_a_worse_version_is_detected_within_40_answers(
+    good_before: int,
+) -> None:
+    """Guards against early good answers that hide a late fault."""
     for seed in range(200):
-        found = play(0.4, 0.02, 400, seed, good_before=good_before)
+        found = simulate(0.4, 0.02, 400, seed, good_before=good_before)
         assert found is not None
         assert found - good_before <= 40
 
 
-def test_a_version_as_good_as_the_old_one_is_hardly_ever_rejected() -> None:
-    rejected = [play(0.02, 0.02, 300, seed) for seed in range(300)]
+def test_an_equally_good_version_is_rarely_rejected() -> None:
+    rejected = [simulate(0.02, 0.02, 300, seed) for seed in range(300)]
     assert sum(each is not None for each in rejected) <= 3
 
 
-def test_troubles_of_both_versions_are_not_blamed_on_the_new_one() -> None:
-    """Guards against a roll-back while slow searchers hit old and new."""
-    rejected = [play(0.3, 0.3, 200, seed) for seed in range(200)]
+def test_faults_of_both_versions_do_not_reject_the_new_one() -> None:
+    """Guards against a rollback if both versions have slow searchers."""
+    rejected = [simulate(0.3, 0.3, 200, seed) for seed in range(200)]
     assert sum(each is not None for each in rejected) <= 2
 
 
-def test_one_broken_searcher_does_not_speak_for_its_version() -> None:
+def test_one_broken_searcher_does_not_reject_its_version() -> None:
     evidence = version_evidence.Evidence(0.0)
     for number in range(60):
         evidence.add_old("/one/", 20, 0, number * 0.1)
@@ -68,11 +73,11 @@
     assert evidence.get_verdict() is not WORSE
 
 
-def test_a_single_searcher_speaks_for_its_version() -> None:
-    assert play(0.5, 0.02, 60, 1, searchers=("a",)) is not None
+def test_a_version_with_a_single_searcher_can_be_rejected() -> None:
+    assert simulate(0.5, 0.02, 60, 1, searchers=("a",)) is not None
 
 
-def test_a_fault_of_one_route_is_found_among_many_good_answers() -> None:
+def test_a_fault_of_one_route_is_detected_among_good_answers() -> None:
     evidence = version_evidence.Evidence(0.0)
     for number in range(12):
         now_s = number * 0.5
@@ -84,8 +89,8 @@
     assert evidence.get_verdict() is WORSE
 
 
-def test_a_small_difference_shows_among_many_answers() -> None:
-    """Guards against thousands of bad answers of a slightly worse version."""
+def test_a_small_difference_is_detected_among_many_answers() -> None:
+    """Guards against a slightly worse version with thousands of bad answers."""
     evidence = version_evidence.Evidence(0.0)
     for _ in range(20):
         evidence.add_old("/one/", 1000, 2, 0.0)
@@ -94,13 +99,13 @@
     assert evidence.get_verdict() is WORSE
 
 
-def test_without_answers_nothing_is_decided() -> None:
+def test_without_answers_the_verdict_is_open() -> None:
     evidence = version_evidence.Evidence(0.0)
     assert evidence.get_verdict() is OPEN
     assert evidence.describe() == "no answers of the new version"
 
 
-def test_a_description_names_both_versions_by_route() -> None:
+def test_the_description_lists_both_versions_by_route() -> None:
     evidence = version_evidence.Evidence(0.0)
     evidence.add_old("/one/", 10, 1, 0.0)
     evidence.add_new("/one/", "a", 3, 2)
