--- a/tests/policy/query_parts.py
+++ b/tests/policy/query_parts.py
@@ -1,4 +1,4 @@
-"""Shard maps, searcher states and parts for the query path's policy tests."""
+"""Builders of shard maps, searcher states and sub-requests for policy tests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def make_map(
     sizes: Sequence[int], version: int = 1, replicas: int = 2
 ) -> resources.ShardMap:
-    """Makes a shard map of ranges of a hundred keys."""
+    """Creates a shard map with ranges of 100 keys."""
     return resources.ShardMap(
         name=f"cover.{version}",
         index="cover",
@@ -32,7 +32,7 @@
 def make_sites(
     shard_map: resources.ShardMap, out: Sequence[str] = ()
 ) -> dict[str, topology.Site]:
-    """Makes a site for each searcher, each on a server of its own."""
+    """Creates a site for each searcher, each on a different server."""
     return {
         name: topology.Site(
             resources.Searcher(name=name, address="10.0.0.1:1"),
@@ -52,7 +52,7 @@
     queued: int = 0,
     limit: int = 2,
 ) -> messages.SearcherState:
-    """Makes what an owner tells of a searcher."""
+    """Creates the state that an owner reports of a searcher."""
     return messages.SearcherState(
         name,
         1,
@@ -67,7 +67,7 @@
 def make_states(
     shard_map: resources.ShardMap, versions: Sequence[int] = (1,)
 ) -> dict[str, messages.SearcherState]:
-    """Makes a usable state for each searcher."""
+    """Creates a usable state for each searcher."""
     return {
         name: make_state(name, versions)
         for shard in shard_map.shards
@@ -76,7 +76,7 @@
 
 
 def make_attempt(part: int, shard: resources.Shard) -> assembly.Attempt:
-    """Makes an attempt on a shard's first searcher."""
+    """Creates an attempt at a shard's first searcher."""
     name = shard.searchers[0]
     return assembly.Attempt(
         part, shard, name, f"server-{name}", "vm-0", 1, 0.0, "first"
@@ -90,7 +90,7 @@
     items: bytes | None = None,
     high: int | None = None,
 ) -> messages.PartDone:
-    """Makes a result; its one item is the shard's range."""
+    """Creates a result whose only item is by default the shard's range."""
     return messages.PartDone(
         part,
         version,
