--- a/src/azureramp/policy/__init__.py
+++ b/src/azureramp/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: pure functions and small state machines, without I/O."""
+"""Decision logic: pure functions and small state machines without I/O."""
--- a/src/azureramp/policy/addresses.py
+++ b/src/azureramp/policy/addresses.py
@@ -1,4 +1,4 @@
-"""In which order a caller should use the entry VMs."""
+"""The order in which a caller should use the entry VMs."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from azureramp.policy import ownership
 
 SPREAD = 0.0875
-"""Most that a VM's weight may differ from the even share, as a part of it."""
+"""Maximum deviation of a VM's weight from the even share, as a fraction."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Entry:
-    """An entry VM, as far as addresses matter.
+    """An entry VM with what decides whether its address is given out.
 
     Attributes:
         name: The VM's name.
         zone: Its availability zone.
         ready: True if it serves callers.
-        live: True if it is heard.
-        leaving: True once it or the platform said that it goes.
+        live: True if its heartbeats arrive.
+        leaving: True once the VM or the platform has announced its shutdown.
     """
 
     name: str
@@ -33,14 +33,14 @@
 def choose_eligible(
     entries: Iterable[Entry], zones_out: Collection[str]
 ) -> tuple[str, ...]:
-    """Chooses the VMs that may be advertised.
+    """Selects the VMs that may be advertised.
 
     Args:
         entries: The VMs.
         zones_out: The availability zones out of service.
 
     Returns:
-        Their names, ascending.
+        The names of the eligible VMs, in ascending order.
     """
     return tuple(
         sorted(
@@ -55,20 +55,20 @@
 
 
 def place(weights: Mapping[str, float], vms: Sequence[str]) -> dict[str, str]:
-    """Places each caller on the VM that it should use first.
+    """Assigns each caller to the VM that it should use first.
 
-    Rendezvous hash with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
-    2016): a caller gets the first VM of its own order that still has room,
-    the heavy callers before the light ones. Every VM computes the same from
-    the same configuration and the same eligible VMs.
+    Rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
+    2016): a caller is assigned to the first VM of its own ranking that has
+    capacity left, heavy callers before light ones. Every VM computes the same
+    result from the same configuration and the same eligible VMs.
 
     Args:
         weights: The declared weight of each caller, by name.
         vms: The names of the eligible VMs; at least one.
 
     Returns:
-        A VM for each caller. No VM has more than `SPREAD` above or below the
-        even share, unless one caller alone weighs more than that.
+        The VM of each caller. No VM's load differs from the even share by
+        more than `SPREAD`, unless a single caller weighs more than that.
     """
     room = compute_room(weights, len(vms))
     loads = dict.fromkeys(vms, 0.0)
@@ -87,17 +87,17 @@
 
 
 def compute_room(weights: Mapping[str, float], vms: int) -> float:
-    """Computes the most weight that a VM may get.
+    """Computes the maximum weight that may be assigned to a VM.
 
-    The others' surplus is what one VM can lack, so the bound above the even
-    share shrinks with the number of VMs.
+    The surplus of all other VMs together can be missing on one VM, so the
+    allowed surplus of each is divided by the number of the others.
     """
     share = sum(weights.values()) / vms
     return share * (1.0 + SPREAD / max(1, vms - 1))
 
 
 def rank(caller: str, vms: Iterable[str]) -> list[str]:
-    """Ranks the VMs for a caller by rendezvous hash, best first."""
+    """Ranks the VMs for a caller by rendezvous weight, highest first."""
     return sorted(
         vms,
         key=lambda vm: (ownership.compute_weight(caller, vm), vm),
@@ -108,9 +108,9 @@
 def order(
     caller: str, weights: Mapping[str, float], vms: Sequence[str]
 ) -> tuple[str, ...]:
-    """Orders the VMs for one caller, best first.
+    """Orders the VMs for one caller, the preferred one first.
 
-    Places all callers each time; where many ask, keep an `Orders`.
+    Assigns all callers on each call; use an `Orders` for repeated calls.
 
     Args:
         caller: The caller's name.
@@ -121,12 +121,12 @@
 
 
 class Orders:
-    """The orders for the present callers and VMs, computed once."""
+    """Caches the assignment of the current callers to the current VMs."""
 
     __slots__ = ("_placed", "_vms", "_weights")
 
     def __init__(self) -> None:
-        """Makes one that has computed nothing."""
+        """Creates an empty cache."""
         self._weights: Mapping[str, float] = {}
         self._vms: tuple[str, ...] = ()
         self._placed: dict[str, str] = {}
@@ -134,7 +134,7 @@
     def get(
         self, caller: str, weights: Mapping[str, float], vms: Sequence[str]
     ) -> tuple[str, ...]:
-        """Returns the order for one caller; see `order`."""
+        """Returns the order of the VMs for one caller; see `order`."""
         if not vms:
             return ()
         if self._vms != tuple(vms) or self._weights != weights:
