--- a/src/azureramp/policy/admission.py
+++ b/src/azureramp/policy/admission.py
@@ -1,8 +1,8 @@
-"""Whether a request is taken now, or refused at once as not run.
+"""Admission control: accepts a request, or rejects it at once as not run.
 
-Nothing waits here: a request is either sent on or refused, and the owners'
-queues have bounds in length and time. So all the decision needs is whether
-those queues let a request of this priority through in time.
+Requests do not queue here: each is either forwarded or rejected, and the
+owners' queues are bounded in length and time. The decision therefore only
+depends on whether those queues let a request of this priority through in time.
 """
 
 from __future__ import annotations
@@ -17,36 +17,39 @@
     resources.Priority.NORMAL: 384,
     resources.Priority.DEFERRABLE: 256,
 }
-"""Most requests that run at once on a VM when one more of a priority comes."""
+"""Maximum concurrent requests on a VM when a request of a priority arrives."""
 
 WINDOW_S = 0.1
-"""Time over which waits are judged."""
+"""Length of the window over which waits are averaged, in seconds."""
 
 DECREASE = 0.05
-"""How far the level falls in a window, times by how much waits are over."""
+"""Decrease of the level in an overloaded window, multiplied by the mean ratio
+of the waits to their limit."""
 
 STEEPEST = 4.0
-"""Most of that factor; also what a sub-request refused by a queue counts."""
+"""Maximum of that ratio; also the ratio of a sub-request that a queue refused.
+"""
 
 INCREASE = 0.02
-"""How far the level rises in a window without overload."""
+"""Increase of the level in a window without overload."""
 
 MOST_WINDOWS = 1000.0
-"""Most windows without a sample that are made up for at once."""
+"""Maximum number of windows without a sample that are credited at once."""
 
 LOWEST_LEVEL = 0.1
-"""Share of urgent requests that are taken at the least, to keep measuring."""
+"""Minimum share of urgent requests accepted, so that waits stay measurable."""
 
 DEADLINE_SHARE = 0.25
-"""A mean wait of so much of the deadline is the most that is no overload."""
+"""Maximum mean wait without overload, as a share of the deadline."""
 
 QUEUE_SHARE = 0.5
-"""The same, of the longest time that a sub-request may be queued."""
+"""Maximum mean wait without overload, as a share of the time limit in queues.
+"""
 
 SMOOTHING = 0.1
 HALF_LIFE_S = 0.5
-"""A measured wait counts half after this time without a new one: when all is
-refused nothing is measured, and the refusals must end by themselves.
+"""Half-life of a measured wait, in seconds. While all requests are rejected no
+new wait is measured, so the rejections must end without a new measurement.
 """
 
 SHORTEST_RETRY_MS = 200
@@ -54,20 +57,20 @@
 
 
 class Level:
-    """How much is taken, as one number: how many priorities, the urgent first.
+    """The admission level: how many priorities are accepted, urgent first.
 
-    3 takes everything; 2.4 takes four in ten of the deferrable requests; 1
-    takes none but urgent ones. It falls while the least urgent requests that
-    are taken wait too long, and rises slowly when they don't.
+    Level 3 accepts everything, 2.4 accepts 40 % of the deferrable requests,
+    and 1 accepts only urgent ones. The level falls while the least urgent
+    accepted requests wait too long, and otherwise rises slowly.
 
     Attributes:
-        value: The level.
+        value: The level, at most the number of priorities.
     """
 
     __slots__ = ("_counts", "_ends_s", "_overloaded", "_ratios", "value")
 
     def __init__(self) -> None:
-        """Makes a level that takes everything."""
+        """Creates a level that accepts everything."""
         self.value = float(len(resources.Priority))
         self._overloaded = False
         self._ends_s = 0.0
@@ -77,53 +80,53 @@
     def observe(
         self, priority: resources.Priority, ratio: float, now_s: float
     ) -> None:
-        """Takes in how long a request's parts waited.
+        """Records how long the parts of a request waited.
 
         Args:
             priority: The request's priority.
-            ratio: The mean wait, over the most that is no overload.
-            now_s: The time now, in seconds.
+            ratio: The mean wait divided by the longest wait without overload.
+            now_s: The current time, in seconds.
         """
         self._end_window(now_s)
         self._ratios[priority] += min(STEEPEST, ratio)
         self._counts[priority] += 1
 
     def get_share(self, priority: resources.Priority, now_s: float) -> float:
-        """Returns the share of a priority's requests that are taken."""
+        """Returns the share of a priority's requests that are accepted."""
         self._end_window(now_s)
         return min(1.0, max(0.0, self.value - priority))
 
     def is_overloaded(self, now_s: float) -> bool:
-        """Tells whether anything is shed or waited too long just now."""
+        """Returns True if load is shed or recent waits were too long."""
         self._end_window(now_s)
         return self._overloaded or self.value < len(resources.Priority)
 
     def _end_window(self, now_s: float) -> None:
-        """Moves the level once a window is over."""
+        """Adjusts the level at the end of a window."""
         if now_s < self._ends_s:
             return
-        silent = min(MOST_WINDOWS, (now_s - self._ends_s) / WINDOW_S)
+        idle_windows = min(MOST_WINDOWS, (now_s - self._ends_s) / WINDOW_S)
         self._ends_s = now_s + WINDOW_S
         worst = self._find_overloaded()
         if worst is None:
-            silent += 1.0
+            idle_windows += 1.0
         else:
             floor = max(LOWEST_LEVEL, float(worst))
             mean = self._ratios[worst] / self._counts[worst]
             fallen = max(floor, self.value - DECREASE * mean)
             self.value = min(self.value, fallen)
-        # In the windows since then nobody waited: what is refused measures
-        # nothing, and a level that only samples raise would never rise.
+        # Windows without a sample count as windows without overload: rejected
+        # requests give no samples, so the level could never rise otherwise.
         self.value = min(
-            float(len(resources.Priority)), self.value + INCREASE * silent
+            float(len(resources.Priority)), self.value + INCREASE * idle_windows
         )
-        self._overloaded = worst is not None and silent < 1.0
+        self._overloaded = worst is not None and idle_windows < 1.0
         for priority in resources.Priority:
             self._ratios[priority] = 0.0
             self._counts[priority] = 0
 
     def _find_overloaded(self) -> resources.Priority | None:
-        """Finds the most urgent priority whose requests wait too long."""
+        """Returns the most urgent priority whose requests wait too long."""
         for priority in resources.Priority:
             count = self._counts[priority]
             if count and self._ratios[priority] / count > 1.0:
@@ -133,11 +136,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Wait:
-    """A smoothed wait.
+    """An exponentially smoothed wait.
 
     Attributes:
-        wait_ms: The wait.
-        at_s: When it was measured.
+        wait_ms: The wait, in milliseconds.
+        at_s: When it was last updated, in seconds.
     """
 
     wait_ms: float = 0.0
@@ -145,12 +148,12 @@
 
 
 class Times:
-    """Today's service times and waits of each index."""
+    """The recent service times and waits of each index."""
 
     __slots__ = ("_service_ms", "_waits")
 
     def __init__(self) -> None:
-        """Makes times without measurements."""
+        """Creates an object without measurements."""
         self._service_ms: dict[str, float] = {}
         self._waits: dict[tuple[str, resources.Priority], _Wait] = {}
 
@@ -162,42 +165,42 @@
         wait_ms: float,
         now_s: float,
     ) -> None:
-        """Takes in the means of a request's parts.
+        """Records the mean times of a request's parts.
 
         Args:
             index: The index.
             priority: The request's priority.
-            service_ms: How long the searchers took.
-            wait_ms: All the other time, the queues' above all.
-            now_s: The time now, in seconds.
+            service_ms: The searchers' service time, in milliseconds.
+            wait_ms: All other time, mostly in queues, in milliseconds.
+            now_s: The current time, in seconds.
         """
-        known_ms = self._service_ms.get(index, service_ms)
-        known_ms += SMOOTHING * (service_ms - known_ms)
-        self._service_ms[index] = known_ms
+        smoothed_ms = self._service_ms.get(index, service_ms)
+        smoothed_ms += SMOOTHING * (service_ms - smoothed_ms)
+        self._service_ms[index] = smoothed_ms
         wait = self._waits.setdefault((index, priority), _Wait())
-        faded_ms = _fade(wait, now_s)
-        wait.wait_ms = faded_ms + SMOOTHING * (wait_ms - faded_ms)
+        decayed_ms = _decay(wait, now_s)
+        wait.wait_ms = decayed_ms + SMOOTHING * (wait_ms - decayed_ms)
         wait.at_s = now_s
 
     def estimate_ms(
         self, index: str, priority: resources.Priority, now_s: float
     ) -> float:
-        """Estimates how long a request takes; 0 while nothing is known."""
+        """Estimates how long a request takes, in milliseconds; 0 if unknown."""
         wait = self._waits.get((index, priority))
-        wait_ms = _fade(wait, now_s) if wait else 0.0
+        wait_ms = _decay(wait, now_s) if wait else 0.0
         return self._service_ms.get(index, 0.0) + wait_ms
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Demand:
-    """A request that asks to be taken.
+    """A request to be accepted or rejected.
 
     Attributes:
         priority: Its priority.
         left_ms: Time left until its answer is due, in milliseconds.
-        needed_ms: Time that it takes at today's service time.
-        running: How many requests run on this VM.
-        share: The share of its priority that is taken now.
+        needed_ms: Its estimated duration, in milliseconds.
+        running: The number of requests running on this VM.
+        share: The share of its priority's requests that are accepted now.
     """
 
     priority: resources.Priority
@@ -208,15 +211,15 @@
 
 
 def decide(demand: Demand, draw: float) -> errors.Kind | None:
-    """Decides whether to take a request.
+    """Decides whether to accept a request.
 
     Args:
         demand: The request.
-        draw: Evenly from 0 to 1.
+        draw: A uniform random number from 0 to 1.
 
     Returns:
-        None if it is taken; else `DEADLINE_TOO_SHORT` or `OVERLOADED`, both
-        not run.
+        None if the request is accepted; otherwise `DEADLINE_TOO_SHORT` or
+        `OVERLOADED`, both of which state that the request did not run.
     """
     if demand.left_ms <= 0 or demand.left_ms < demand.needed_ms:
         return errors.Kind.DEADLINE_TOO_SHORT
@@ -228,41 +231,44 @@
 
 
 def compute_retry_ms(drain_ms: float, draw: float) -> int:
-    """Computes when to come back, from the time in which queues drain.
+    """Computes the retry delay in milliseconds from the time queues drain in.
 
     Args:
-        drain_ms: That time, in milliseconds.
-        draw: Evenly from 0 to 1; it spreads those who were refused together,
-            who must not come back together.
+        drain_ms: The drain time, in milliseconds.
+        draw: A uniform random number from 0 to 1; adds jitter, so that callers
+            rejected at the same time do not retry at the same time.
     """
-    spread_ms = drain_ms * (1.0 + draw / 2)
-    return int(min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, spread_ms)))
+    jittered_ms = drain_ms * (1.0 + draw / 2)
+    return int(min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, jittered_ms)))
 
 
 def compute_ratio(wait_ms: float, allowed_ms: float, queue_ms: float) -> float:
-    """Computes a wait over the most that is no overload.
+    """Computes a wait as a ratio of the longest wait without overload.
 
     Args:
-        wait_ms: The mean wait of a request's parts.
-        allowed_ms: The time from the request's admission to its deadline.
-        queue_ms: Longest time that a sub-request may be queued.
+        wait_ms: The mean wait of a request's parts, in milliseconds.
+        allowed_ms: The time from the request's admission to its deadline, in
+            milliseconds.
+        queue_ms: The longest time that a sub-request may be queued, in
+            milliseconds.
     """
-    most_ms = min(allowed_ms * DEADLINE_SHARE, queue_ms * QUEUE_SHARE)
-    return wait_ms / max(1.0, most_ms)
+    max_ms = min(allowed_ms * DEADLINE_SHARE, queue_ms * QUEUE_SHARE)
+    return wait_ms / max(1.0, max_ms)
 
 
 def estimate_drain_ms(
     shards: Sequence[resources.Shard],
     states: Mapping[str, messages.SearcherState],
 ) -> float:
-    """Estimates when the fullest shard's queues have drained.
+    """Estimates how long the queues of the most loaded shard take to drain.
 
     Args:
         shards: The index's shards.
-        states: What the owners tell of their searchers.
+        states: The searchers' states as their owners announce them.
 
     Returns:
-        For the shard that needs longest, the time of its quickest replica.
+        The maximum over the shards of the time, in milliseconds, in which the
+        shard's fastest replica drains.
     """
     longest_ms = 0.0
     for shard in shards:
@@ -276,19 +282,19 @@
     return longest_ms
 
 
-def _fade(wait: _Wait, now_s: float) -> float:
-    """Returns a wait as it counts now."""
+def _decay(wait: _Wait, now_s: float) -> float:
+    """Returns a wait with its decay up to now, in milliseconds."""
     return float(wait.wait_ms * 0.5 ** ((now_s - wait.at_s) / HALF_LIFE_S))
 
 
 def compute_refusal_ratio(refused: int, parts: int) -> float:
-    """Computes what sub-requests refused by a queue add to the ratio.
+    """Computes the ratio that sub-requests refused by a queue contribute.
 
-    A full queue is the surest sign of overload; but one sick searcher, which
-    refuses all that it gets, must not shed the whole index's load.
+    A full queue is the clearest sign of overload, but a single faulty searcher
+    that refuses everything must not shed the load of the whole index.
 
     Args:
-        refused: How many were refused.
-        parts: How many parts the request has.
+        refused: The number of refused sub-requests.
+        parts: The number of sub-requests of the request.
     """
     return STEEPEST * min(1.0, 5.0 * refused / max(1, parts))
