--- a/src/azureramp/policy/advertising.py
+++ b/src/azureramp/policy/advertising.py
@@ -1,8 +1,9 @@
-"""Which VMs are advertised to callers.
+"""Selects the VMs that are advertised to callers.
 
-Fewer VMs than there are serve callers better: a searcher accepts a few dozen
-connections from all VMs together, so with few VMs each holds warm ones, and a
-VM that gets many requests knows the searchers better. The others stand by.
+Advertising a subset of the VMs gives better service: a searcher accepts a few
+dozen connections from all VMs together, so with few VMs each can keep warm
+connections, and a VM that gets many requests has better measurements of the
+searchers. The other VMs are on standby.
 """
 
 from __future__ import annotations
@@ -13,33 +14,34 @@
 from azureramp import catalog
 
 MOST_ADVERTISED = 64
-"""Most addresses in an answer; callers read no more."""
+"""Maximum number of addresses in an answer; callers read no more."""
 
 LEAST_ADVERTISED = 4
-"""Fewest VMs that are advertised while there are as many: with two, the loss
-of one would leave no choice to callers that keep an answer."""
+"""Minimum number of advertised VMs, if there are as many. With two, the loss
+of one would leave no alternative to callers that cache an answer."""
 
 LEAST_ZONES = 2
-"""Fewest availability zones with advertised VMs while there are as many, so
-that the loss of one leaves VMs that are advertised and warm."""
+"""Minimum number of availability zones with advertised VMs, if there are as
+many, so that after the loss of one zone advertised, warm VMs remain."""
 
 LINKS_EACH = 8
 """Connections that a VM should be able to hold to each searcher: two for the
-calls of two requests at once, and as many for hedges and late answers."""
+calls of two concurrent requests, and two for hedges and late answers."""
 
 LINKS_LEAST = 3
-"""The same however many VMs are busy: one for a call, one for its late answer
-and one for the next call. With fewer, calls wait for each other, and VMs whose
-views differ go past what a searcher accepts; it resets what comes beyond."""
+"""Minimum connections per VM to each searcher, however many VMs are busy: one
+for a call, one for its late answer and one for the next call. With fewer, calls
+wait for each other, and VMs with differing views together exceed the limit of
+a searcher, which resets the connections beyond it."""
 
 STRONG_SHARE = 0.5
-"""A VM with less of this part of the largest processor is advertised only to
-make up the fewest VMs, or in the place of a busy one: a request to all shards
-that reaches a small one is late."""
+"""A VM with less than this share of the largest VM's cores is advertised only
+to reach `LEAST_ADVERTISED`, or in place of a busy VM: a small VM answers a
+request to all shards too late."""
 
 NEAR_SHARE = 0.5
-"""An availability zone is near the searchers if its share of them is this part
-of the largest share."""
+"""An availability zone counts as near the searchers if its share of them is at
+least this fraction of the largest zone's share."""
 
 
 def choose(
@@ -47,43 +49,43 @@
     nearness: Mapping[str, float],
     connections: int,
 ) -> tuple[catalog.Member, ...]:
-    """Chooses the VMs to tell of.
+    """Selects the VMs to advertise.
 
-    VMs in availability zones that hold many searchers go first, since their
-    calls need not cross zones; among them those with most processor. Two VMs
-    take the place of each one that is busy: if it is slow, others do its work;
-    if all are loaded, twice as many share the load. A busy VM is advertised
-    only where there are no others.
+    VMs in availability zones that hold many searchers are preferred, since
+    their calls need not cross zones, and among them those with most cores. Two
+    VMs replace each busy one: if that VM is slow, others do its work; if all
+    are loaded, twice as many share the load. Busy VMs are advertised only if
+    there are too few others.
 
     Args:
-        members: The VMs that are known.
+        members: The known VMs.
         nearness: The share of the searchers that each zone holds, 0 to 1.
-        connections: The fewest connections that a searcher in use accepts
-            from all VMs together; 0 if that is not known.
+        connections: The lowest number of connections that a searcher in use
+            accepts from all VMs together; 0 if unknown.
 
     Returns:
-        The VMs, in the order of their names.
+        The selected VMs, sorted by name.
     """
     staying = [member for member in members if not member.leaving]
     usual, most = _count_wanted(connections)
     usual = min(usual, max(LEAST_ADVERTISED, _count_strong(staying)))
-    taken: list[catalog.Member] = []
-    passed: list[catalog.Member] = []
+    chosen: list[catalog.Member] = []
+    busy: list[catalog.Member] = []
     groups = _group_zones(_rank_zones(staying, nearness), nearness)
     for number, zones in enumerate(groups):
         if (
-            len(taken) >= LEAST_ADVERTISED + len(passed)
-            and _count_zones(taken) >= LEAST_ZONES
+            len(chosen) >= LEAST_ADVERTISED + len(busy)
+            and _count_zones(chosen) >= LEAST_ZONES
         ):
             break
-        # The last place is kept for another zone.
-        alone = number == 0 and len(zones) == 1 and len(groups) > 1
+        # The last place is reserved for another zone.
+        reserved = number == 0 and len(zones) == 1 and len(groups) > 1
         for member in _rank_evenly(staying, zones):
-            if len(taken) >= min(most, usual + len(passed)) - alone:
+            if len(chosen) >= min(most, usual + len(busy)) - reserved:
                 break
-            (passed if member.busy else taken).append(member)
-    taken += passed[: min(most, usual + len(passed)) - len(taken)]
-    return tuple(sorted(taken, key=lambda member: member.vm))
+            (busy if member.busy else chosen).append(member)
+    chosen += busy[: min(most, usual + len(busy)) - len(chosen)]
+    return tuple(sorted(chosen, key=lambda member: member.vm))
 
 
 def get_link_share(
@@ -91,12 +93,14 @@
 ) -> int:
     """Returns how many connections a VM may hold to one searcher.
 
-    A tenth is left for VMs that are not told, which open one when a request
-    reaches them all the same, and for moments when views differ.
+    A tenth is reserved for VMs that are not advertised, which open one
+    connection if a request reaches them anyway, and for times at which the VMs
+    have different views.
 
     Args:
-        connections: How many the searcher accepts from all VMs together.
-        advertised: How many VMs are advertised.
+        connections: The number of connections that the searcher accepts from
+            all VMs together.
+        advertised: The number of advertised VMs.
         is_advertised: True if this VM is among them.
     """
     if not is_advertised:
@@ -105,7 +109,7 @@
 
 
 def _count_wanted(connections: int) -> tuple[int, int]:
-    """Returns how many VMs are advertised usually, and at most."""
+    """Returns the usual and the maximum number of advertised VMs."""
     if not connections:
         return MOST_ADVERTISED, MOST_ADVERTISED
     usual = max(LEAST_ADVERTISED, connections // LINKS_EACH)
@@ -114,7 +118,7 @@
 
 
 def _count_strong(members: list[catalog.Member]) -> int:
-    """Returns how many VMs come near the one with most processor."""
+    """Returns how many VMs have at least `STRONG_SHARE` of the most cores."""
     most = max((member.cores for member in members), default=0.0)
     return sum(member.cores >= STRONG_SHARE * most for member in members)
 
@@ -130,7 +134,7 @@
 def _group_zones(
     zones: list[str], nearness: Mapping[str, float]
 ) -> list[list[str]]:
-    """Groups ranked zones: the near ones together, then one by one."""
+    """Groups ranked zones: the near ones in one group, then one zone each."""
     if not zones:
         return []
     largest = nearness.get(zones[0], 0.0)
@@ -145,7 +149,7 @@
 def _rank_evenly(
     members: list[catalog.Member], zones: list[str]
 ) -> list[catalog.Member]:
-    """Ranks VMs of zones in turn, those with most processor first."""
+    """Ranks VMs, alternating between zones, those with most cores first."""
     queues = [
         sorted(
             (member for member in members if member.zone == zone),
@@ -160,5 +164,5 @@
 
 
 def _count_zones(members: list[catalog.Member]) -> int:
-    """Returns in how many zones members are."""
+    """Returns the number of zones that the members are in."""
     return len({member.zone for member in members})
