--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -1,4 +1,4 @@
-"""The state of one query's parts over one pinned version, without any I/O."""
+"""The state of a query's sub-requests to one pinned version, without I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from azureramp.policy import coverage
 
 REFUSALS = frozenset({errors.Kind.SHED, errors.Kind.VERSION_GONE})
-"""Kinds by which a searcher replies that it did not begin."""
+"""Error kinds by which a searcher replies that it did not start the work."""
 
 MOST_WAIT_MS = 60_000
-"""Longest time to come back that is taken from a failure."""
+"""Maximum retry delay accepted from a failure, in milliseconds."""
 
 MAX_ATTEMPTS = 4
-"""Most attempts for one shard of one query, hedges included."""
+"""Maximum number of attempts for one shard of one query, hedges included."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -29,8 +29,8 @@
         searcher: The searcher's name.
         server: The name of the searcher's backend server.
         owner: The VM that it was sent to.
-        owner_incarnation: That VM's incarnation at sending.
-        sent_s: When.
+        owner_incarnation: That VM's incarnation when it was sent.
+        sent_s: When it was sent, in seconds.
         reason: `first`, `hedge` or `retry`.
     """
 
@@ -46,14 +46,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far one shard is.
+    """The progress of one shard.
 
     Attributes:
         shard: The shard.
         tried: The searchers that must not be tried again.
-        attempts: How many attempts were made.
+        attempts: The number of attempts made.
         running: The attempts without a result, by part number.
-        waiting: True while a later attempt is certain to be made.
+        waiting: True while another attempt is certain to follow.
     """
 
     shard: resources.Shard
@@ -65,12 +65,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Merged:
-    """A result became part of the answer.
+    """A result was merged into the answer.
 
     Attributes:
         attempt: The attempt.
-        losers: The shard's other attempts, for which nobody waits now.
-        service_ms: Time that the searcher took, in milliseconds.
+        losers: The shard's other attempts, whose results are no longer needed.
+        service_ms: The searcher's service time, in milliseconds.
     """
 
     attempt: Attempt
@@ -84,10 +84,11 @@
 
     Attributes:
         attempt: The attempt.
-        kind: Why.
-        sent: True if the searcher may have got the request.
-        ran: True if it may have begun to work on it.
-        retry_after_ms: Time until asking again can help; 0 if unknown.
+        kind: The error kind.
+        sent: True if the searcher may have received the request.
+        ran: True if the searcher may have started to work on it.
+        retry_after_ms: Time until a retry may succeed, in milliseconds; 0 if
+            unknown.
     """
 
     attempt: Attempt
@@ -99,20 +100,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Unknown:
-    """A result for no running attempt: a copy, late, or another request's."""
+    """A result without a running attempt: a duplicate, late, or misrouted."""
 
 
 Taken = Merged | Failed | Unknown
 
 
 class Assembly:
-    """What runs, is held and is lost, of one pinned version.
+    """The running, merged and lost parts of a query to one pinned version.
 
     Attributes:
-        ledger: The results held.
-        progress: The shards that may be queried, by name.
-        lost: The names of the shards that get no result any more.
-        merged: The attempts whose results are held.
+        ledger: The merged results.
+        progress: The progress of the shards that may be queried, by name.
+        lost: The names of the shards that will get no result.
+        merged: The attempts whose results were merged.
     """
 
     __slots__ = ("_running", "ledger", "lost", "merged", "progress")
@@ -122,12 +123,12 @@
         shard_map: resources.ShardMap,
         permits: Callable[[resources.Shard], bool],
     ) -> None:
-        """Makes an assembly without attempts.
+        """Creates an assembly without attempts.
 
         Args:
             shard_map: The pinned version's shard map.
-            permits: Tells which shards may be queried; the others are lost
-                from the start, and so the answer says that it lacks them.
+            permits: Returns True if a shard may be queried. The others are
+                lost from the start, so the answer reports them as missing.
         """
         self.ledger = coverage.Ledger(shard_map)
         self.progress = {
@@ -153,14 +154,14 @@
         self._running[attempt.part] = attempt
 
     def remove(self, attempt: Attempt) -> bool:
-        """Forgets a running attempt; False if it does not run."""
+        """Removes a running attempt; returns False if it is not running."""
         if self._running.pop(attempt.part, None) is None:
             return False
         self.progress[attempt.shard.name].running.pop(attempt.part, None)
         return True
 
     def take(self, result: messages.PartResult) -> Taken:
-        """Takes a result of a sub-request."""
+        """Handles the result of a sub-request."""
         attempt = self._running.get(result.part)
         if attempt is None:
             return Unknown()
@@ -172,12 +173,12 @@
                 wait_ms = min(max(0, result.retry_after_ms), MOST_WAIT_MS)
                 return Failed(attempt, kind, result.sent, ran, wait_ms)
             case messages.PartDone():
-                return self._take_done(attempt, result)
+                return self._merge_done(attempt, result)
 
-    def _take_done(
+    def _merge_done(
         self, attempt: Attempt, done: messages.PartDone
     ) -> Merged | Failed:
-        """Merges a result, or says why not."""
+        """Merges a result, or returns why it can't be merged."""
         items = coverage.read_items(done.items)
         if items is not None and self.ledger.hold(attempt.shard, done, items):
             progress = self.progress[attempt.shard.name]
@@ -190,11 +191,11 @@
         return Failed(attempt, kind, sent=True, ran=True)
 
     def give_up(self, progress: Progress) -> None:
-        """Counts a shard as lost."""
+        """Marks a shard as lost."""
         self.lost.add(progress.shard.name)
 
     def get_attempt(self, part: int) -> Attempt | None:
-        """Returns a running attempt by its number."""
+        """Returns a running attempt by its part number; None if not found."""
         return self._running.get(part)
 
     def get_running(self) -> tuple[Attempt, ...]:
@@ -202,23 +203,23 @@
         return tuple(self._running.values())
 
     def get_open(self) -> Iterable[Progress]:
-        """Returns the shards whose result may still come."""
+        """Returns the progress of the shards without a merged result."""
         held = self.ledger.is_held
         return [p for p in self.progress.values() if not held(p.shard)]
 
     def is_final(self) -> bool:
-        """Tells whether nothing more can come."""
+        """Returns True if no further result can arrive."""
         return not self._running and not any(
             progress.waiting for progress in self.progress.values()
         )
 
     def get_reachable(self) -> fractions.Fraction:
-        """Returns the coverage if all that is not lost still comes."""
+        """Returns the coverage if every shard that is not lost answers."""
         return self.ledger.get_reachable(self.lost)
 
 
 def read_kind(code: str) -> errors.Kind:
-    """Reads an error kind that came from another VM."""
+    """Parses an error kind received from another VM; `INTERNAL` if unknown."""
     try:
         return errors.Kind(code)
     except ValueError:
