--- a/src/azureramp/policy/backoff.py
+++ b/src/azureramp/policy/backoff.py
@@ -1,9 +1,9 @@
-"""When to call a service again that has failed: jittered backoff.
+"""Exponential backoff with jitter for calls to a failing service.
 
-Once a few calls in a row have failed, callers are refused at once and only
-one call at a time probes the service. The waits double and are drawn at
-random, so that the VMs, which all saw the same outage begin and end, don't
-come back together.
+After a few consecutive failures, calls are refused at once and only one call
+at a time probes the service. The delays double and are randomized, so that
+the VMs, which all see an outage begin and end at the same time, don't retry at
+the same time.
 """
 
 from __future__ import annotations
@@ -11,44 +11,44 @@
 import random
 
 TOLERATED = 3
-"""So many failures in a row begin the backoff; fewer are single losses."""
+"""Consecutive failures that start the backoff; fewer are isolated losses."""
 
 FIRST_S = 0.2
-"""Upper end of the first wait, in seconds."""
+"""Upper limit of the first delay, in seconds."""
 
 LONGEST_S = 3.0
-"""Upper end of the longest wait, in seconds."""
+"""Upper limit of any delay, in seconds."""
 
 
 class Backoff:
-    """The state of one VM's backoff from one service.
+    """One VM's backoff state for one service.
 
     Attributes:
-        failures: Failed calls since the last success.
-        until_s: No call before this time, on the caller's clock.
+        failures: The number of failed calls since the last success.
+        until_s: The earliest time of the next call, on the caller's clock.
     """
 
     __slots__ = ("_probing_until_s", "failures", "until_s")
 
     def __init__(self) -> None:
-        """Makes a backoff that allows calls."""
+        """Creates a backoff that allows calls."""
         self.failures = 0
         self.until_s = 0.0
         self._probing_until_s = 0.0
 
     def is_open(self) -> bool:
-        """Tells whether the service is taken for working."""
+        """Returns True if the service is treated as working."""
         return self.failures < TOLERATED
 
     def may_call(self, now_s: float, probe_s: float) -> bool:
-        """Tells whether a call may be made now.
+        """Returns True if a call may be made now.
 
-        During a backoff this says yes to one caller, which probes, and no to
-        the others until the probe has ended or its time is over.
+        During a backoff this returns True to one caller, whose call is the
+        probe, and False to the others until the probe has ended or timed out.
 
         Args:
-            now_s: The time, in seconds.
-            probe_s: Longest time that a probe takes, in seconds.
+            now_s: The current time, in seconds.
+            probe_s: The timeout of a probe, in seconds.
         """
         if self.is_open():
             return True
@@ -64,20 +64,20 @@
         return max(self.until_s - now_s, self._probing_until_s - now_s, 0.0)
 
     def record_success(self) -> None:
-        """Allows calls again."""
+        """Ends the backoff after a successful call."""
         self.failures = 0
         self.until_s = 0.0
         self._probing_until_s = 0.0
 
     def record_failure(self, now_s: float, rng: random.Random) -> None:
-        """Draws the next wait.
+        """Counts a failed call and draws the next delay.
 
-        The calls that were under way when an outage began fail together and
-        count as one failure more, not as many doublings.
+        Calls that were in flight when an outage began fail together; they
+        count as one more failure and don't double the delay many times.
 
         Args:
-            now_s: The time, in seconds.
-            rng: Draws the wait between half of its upper end and all of it.
+            now_s: The current time, in seconds.
+            rng: Draws the delay from half its upper limit to the full limit.
         """
         if not self.is_open() and now_s < self.until_s:
             return
