--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -1,9 +1,9 @@
-"""Requests that crash the searchers that run them.
+"""Quarantine of poison requests, which crash the searchers that run them.
 
-Such a request comes again, to any VM, and each time takes searchers down for
-some seconds. What was running on a searcher when it crashed is blamed for it;
-a request that is blamed for several crashes, as all VMs together see them, is
-refused for a while.
+A poison request is retried on any VM, and each time takes searchers down for
+some seconds. A crash is attributed to every request that was running on the
+searcher. A request with several crashes, counted over all VMs, is refused for
+some time.
 """
 
 from __future__ import annotations
@@ -14,48 +14,48 @@
 from azureramp.ports.forwarding import api
 
 TOLERATED = 3
-"""Crashes from which on a request is refused. Whatever else ran on a searcher
-that crashed is blamed with it, but hardly ever three times."""
+"""Number of crashes from which a request is refused. A crash is also attributed
+to unrelated requests on the same searcher, but hardly ever three times."""
 
 QUARANTINE_S = 120.0
 """How long a request is refused after its last crash, in seconds."""
 
 MOST_REQUESTS = 2048
-"""Most requests that are remembered; the one blamed first goes first."""
+"""Maximum number of requests kept; the oldest one is dropped first."""
 
 OWN = ""
-"""The name under which a VM keeps what it saw itself."""
+"""The key under which a VM keeps the crashes that it observed itself."""
 
 
 class Blames:
-    """The crashes that each request is blamed for."""
+    """The crashes attributed to each request."""
 
     __slots__ = ("_by_request",)
 
     def __init__(self) -> None:
-        """Makes one that blames nobody."""
+        """Creates an empty table."""
         self._by_request: collections.OrderedDict[
             str, dict[str, tuple[int, float]]
         ] = collections.OrderedDict()
 
     def add(self, fingerprint: str, now_s: float) -> int:
-        """Takes a crash that this VM saw.
+        """Records a crash that this VM observed.
 
         Returns:
-            How many it has seen of this request.
+            The number of crashes that it has observed for this request.
         """
-        seen, _ = self._by_request.get(fingerprint, {}).get(OWN, (0, 0.0))
-        self._put(fingerprint, OWN, seen + 1, now_s)
-        return seen + 1
+        observed, _ = self._by_request.get(fingerprint, {}).get(OWN, (0, 0.0))
+        self._set_crashes(fingerprint, OWN, observed + 1, now_s)
+        return observed + 1
 
     def adopt(
         self, fingerprint: str, vm: str, crashes: int, now_s: float
     ) -> None:
-        """Takes what another VM saw."""
-        self._put(fingerprint, vm, crashes, now_s)
+        """Records the number of crashes that another VM observed."""
+        self._set_crashes(fingerprint, vm, crashes, now_s)
 
     def get_refused_s(self, fingerprint: str, now_s: float) -> float:
-        """Returns how much longer a request is refused, in seconds."""
+        """Returns for how much longer a request is refused, in seconds."""
         by_vm = self._by_request.get(fingerprint)
         if by_vm is None:
             return 0.0
@@ -65,17 +65,17 @@
         return max(0.0, last_s + QUARANTINE_S - now_s)
 
     def clear(self, fingerprint: str) -> None:
-        """Takes an answer, which a request that crashes searchers never has."""
+        """Clears a request that got an answer, so it crashes no searchers."""
         self._by_request.pop(fingerprint, None)
 
     def knows(self, fingerprint: str) -> bool:
-        """Tells whether a request is blamed for anything."""
+        """Returns True if any crash is attributed to the request."""
         return fingerprint in self._by_request
 
-    def _put(
+    def _set_crashes(
         self, fingerprint: str, vm: str, crashes: int, now_s: float
     ) -> None:
-        """Keeps a number of crashes."""
+        """Sets the number of crashes that one VM observed for a request."""
         by_vm = self._by_request.setdefault(fingerprint, {})
         by_vm[vm] = (crashes, now_s)
         if len(self._by_request) > MOST_REQUESTS:
@@ -83,9 +83,9 @@
 
 
 def make_fingerprint(message: api.Message) -> str:
-    """Returns what a request has in common with its repeats.
+    """Returns a hash that is equal for all retries of a request.
 
-    Each try has an id and a deadline of its own; the rest is the same.
+    Each retry has its own id and deadline, so these are left out.
     """
     digest = hashlib.blake2b(digest_size=12)
     host = next((v for n, v in message.fields if n == b"host"), b"")
