--- a/src/azureramp/policy/budgets.py
+++ b/src/azureramp/policy/budgets.py
@@ -1,51 +1,52 @@
-"""Budgets for calls that nobody strictly needs: hedges and retries."""
+"""Token budgets for hedged requests and retries."""
 
 from __future__ import annotations
 
 BURST = 10.0
-"""Most tokens kept, so that a quiet hour does not pay for a storm."""
+"""Maximum number of saved tokens, so that a long time without extra calls does
+not allow an unlimited burst of them."""
 
 
 class Budget:
-    """A share of the needed calls, as tokens.
+    """A token budget that limits extra calls to a share of the needed calls.
 
-    At any time, spent <= share * needed + what it began with; and in any span
-    of time, at most BURST more than the share of that span. When a backend
-    server fails, each caller's instinct is to send more; the budget is what
-    keeps the sum of that from finishing off the servers that are left.
+    At any time, spent <= share * needed + initial tokens; and in any time
+    window, at most `BURST` calls more than the share of that window. When a
+    backend server fails, all callers send more calls; the budget limits their
+    sum, so that it does not overload the remaining servers.
 
     Attributes:
-        spent: How many tokens have been spent.
+        spent: The number of tokens spent.
     """
 
     __slots__ = ("_tokens", "spent")
 
     def __init__(self, tokens: float = 0.0) -> None:
-        """Makes a budget.
+        """Creates a budget.
 
         Args:
-            tokens: What it has from the start.
+            tokens: The number of initial tokens.
         """
         self._tokens = tokens
         self.spent = 0
 
     def earn(self, needed: int, share: float) -> None:
-        """Adds the share of some needed calls.
+        """Adds tokens for needed calls.
 
         Args:
-            needed: How many calls were needed.
-            share: The budget's share, 0 to 1; 0 also ends what was saved.
+            needed: The number of needed calls.
+            share: The budget's share, 0 to 1; 0 also discards saved tokens.
         """
         self._tokens = min(BURST, self._tokens + needed * share)
         if share <= 0:
             self._tokens = 0.0
 
     def can_spend(self) -> bool:
-        """Tells whether there is a token."""
+        """Returns True if a token is available."""
         return self._tokens >= 1.0
 
     def spend(self) -> bool:
-        """Takes one token, if there is one."""
+        """Spends one token; returns False if none is available."""
         if not self.can_spend():
             return False
         self._tokens -= 1.0
