--- a/src/azureramp/policy/connections.py
+++ b/src/azureramp/policy/connections.py
@@ -1,42 +1,45 @@
-"""Which pooled connection may be used: half-open ones are avoided.
+"""Rules for the use of pooled connections, which avoid half-open ones.
 
-A connection that something between its two ends has lost track of takes
-bytes and gives none back, while new connections work. So the judgement is by
-connection, from its last proof of life: its opening, or the last reply that
-came on it.
+A connection whose state was lost by a device between its two ends accepts
+bytes and returns none, while new connections work. So each connection is
+assessed separately, by its last proof of life: the time it was opened, or the
+last reply received on it.
 """
 
 from __future__ import annotations
 
 REUSE_S = 4.0
-"""Longest time since the last proof of life to be used without asking."""
+"""Maximum age of the last proof of life for reuse without a check, in seconds.
+"""
 
 OVERDUE_FACTOR = 5.0
-"""A reply is overdue after this many times the usual service time."""
+"""Multiple of the usual service time after which a reply is overdue."""
 
 OVERDUE_LEAST_MS = 50.0
-"""No reply is overdue before this, in milliseconds."""
+"""Minimum time before a reply is overdue, in milliseconds."""
 
 OVERDUE_UNKNOWN_MS = 250.0
-"""When a reply is overdue where no usual service time is known."""
+"""Time after which a reply is overdue if the usual service time is unknown, in
+milliseconds."""
 
 GIVE_UP_FACTOR = 4.0
-"""A repeatable call is given up after this many times the overdue time, if a
-fresh connection works meanwhile: twice a straggler of ten times."""
+"""Multiple of the overdue time after which a repeatable call is abandoned if a
+new connection works meanwhile: twice the time of a straggler that takes ten
+times the usual time."""
 
 HEALTH_LINKS = 2
-"""Connections kept free for health reads: one that stays open, and a fresh
-one to tell a silent connection from a silent searcher."""
+"""Connections reserved for health checks: one that stays open, and a new one
+to distinguish an unresponsive connection from an unresponsive searcher."""
 
 
 def may_reuse(proven_s: float, now_s: float, suspect_before_s: float) -> bool:
-    """Tells whether an idle connection may carry another request.
+    """Returns True if an idle connection may carry another request.
 
     Args:
-        proven_s: When it last gave proof of life.
-        now_s: The time.
-        suspect_before_s: Connections without proof of life since then are
-            suspect, since a reply is overdue on one that was used then.
+        proven_s: The time of its last proof of life, in seconds.
+        now_s: The current time, in seconds.
+        suspect_before_s: Connections without proof of life since this time are
+            suspect, because a reply is overdue on one that was used then.
     """
     return now_s - proven_s <= REUSE_S and proven_s > suspect_before_s
 
@@ -53,17 +56,17 @@
 
 
 def get_give_up_ms(usual_ms: float, cold: bool) -> float:
-    """Returns after how long a call is given up, in milliseconds.
+    """Returns after how long a call is abandoned, in milliseconds.
 
-    A searcher in cold start, or one that nothing is known of, may need any
-    time: giving its calls up would keep it from ever showing how long.
+    The service time of a searcher in cold start, or without measurements, has
+    no upper bound: abandoning its calls would prevent any measurement of it.
 
     Args:
         usual_ms: The usual service time, in milliseconds; 0 if unknown.
         cold: True while the searcher is in cold start.
 
     Returns:
-        The time; 0 for never.
+        The time, in milliseconds; 0 for never.
     """
     if cold or usual_ms <= 0:
         return 0.0
@@ -73,24 +76,25 @@
 def get_share(connections: int) -> int:
     """Returns how many connections an owner may hold open.
 
-    Half of the searcher's cap, so that an old and a new owner together stay
-    within it.
+    This is half of the searcher's limit, so that an old and a new owner
+    together stay within it.
 
     Args:
-        connections: How many the searcher accepts from everybody.
+        connections: How many connections the searcher accepts in total.
     """
     return max(1, connections // 2)
 
 
 def split_share(share: int) -> tuple[int, int]:
-    """Splits an owner's connections by their use.
+    """Splits an owner's connections into those for calls and health checks.
 
     Args:
-        share: How many it may hold open; 0 for none.
+        share: How many connections the owner may hold open; 0 for none.
 
     Returns:
-        How many for calls, and how many for health reads. A share of one or
-        two leaves one for calls, and health is read all the same.
+        The number of connections for calls, and the number for health checks.
+        A share of one or two gives one connection for calls; health checks
+        get their connections regardless.
     """
     if share <= 0:
         return 0, 0
