--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -1,8 +1,8 @@
-"""Proof of contact: who holds what, and whether this VM may go on.
+"""Proof of contact: which VM has which revision, and whether this VM may work.
 
-All proof comes from acknowledgements of this VM's own heartbeats and counts
-from the heartbeat's sending: what an acknowledgement says was true then or
-later, so neither a delay nor a clock that is set can make it look younger.
+All proof comes from acknowledgements of this VM's own heartbeats and is dated
+to the sending of the heartbeat: the acknowledged state was true then or later,
+so neither a delay nor a clock adjustment can make it appear more recent.
 docs/design/propagation.md derives the bound from these rules.
 """
 
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Acknowledgement:
-    """The newest acknowledgement of one VM.
+    """The newest acknowledgement from one VM.
 
     Attributes:
-        sent_s: When the acknowledged heartbeat was sent.
+        sent_s: When the acknowledged heartbeat was sent, in seconds.
         revision: The VM's configuration revision; 0 if it has none.
-        incarnation: The VM's process.
-        confirmed_s: When the platform had confirmed that revision, at the
-            earliest.
+        incarnation: The incarnation of the VM's process.
+        confirmed_s: A lower bound of the time at which the platform confirmed
+            that revision, in seconds.
     """
 
     sent_s: float
@@ -32,19 +32,20 @@
 
 
 Acknowledgements = Mapping[str, Acknowledgement]
-"""The newest acknowledgement of each other listed VM that gave one."""
+"""The newest acknowledgement of each other listed VM that sent one, by VM."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class View:
-    """What one VM knows at one moment.
+    """The state that one VM knows at one moment.
 
     Attributes:
-        now_s: The moment.
-        own: The VM's name.
+        now_s: The current time, in seconds.
+        own: The name of this VM.
         revision: Its configuration revision; 0 if it has none.
         listed: The names of the listed VMs.
-        acknowledgements: By VM; only those of listed ones count.
+        acknowledgements: The newest acknowledgements by VM; only those of
+            listed VMs count.
     """
 
     now_s: float
@@ -54,14 +55,14 @@
     acknowledgements: Acknowledgements
 
     def count_needed(self) -> int:
-        """Returns how many VMs are a majority."""
+        """Returns how many VMs form a majority."""
         return len(self.listed) // 2 + 1
 
     def get_others(self) -> dict[str, Acknowledgement]:
         """Returns the acknowledgements of listed VMs with a configuration.
 
-        A VM that has just started holds nothing and remembers nothing, so it
-        must not stand for what the process before it held.
+        A VM that has just started has no configuration and no memory of one,
+        so it must not count for what its previous process had.
         """
         return {
             vm: acknowledgement
@@ -73,23 +74,24 @@
 
 
 class Contacts:
-    """When each VM last proved that it knows nothing newer than we do."""
+    """When each VM last proved that it has no newer revision than this VM."""
 
     __slots__ = ("_credited",)
 
     def __init__(self) -> None:
-        """Makes the record of a VM that has heard nobody."""
+        """Creates a record without any contact."""
         self._credited: dict[str, float] = {}
 
     def update(self, view: View) -> float:
-        """Takes the acknowledgements in.
+        """Processes the acknowledgements.
 
-        One that shows a higher revision than ours proves nothing until we
-        have that revision: the VM's contact stays at its last agreement.
+        An acknowledgement with a higher revision than this VM's proves nothing
+        until this VM has that revision: until then the contact keeps the time
+        of the last agreement.
 
         Returns:
-            When a majority of the listed VMs, this one included, last proved
-            it; minus infinity if never.
+            The latest time at which a majority of the listed VMs, this one
+            included, had proved it; minus infinity if never.
         """
         for vm, acknowledgement in view.get_others().items():
             if acknowledgement.revision <= view.revision:
@@ -106,47 +108,54 @@
 
 
 class Acceptance:
-    """Which changes a majority holds, all at one moment.
+    """Determines which changes a majority holds at one and the same moment.
 
-    A VM that acknowledged a change may restart at once and forget it. So a
-    majority must say it twice: when the second round of acknowledgements was
-    asked for, every VM of the first held the change, if it is still the same
-    process.
+    A VM that acknowledged a change may restart at once and lose it. So a
+    majority must acknowledge it twice: when the second round was requested,
+    every VM of the first round held the change, if its process is still the
+    same.
 
     Attributes:
-        revision: Every change up to here is accepted.
+        revision: The highest accepted revision; all changes up to it are
+            accepted.
     """
 
-    __slots__ = ("_asked_s", "_history", "_holders", "_revision", "revision")
+    __slots__ = (
+        "_history",
+        "_holders",
+        "_revision",
+        "_second_round_s",
+        "revision",
+    )
 
     def __init__(self) -> None:
-        """Makes the record of a VM that knows of no accepted change."""
+        """Creates a record without accepted changes."""
         self.revision = 0
         self._revision = 0
-        self._asked_s = -math.inf
+        self._second_round_s = -math.inf
         self._holders: dict[str, int] = {}
         self._history: list[tuple[int, float]] = []
 
     def update(self, view: View) -> None:
-        """Takes the acknowledgements in; may raise `revision`."""
+        """Processes the acknowledgements; may raise `revision`."""
         if view.own not in view.listed:
             return
         others = view.get_others()
         needed = view.count_needed()
         if self._revision > self.revision:
-            self._take_second(view, others, needed)
+            self._process_second_round(view, others, needed)
         if self._revision <= self.revision:
-            self._take_first(view, others, needed)
+            self._process_first_round(view, others, needed)
 
     def get_accepted_s(self, revision: int) -> float:
-        """Returns when a revision was accepted; infinity if it is not."""
+        """Returns when a revision was accepted; infinity if it was not."""
         times = [at_s for held, at_s in self._history if held >= revision]
         return min(times, default=math.inf)
 
-    def _take_first(
+    def _process_first_round(
         self, view: View, others: dict[str, Acknowledgement], needed: int
     ) -> None:
-        """Begins the second round once a majority holds something newer."""
+        """Starts the second round once a majority holds a newer revision."""
         held = [view.revision, *(other.revision for other in others.values())]
         held.sort(reverse=True)
         if len(held) < needed:
@@ -155,7 +164,7 @@
         if revision <= self.revision:
             return
         self._revision = revision
-        self._asked_s = view.now_s
+        self._second_round_s = view.now_s
         self._holders = {
             vm: other.incarnation
             for vm, other in others.items()
@@ -164,24 +173,24 @@
         if needed == 1:
             self._accept(view.now_s)
 
-    def _take_second(
+    def _process_second_round(
         self, view: View, others: dict[str, Acknowledgement], needed: int
     ) -> None:
-        """Accepts once a majority has said it again, or begins anew."""
-        again = 1
-        lost = 0
+        """Accepts once a majority has acknowledged again, or starts over."""
+        confirming = 1
+        invalid = 0
         for vm, incarnation in self._holders.items():
             other = others.get(vm)
             if other is None or other.incarnation != incarnation:
-                lost += 1
+                invalid += 1
             elif (
-                other.sent_s > self._asked_s
+                other.sent_s > self._second_round_s
                 and other.revision >= self._revision
             ):
-                again += 1
-        if again >= needed:
+                confirming += 1
+        if confirming >= needed:
             self._accept(view.now_s)
-        elif len(self._holders) + 1 - lost < needed:
+        elif len(self._holders) + 1 - invalid < needed:
             self._revision = 0
 
     def _accept(self, now_s: float) -> None:
@@ -191,20 +200,21 @@
 
 
 HISTORY = 64
-"""How many accepted revisions are kept with their times."""
+"""Number of accepted revisions that are kept with their times."""
 
 
 def may_recover(view: View, revision: int) -> bool:
-    """Tells whether a starting VM may take its configuration from peers.
+    """Returns True if a starting VM may take its configuration from peers.
 
-    The process before this one may have been one of the majority that held
-    an accepted change. So this one must hear a majority of others that have
-    a configuration, and hold the newest that any of them has: one of them
-    was in that majority too. A few peers alone may all be stale.
+    Its previous process may have been part of the majority that held an
+    accepted change. So it needs acknowledgements from a majority of other VMs
+    that have a configuration, and the newest revision that any of them has:
+    at least one of them was part of that majority. Fewer peers may all be
+    stale.
 
     Args:
-        view: What the VM knows; its own revision is still 0.
-        revision: The revision of what it got from peers.
+        view: The state that the VM knows; its own revision is still 0.
+        revision: The revision that it received from peers.
     """
     others = view.get_others()
     return len(others) >= view.count_needed() and revision >= max(
@@ -213,13 +223,15 @@
 
 
 def compute_confirmed_s(view: View, confirmed_s: float) -> float:
-    """Computes when the platform had confirmed our revision, at the earliest.
+    """Computes a lower bound of when the platform confirmed this VM's revision.
 
-    A peer's confirmation holds for us if we have all that the peer had.
+    A peer's confirmation also applies to this VM if the peer's revision is not
+    higher than this VM's.
 
     Args:
-        view: What the VM knows.
-        confirmed_s: What it knew before, or confirmed itself.
+        view: The state that this VM knows.
+        confirmed_s: The previous value, or the time of this VM's own
+            confirmation, in seconds.
     """
     times = [
         other.confirmed_s
@@ -232,11 +244,11 @@
 def compute_work_until_s(
     contact_s: float, confirmed_s: float, window_s: float
 ) -> float:
-    """Computes until when this VM may begin new work.
+    """Computes until when this VM may start new work.
 
     Args:
-        contact_s: The contact with a majority; see `Contacts.update`.
-        confirmed_s: The platform's confirmation.
-        window_s: How long either one holds, in seconds.
+        contact_s: The time of contact with a majority; see `Contacts.update`.
+        confirmed_s: The time of the platform's confirmation.
+        window_s: How long either of them stays valid, in seconds.
     """
     return max(contact_s, confirmed_s) + window_s
