--- a/src/azureramp/policy/caller_delay.py
+++ b/src/azureramp/policy/caller_delay.py
@@ -32,7 +32,7 @@
 class CallerDelay:
     """The remaining timeouts stated by the callers of one route."""
 
-    __slots__ = ("_full_s", "_since_refresh", "_stated_s")
+    __slots__ = ("_initial_s", "_since_refresh", "_stated_s")
 
     def __init__(self) -> None:
         """Creates an estimator without requests."""
@@ -40,17 +40,17 @@
             maxlen=REMEMBERED
         )
         self._since_refresh = 0
-        self._full_s: float | None = None
+        self._initial_s: float | None = None
 
     def add(self, stated_s: float) -> None:
         """Records a caller's remaining timeout, in seconds."""
         self._stated_s.append(stated_s)
         self._since_refresh += 1
         if len(self._stated_s) < FEW:
-            self._full_s = max(self._stated_s)
+            self._initial_s = max(self._stated_s)
         elif self._since_refresh >= REFRESH or len(self._stated_s) == FEW:
             ranked = sorted(self._stated_s)
-            self._full_s = ranked[int(FULL_QUANTILE * (len(ranked) - 1))]
+            self._initial_s = ranked[int(FULL_QUANTILE * (len(ranked) - 1))]
             self._since_refresh = 0
 
     def estimate_s(self, stated_s: float, max_wait_s: float) -> float:
@@ -62,7 +62,7 @@
                 gives 0: it is a late attempt or a caller that started with a
                 shorter timeout.
         """
-        if self._full_s is None:
+        if self._initial_s is None:
             return 0.0
-        spent_s = max(0.0, self._full_s - stated_s)
+        spent_s = max(0.0, self._initial_s - stated_s)
         return spent_s if spent_s <= max_wait_s else 0.0
