--- a/src/azureramp/policy/coverage.py
+++ b/src/azureramp/policy/coverage.py
@@ -1,8 +1,8 @@
-"""Exactly how much of the index an answer covers.
+"""Computes exactly how much of the index an answer covers.
 
-Coverage is counted by key range, weighted by the documents in it, in whole
-numbers: a count of replies would count a shard twice when it was repartitioned
-or answered by two replicas, and a float would round a short answer up to 1.
+Coverage is the share of documents in the covered key ranges, computed with
+integers. Counting replies would count a shard twice if it was repartitioned or
+answered by two replicas, and floats would round an incomplete answer up to 1.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Ledger:
-    """The results held of one pinned version, at most one for each shard.
+    """The merged results of one pinned version, at most one for each shard.
 
     Attributes:
         shard_map: The pinned version's shard map.
@@ -26,32 +26,33 @@
     __slots__ = ("_held", "_total", "shard_map")
 
     def __init__(self, shard_map: resources.ShardMap) -> None:
-        """Makes a ledger that holds nothing."""
+        """Creates an empty ledger."""
         self.shard_map = shard_map
         self._held: dict[str, bytes] = {}
         self._total = sum(shard.size for shard in shard_map.shards)
 
     def is_held(self, shard: resources.Shard) -> bool:
-        """Tells whether a shard's result is held."""
+        """Returns True if the ledger has the shard's result."""
         return shard.name in self._held
 
     def hold(
         self, shard: resources.Shard, done: messages.PartDone, items: bytes
     ) -> bool:
-        """Takes a result in, if it is what the shard was asked for.
+        """Adds a result if it is of the requested version and range.
 
         The searcher states the version and the range that it answered from.
-        One that was repartitioned or reloaded under the call states others,
-        and its items would mix two snapshots or count keys twice.
+        These differ if it was repartitioned or reloaded during the call; its
+        items would then mix two snapshots or count keys twice.
 
         Args:
             shard: The shard of the sub-request.
             done: The result.
-            items: The result's items, checked to be a whole JSON array, with
-                its brackets taken off.
+            items: The result's items: a validated JSON array without its
+                brackets.
 
         Returns:
-            False if it is not merged, since it differs or one is held.
+            False if the result was not added, because its version or range
+            differs or the ledger already has a result of the shard.
         """
         if self.is_held(shard) or not self.is_match(shard, done):
             return False
@@ -59,7 +60,7 @@
         return True
 
     def is_match(self, shard: resources.Shard, done: messages.PartDone) -> bool:
-        """Tells whether a result is of the pinned version and range."""
+        """Returns True if a result is of the pinned version and range."""
         return (done.version, done.low, done.high) == (
             self.shard_map.version,
             shard.low,
@@ -67,19 +68,19 @@
         )
 
     def is_complete(self) -> bool:
-        """Tells whether every shard's result is held."""
+        """Returns True if the ledger has the result of every shard."""
         return len(self._held) == len(self.shard_map.shards)
 
     def get_coverage(self) -> float:
-        """Returns the share of the documents held, see `round_down`."""
+        """Returns the share of documents covered; see `round_down`."""
         return round_down(self.get_share(), self.is_complete())
 
     def get_share(self) -> fractions.Fraction:
-        """Returns the exact share of the documents held."""
+        """Returns the exact share of documents covered."""
         return self._measure(self._held)
 
     def get_reachable(self, lost: Collection[str]) -> fractions.Fraction:
-        """Returns the share that can still be held.
+        """Returns the share that is covered if all other shards answer.
 
         Args:
             lost: The names of the shards that will get no result.
@@ -88,7 +89,7 @@
         return self._measure(names)
 
     def get_missing(self) -> tuple[responses.KeyRange, ...]:
-        """Returns the ranges not held, ascending, neighbours joined."""
+        """Returns the missing ranges, ascending, adjacent ranges joined."""
         missing: list[responses.KeyRange] = []
         for shard in self.shard_map.shards:
             if shard.name in self._held:
@@ -101,20 +102,20 @@
         return tuple(missing)
 
     def get_items(self, shard: resources.Shard) -> bytes:
-        """Returns one held shard's items, a JSON array."""
+        """Returns the items of a shard with a result, as a JSON array."""
         return b"[" + self._held[shard.name] + b"]"
 
     def merge(self) -> bytes:
-        """Returns the held items as one JSON array, ascending by shard."""
-        pieces = [
+        """Returns all items as one JSON array, in the order of the shards."""
+        shard_items = [
             self._held[shard.name]
             for shard in self.shard_map.shards
             if self._held.get(shard.name)
         ]
-        return b"[" + b",".join(pieces) + b"]"
+        return b"[" + b",".join(shard_items) + b"]"
 
     def _measure(self, names: Collection[str]) -> fractions.Fraction:
-        """Returns the share of the documents in some shards."""
+        """Returns the share of the documents that the named shards contain."""
         if self._total == 0:
             return fractions.Fraction(
                 len(names), max(1, len(self.shard_map.shards))
@@ -124,12 +125,12 @@
 
 
 def round_down(share: fractions.Fraction, complete: bool) -> float:
-    """Turns a share into a float that is never more than it.
+    """Converts a share to a float, rounded down.
 
     Args:
         share: The exact share, 0 to 1.
-        complete: True if nothing is missing; else the float is less than 1,
-            also where what is missing holds no document.
+        complete: True if no shard is missing; otherwise the result is less
+            than 1, even if the missing shards contain no documents.
     """
     if complete:
         return 1.0
@@ -143,18 +144,18 @@
 
 
 def read_items(data: bytes) -> bytes | None:
-    """Checks that a result's items are one whole JSON array.
+    """Validates that a result's items are one complete JSON array.
 
-    A reply that was cut short on its way is not valid JSON any more.
+    A reply that was truncated in transit is not valid JSON.
 
     Args:
         data: The items.
 
     Returns:
-        What is between the brackets, or None.
+        The content between the brackets; None if the data is invalid.
     """
     try:
-        pieces = _items_decoder.decode(data)
+        items = _items_decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError):
         return None
-    return b",".join(bytes(piece) for piece in pieces)
+    return b",".join(bytes(item) for item in items)
