--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -1,9 +1,9 @@
-"""How many requests a version that isn't proved yet may get.
+"""Limits the requests to a new version that is not yet proven.
 
-The pattern: a bad version does harm with each request that it gets, and many
-VMs send requests. The operators bound its requests by a share of all requests
-to the service, and a fixed number. One VM hands out parts of that as grants:
-running totals, so that an answer that is lost or comes twice changes nothing.
+Each request to a bad version does harm, and many VMs send requests. The
+operators bound the requests to the new version by a share of all requests to
+the service plus a fixed number. One VM, the driver, distributes them as grants.
+Grants are cumulative totals, so a lost or duplicate answer has no effect.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 import math
 
 SAFETY = 0.92
-"""Part of the bound that is used: requests are counted a moment later than
-they are sent, and those of a VM that dies are never counted."""
+"""Fraction of the bound that is used: requests are counted a moment after they
+are sent, and the last ones of a VM that crashes are never counted."""
 
 TRIAL_PART = 0.35
-"""Part of it that the trial may use, before all traffic moves. The rest is for
-the time in which all traffic is on the new version and it can still turn out
-bad."""
+"""Fraction of that allowance for the canary phase, before all traffic moves.
+The rest is for the time in which all traffic is on the new version and it may
+still prove bad."""
 
 MOST_TRIAL_SHARE = 0.5
-"""Most of the recent requests that the trial may take: the old version's
-answers of the same time say what is usual."""
+"""Maximum share of the recent requests in the canary phase: the old version's
+answers of the same time are the baseline for comparison."""
 
 GRANT_S = 1.0
-"""How long a grant is good for, in seconds. A VM out of touch sends nothing to
-the new version afterwards."""
+"""How long a grant stays valid, in seconds. A VM that loses contact with the
+driver sends nothing to the new version afterwards."""
 
 RATE_SMOOTHING = 0.3
-"""Weight of the newest report in a VM's rate of requests."""
+"""Weight of the newest report in a VM's smoothed request rate."""
 
 SHORTEST_S = 0.05
-"""Least time between two reports by which a rate is measured, in seconds."""
+"""Minimum time between two reports assumed for a rate, in seconds."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -40,11 +40,11 @@
     """The operators' bound.
 
     Attributes:
-        share: Most of all requests to the service between the order and its
-            deadline, 0 to 1.
-        fixed: Requests added to that.
-        stop_s: How long after the 50th bad answer the last request may be
-            sent, in seconds.
+        share: Maximum share of all requests to the service between the order
+            and its deadline, 0 to 1.
+        fixed: Number of requests allowed in addition to that share.
+        stop_s: Maximum time from the 50th bad answer to the last request, in
+            seconds.
     """
 
     share: float = 0.05
@@ -52,32 +52,32 @@
     stop_s: float = 5.0
 
     def get_grant_s(self) -> float:
-        """Returns how long a grant is good for, in seconds."""
+        """Returns how long a grant stays valid, in seconds."""
         return min(GRANT_S, self.stop_s / 5)
 
 
 def count_allowed(terms: Terms, requests: float) -> int:
-    """Counts the requests that the new version may get so far.
+    """Returns how many requests the new version may have received so far.
 
     Args:
         terms: The operators' bound.
-        requests: Requests to the service since the order.
+        requests: The number of requests to the service since the order.
     """
     return math.floor(SAFETY * (terms.share * requests + terms.fixed))
 
 
 @dataclasses.dataclass(slots=True)
 class Account:
-    """What one VM's process was granted, in running totals.
+    """The grants to one VM's process, as cumulative totals.
 
     Attributes:
-        requests: Requests to the service that it reported.
-        spent: Calls to the new version that it reported.
-        base: What of these calls other drivers granted.
-        limit: Calls that it may make, at most.
-        held_until_s: Until then it may go by that limit.
-        reported_s: When it last reported.
-        rate: Its requests a second, of late.
+        requests: The requests to the service that it reported.
+        spent: The calls to the new version that it reported.
+        base: The calls to the new version that earlier drivers granted.
+        limit: The maximum number of calls that it may make.
+        held_until_s: When its right to use that limit expires, in seconds.
+        reported_s: When it last reported, in seconds.
+        rate: Its smoothed request rate, in requests per second.
     """
 
     requests: int
@@ -90,21 +90,21 @@
 
 
 class Ledger:
-    """Grants of one roll-out, by the process that drives it.
+    """The grants of one roll-out, kept by the driver.
 
     Attributes:
-        requests: Requests to the service since the order.
+        requests: The number of requests to the service since the order.
     """
 
     __slots__ = ("_accounts", "_before", "_is_first", "_terms", "requests")
 
     def __init__(self, terms: Terms, reserved: int, requests: int) -> None:
-        """Makes a ledger.
+        """Creates a ledger.
 
         Args:
             terms: The operators' bound.
-            reserved: Calls that earlier drivers may have granted.
-            requests: Requests that earlier drivers counted.
+            reserved: The calls that earlier drivers may have granted.
+            requests: The requests that earlier drivers counted.
         """
         self._terms = terms
         self._before = reserved
@@ -115,38 +115,38 @@
     def take(
         self, process: str, requests: int, spent: int, now_s: float
     ) -> None:
-        """Takes a process's running totals."""
+        """Records the cumulative totals that a process reported."""
         account = self._accounts.get(process)
         if account is None:
             self._accounts[process] = Account(
                 requests, spent, spent, spent, now_s, now_s
             )
-            # An earlier driver has counted what came before.
+            # Earlier requests were already counted by the earlier driver.
             if self._is_first:
                 self.requests += requests
             return
-        new = max(0, requests - account.requests)
+        added = max(0, requests - account.requests)
         elapsed_s = max(now_s - account.reported_s, SHORTEST_S)
-        account.rate += RATE_SMOOTHING * (new / elapsed_s - account.rate)
-        account.requests += new
+        account.rate += RATE_SMOOTHING * (added / elapsed_s - account.rate)
+        account.requests += added
         account.reported_s = now_s
         account.spent = max(account.spent, spent)
         account.limit = max(account.limit, account.spent)
-        self.requests += new
+        self.requests += added
 
     def grant(self, process: str, wanted: int, now_s: float) -> int:
         """Grants calls to a process that has reported.
 
-        A limit that is lowered binds once the higher one has run out: the
-        answer that lowers it may get lost.
+        A lower limit is only counted on once the higher one has expired, since
+        the answer that lowers it may be lost.
 
         Args:
             process: The process.
-            wanted: How many calls it may have ahead of it.
-            now_s: The time.
+            wanted: The number of further calls that it may make.
+            now_s: The current time, in seconds.
 
         Returns:
-            The limit of its calls, as a running total.
+            The limit of its calls, as a cumulative total.
         """
         account = self._accounts[process]
         limit = account.spent + wanted
@@ -156,40 +156,41 @@
         return limit
 
     def count_ahead(self, process: str) -> int:
-        """Counts the calls that a process may still make."""
+        """Returns the number of calls that a process may still make."""
         account = self._accounts[process]
         return account.limit - account.spent
 
     def get_process_rate(self, process: str) -> float:
-        """Returns a process's requests a second, of late."""
+        """Returns a process's smoothed request rate, per second."""
         account = self._accounts.get(process)
         return account.rate if account else 0.0
 
     def count_used(self) -> int:
-        """Counts the calls that may have been made to the new version."""
+        """Returns the maximum number of calls made to the new version."""
         return self._before + sum(
             account.limit - account.base for account in self._accounts.values()
         )
 
     def get_rate(self) -> float:
-        """Returns the requests a second to the service, of late."""
+        """Returns the smoothed request rate of the service, per second."""
         return sum(account.rate for account in self._accounts.values())
 
 
 def divide(ledger: Ledger, process: str, left: int, grant_s: float) -> int:
-    """Returns how many calls a process should have ahead of it.
+    """Returns how many further calls a process should be allowed.
 
-    Grants go by the requests that a process takes, no further than until it
-    asks again: what one that takes none holds, others can't use.
+    The calls are divided by the processes' request rates, and a process gets
+    no more than it needs until its next report: other processes can't use the
+    grants of one that gets no requests.
 
     Args:
         ledger: The grants.
         process: The process.
-        left: Calls that can be granted to all processes together.
-        grant_s: How long a grant is good for, in seconds.
+        left: The number of calls left for all processes together.
+        grant_s: How long a grant stays valid, in seconds.
     """
     rate, total = ledger.get_process_rate(process), ledger.get_rate()
     part = rate / total if total > 0 else 1.0
     more = max(min(left, 1), round(left * part))
-    most = max(1, math.ceil(rate * grant_s))
-    return max(0, min(ledger.count_ahead(process) + more, most))
+    max_ahead = max(1, math.ceil(rate * grant_s))
+    return max(0, min(ledger.count_ahead(process) + more, max_ahead))
