--- a/src/azureramp/policy/fingerprints.py
+++ b/src/azureramp/policy/fingerprints.py
@@ -1,4 +1,4 @@
-"""The hash by which crashes are blamed on a request."""
+"""The hash that identifies a request to which crashes are attributed."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 
 
 def compute(index: str, body: bytes) -> int:
-    """Hashes a request.
+    """Computes the fingerprint of a request.
 
-    The body is brought into one form first (keys sorted, no spaces), since a
-    caller that sends a request again may encode it another way.
+    The body is first converted to a canonical form (sorted keys, no spaces),
+    since a caller may encode a retry differently.
 
     Args:
         index: The index.
-        body: The query, JSON.
+        body: The query as JSON. A body that can't be parsed is hashed as it
+            is.
 
     Returns:
-        64 bits.
+        A 64-bit hash.
     """
     try:
         value = msgspec.json.decode(body)
