--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -1,7 +1,7 @@
-"""When a sub-request is late enough for a second attempt.
+"""Determines when a sub-request is late enough for a second attempt.
 
-The time is measured for each shard by itself: a shard that is slow as a whole
-is not made faster by asking it twice.
+The delay is measured for each shard separately: a second attempt does not help
+if the whole shard is slow.
 """
 
 from __future__ import annotations
@@ -14,102 +14,109 @@
 
 HEDGE_QUANTILE = 0.99
 """A sub-request later than this quantile of its shard may be hedged. Most of
-that time is the queue's: it catches what the owners' own notices can't, such
-as an owner or a link that is late.
+that time is spent in queues; it covers delays that owners can't report, such
+as a slow owner or a slow network link.
 """
 
 LONG_QUANTILE = 0.98
-"""An owner tells of a call that runs longer than this quantile of its
-searcher's service times, the queue left out.
+"""An owner reports a call that runs longer than this quantile of its searcher's
+service times, queueing excluded.
 """
 
 LOST_FACTOR = 3.0
-"""One later than so many hedge delays is taken for lost: a retry may go out
-too. A VM or a link that went silent loses an eighth of a query's parts at
-once, more than the hedges' budget holds.
+"""A sub-request later than this many hedge delays is treated as lost and may
+also be retried. An unresponsive VM or link loses an eighth of a query's parts
+at once, which is more than the hedge budget covers.
 """
 
 SHORTEST_MS = 1.0
-"""Shortest hedge delay; below it, scheduling noise would hedge."""
+"""Minimum hedge delay; a shorter one would hedge because of scheduling jitter.
+"""
 
 UNKNOWN_SHARE = 0.25
-"""Share of the time left after which to hedge while nothing is measured."""
+"""Hedge delay without measurements, as a share of the remaining time."""
 
 _BUCKETS_PER_OCTAVE = 8
 _LOWEST_OCTAVE = -6
 _OCTAVES = 26
-_DECAY_AT = 512
-_FEWEST = 20
+_MAX_SAMPLES = 512
+_MIN_SAMPLES = 20
 _RECOMPUTE_EVERY = 16
 
 
 class Sketch:
-    """A histogram of times with buckets of equal ratio (9 %).
+    """A histogram of durations with exponential buckets, each 9 % wider.
 
-    It halves its counts whenever it is full, so that the last few hundred
-    times count most.
+    All counts are halved whenever the total reaches its maximum, so that the
+    last few hundred samples have the largest weight.
     """
 
-    __slots__ = ("_cached", "_counts", "_fresh", "_quantiles", "_total")
+    __slots__ = (
+        "_cached",
+        "_counts",
+        "_quantiles",
+        "_since_recompute",
+        "_total",
+    )
 
     def __init__(self, *quantiles: float) -> None:
-        """Makes an empty sketch.
+        """Creates an empty sketch.
 
         Args:
-            quantiles: The quantiles that it is asked for, 0 to 1.
+            quantiles: The quantiles that it provides, 0 to 1.
         """
         self._quantiles = quantiles
         self._counts = [0] * (_OCTAVES * _BUCKETS_PER_OCTAVE)
         self._total = 0
-        self._fresh = 0
+        self._since_recompute = 0
         self._cached: tuple[float, ...] | None = None
 
     def add(self, took_ms: float) -> None:
-        """Adds a time, in milliseconds."""
+        """Adds a duration, in milliseconds."""
         octave = math.log2(took_ms) if took_ms > 0 else _LOWEST_OCTAVE
         bucket = int((octave - _LOWEST_OCTAVE) * _BUCKETS_PER_OCTAVE)
         last = len(self._counts) - 1
         self._counts[min(max(bucket, 0), last)] += 1
         self._total += 1
-        self._fresh += 1
-        if self._total >= _DECAY_AT:
+        self._since_recompute += 1
+        if self._total >= _MAX_SAMPLES:
             self._counts = [count // 2 for count in self._counts]
             self._total = sum(self._counts)
 
     def get(self, which: int = 0) -> float | None:
-        """Returns a quantile in milliseconds; None with too few times.
+        """Returns a quantile in milliseconds; None with too few samples.
 
         Args:
-            which: The number of the quantile among those asked for.
+            which: The index of the quantile in the constructor's arguments.
         """
-        if self._total < _FEWEST:
+        if self._total < _MIN_SAMPLES:
             return None
-        if self._cached is None or self._fresh >= _RECOMPUTE_EVERY:
+        if self._cached is None or self._since_recompute >= _RECOMPUTE_EVERY:
             self._cached = tuple(
                 self._compute(quantile) for quantile in self._quantiles
             )
-            self._fresh = 0
+            self._since_recompute = 0
         return self._cached[which]
 
     def _compute(self, quantile: float) -> float:
-        """Finds the upper edge of a quantile's bucket."""
-        wanted = quantile * self._total
-        seen = 0
+        """Returns the upper bound of a quantile's bucket, in milliseconds."""
+        target = quantile * self._total
+        cumulative = 0
         edge = 0
         for count in self._counts:
-            seen += count
+            cumulative += count
             edge += 1
-            if seen >= wanted:
+            if cumulative >= target:
                 break
         return float(2 ** (edge / _BUCKETS_PER_OCTAVE + _LOWEST_OCTAVE))
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Place:
-    """Whose times are comparable.
+    """A group of sub-requests whose durations are comparable.
 
-    The owners' queues go by priority, so a deferrable sub-request's time says
-    nothing of an urgent one's.
+    The owners' queues are ordered by priority, so the durations of deferrable
+    sub-requests do not apply to urgent ones.
 
     Attributes:
         index: The index.
@@ -123,29 +130,30 @@
 
 
 class Delays:
-    """The hedge delays of every shard and priority, from own measurements."""
+    """The hedge delays by shard and priority, from this VM's measurements."""
 
     __slots__ = ("_by_index", "_by_place")
 
     MOST_PLACES = 8192
-    """Most places kept; the one first seen goes first."""
+    """Maximum number of places kept; the oldest one is dropped first."""
 
     def __init__(self) -> None:
-        """Makes delays without any measurement."""
+        """Creates an object without measurements."""
         self._by_place: dict[Place, Sketch] = {}
         self._by_index: dict[tuple[str, resources.Priority], Sketch] = {}
 
     def add(self, place: Place, took_ms: float) -> None:
-        """Adds how long a sub-request took, its queue included.
+        """Adds the duration of a sub-request, queueing included.
 
-        A cancelled loser is added too, with the time until then: it was later
-        than the quantile, and leaving it out would pull the quantile down.
+        Cancelled losers are added too, with the time until their cancellation:
+        they were later than the quantile, and omitting them would bias the
+        quantile downwards.
         """
         for sketch in self._find(place):
             sketch.add(took_ms)
 
     def get_ms(self, place: Place, left_ms: float) -> float:
-        """Returns when to hedge a sub-request, in milliseconds after it.
+        """Returns the hedge delay of a sub-request, in milliseconds.
 
         Args:
             place: The sub-request's place.
@@ -158,12 +166,12 @@
         return max(SHORTEST_MS, left_ms * UNKNOWN_SHARE)
 
     def get_index_ms(self, index: str, priority: resources.Priority) -> float:
-        """Returns the high quantile of a whole index; 0 if unknown."""
+        """Returns an index's `HEDGE_QUANTILE` in milliseconds; 0 if unknown."""
         sketch = self._by_index.get((index, priority))
         return (sketch.get() if sketch else None) or 0.0
 
     def _find(self, place: Place) -> tuple[Sketch, Sketch]:
-        """Finds or makes the sketches of a place and of its index."""
+        """Returns the sketches of a place and its index, created if missing."""
         by_place = self._by_place.get(place)
         if by_place is None:
             if len(self._by_place) >= self.MOST_PLACES:
@@ -177,7 +185,7 @@
 
 
 class Step(enum.Enum):
-    """What to do about a sub-request now."""
+    """The action for a sub-request without a result."""
 
     WAIT = "wait"
     HEDGE = "hedge"
@@ -185,10 +193,10 @@
 
 
 def decide(elapsed_ms: float, delay_ms: float) -> Step:
-    """Decides what to do about a sub-request without a result.
+    """Decides whether to wait for, hedge or replace a sub-request.
 
     Args:
-        elapsed_ms: Time since it was sent, in milliseconds.
+        elapsed_ms: Time since the sub-request was sent, in milliseconds.
         delay_ms: Its hedge delay, in milliseconds.
     """
     if elapsed_ms >= delay_ms * LOST_FACTOR:
