--- a/src/azureramp/policy/identity.py
+++ b/src/azureramp/policy/identity.py
@@ -1,4 +1,4 @@
-"""Who a caller is, and what it may query."""
+"""Authentication and authorization of callers."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 def find_caller(
     callers: Mapping[str, tuple[resources.Caller, ...]], authorization: str
 ) -> expression.Result[resources.Caller, errors.Failure]:
-    """Finds the caller that an `Authorization` header belongs to.
+    """Authenticates the caller of an `Authorization` header.
 
-    The table is looked up by the token's hash, never by the token: how long
-    the lookup takes tells at most of a hash, from which no token follows. The
-    final comparison takes the same time for all. A revoked caller and a
-    token that two callers share get the answer of an unknown token.
+    The lookup uses the token's hash, never the token: its timing reveals at
+    most a hash, from which the token can't be derived. The final comparison
+    takes constant time. Revoked callers and tokens that two callers share are
+    answered like unknown tokens.
 
     Args:
-        callers: The callers by token hash.
+        callers: The callers by the hash of their token.
         authorization: The header's value.
 
     Returns:
@@ -59,16 +59,16 @@
     service_name: str,
     index: str,
 ) -> expression.Result[resources.Service, errors.Failure]:
-    """Checks that a caller may query an index for a service.
+    """Authorizes a caller to query an index for a service.
 
-    An unknown service or index gets the answer of a forbidden one, so that a
-    caller can't find out what exists.
+    An unknown service or index gives the same answer as a forbidden one, so
+    that a caller can't find out which ones exist.
 
     Args:
         table: The configuration.
         caller: The caller.
-        service_name: The service that it named.
-        index: The index that it named.
+        service_name: The service named in the request.
+        index: The index named in the request.
 
     Returns:
         The service, or `FORBIDDEN`.
@@ -84,5 +84,5 @@
 
 
 def may_query(service: resources.Service, shard: resources.Shard) -> bool:
-    """Tells whether a service may query a shard."""
+    """Returns True if a service may query a shard."""
     return not service.shards or shard.name in service.shards
