--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -1,10 +1,10 @@
-"""The heartbeat lease: who may send to a cold searcher.
+"""Heartbeat leases, which decide which VM may send to a cold searcher.
 
-A VM claims its searchers in each heartbeat. Each VM that hears it promises
-every claimed searcher that it has not promised to another, for the length of
-the lease, counted from the arrival. The claimant counts from the sending, so
-its lease always ends before the promises do. Since any two majorities share a
-VM, no two claimants ever hold the same searcher.
+A VM claims its searchers in each heartbeat. Each VM that receives it promises
+every claimed searcher that it has not promised to another VM, for the length
+of the lease, counted from the arrival. The claimant counts from the sending,
+so its lease always expires before the promises do. Since any two majorities
+share a VM, no two claimants ever hold the same searcher.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from azureramp.policy import lists
 
 DRIFT = 0.01
-"""Share of a lease that its holder gives up, since clocks of different VMs
-don't run at quite the same rate."""
+"""Fraction by which a holder shortens its lease, because the clocks of VMs run
+at slightly different rates."""
 
 
 def compute_claim(searcher: str) -> int:
-    """Computes the identity of a searcher in claims."""
+    """Computes the hash that identifies a searcher in claims."""
     return xxhash.xxh3_64_intdigest(searcher.encode())
 
 
@@ -33,8 +33,8 @@
 
     Attributes:
         vm: The VM's name.
-        incarnation: The process's incarnation. A restarted process is
-            another holder: it knows nothing of what the former one sent.
+        incarnation: The process's incarnation. A restarted process is a
+            different holder: it does not know what its predecessor sent.
     """
 
     vm: str
@@ -43,11 +43,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Promise:
-    """One searcher promised to one holder.
+    """A promise of one searcher to one holder.
 
     Attributes:
         holder: The holder.
-        until_s: When the promise ends, on this VM's clock.
+        until_s: When the promise expires, in seconds on this VM's clock.
     """
 
     holder: Holder
@@ -55,19 +55,19 @@
 
 
 class Promises:
-    """What this VM has promised to others, and to itself.
+    """The promises that this VM has made to other VMs and to itself.
 
-    Kept in memory only. A restarted VM has forgotten its promises, so it
-    makes none for one lease length: by then the forgotten ones have ended.
+    They are kept in memory only. A restarted VM has lost its promises, so it
+    makes none for the length of one lease: by then the lost ones have expired.
     """
 
     __slots__ = ("_by_claim", "_longest_s", "_started_s")
 
     def __init__(self, started_s: float, lease_s: float) -> None:
-        """Makes an empty table.
+        """Creates an empty table.
 
         Args:
-            started_s: When this process began, on its clock.
+            started_s: When this process started, in seconds on its clock.
             lease_s: The longest lease that is granted, in seconds.
         """
         self._longest_s = lease_s
@@ -77,7 +77,7 @@
     def set_longest(self, lease_s: float) -> None:
         """Sets the longest lease that is granted, in seconds.
 
-        It is also how long after its start this process grants none.
+        This is also the time after its start in which this process grants none.
         """
         self._longest_s = lease_s
 
@@ -88,19 +88,19 @@
         lease_s: float,
         now_s: float,
     ) -> frozenset[int] | None:
-        """Answers a heartbeat.
+        """Grants the claims of a heartbeat.
 
         Args:
-            holder: Who asks.
+            holder: The sender of the heartbeat.
             claims: The searchers that it claims.
-            lease_s: The lease that it asks for, in seconds.
-            now_s: The time of the heartbeat's arrival.
+            lease_s: The requested lease length, in seconds.
+            now_s: When the heartbeat arrived, in seconds.
 
         Returns:
             The claims that are refused; None if nothing is granted at all.
         """
-        quiet = now_s < self._started_s + self._longest_s
-        if quiet or not 0 < lease_s <= self._longest_s:
+        starting = now_s < self._started_s + self._longest_s
+        if starting or not 0 < lease_s <= self._longest_s:
             return None
         refused: set[int] = set()
         for claim in claims:
@@ -114,7 +114,7 @@
         return frozenset(refused)
 
     def expire(self, now_s: float) -> None:
-        """Forgets the promises that have ended, to bound the table."""
+        """Removes expired promises, to bound the size of the table."""
         self._by_claim = {
             claim: promise
             for claim, promise in self._by_claim.items()
@@ -127,8 +127,8 @@
     """A heartbeat that was sent.
 
     Attributes:
-        at_s: When, on this VM's clock.
-        claims: What it claimed.
+        at_s: When it was sent, in seconds on this VM's clock.
+        claims: The searchers that it claimed.
     """
 
     at_s: float
@@ -136,15 +136,15 @@
 
 
 class Lease:
-    """What the others have granted to this VM."""
+    """The leases that the other VMs have granted to this VM."""
 
     __slots__ = ("_agreed", "_claims", "_granted", "_lease_s", "_sent")
 
     def __init__(self, lease_s: float) -> None:
-        """Makes a lease that nobody has granted.
+        """Creates a lease without grants.
 
         Args:
-            lease_s: Its length, in seconds.
+            lease_s: The length of the lease, in seconds.
         """
         self._lease_s = lease_s * (1 - DRIFT)
         self._claims: frozenset[int] = frozenset()
@@ -153,10 +153,10 @@
         self._granted: dict[int, dict[str, float]] = {}
 
     def set_length(self, lease_s: float) -> None:
-        """Sets the length of the leases asked for, in seconds.
+        """Sets the length of the requested leases, in seconds.
 
-        A shorter one counts at once, a longer one from the next heartbeat
-        on: the promises already made are of the old length.
+        A shorter length applies at once, a longer one from the next heartbeat
+        on, since existing promises have the old length.
         """
         held_s = lease_s * (1 - DRIFT)
         if held_s > self._lease_s:
@@ -167,43 +167,43 @@
         self._lease_s = held_s
 
     def set_claims(self, claims: Collection[int]) -> None:
-        """Sets what is claimed from the next heartbeat on.
+        """Sets the searchers that are claimed from the next heartbeat on.
 
-        A claim that was given up loses all grants, those still on their way
-        included: when it comes back, another VM may have held it meanwhile.
+        A dropped claim loses all grants, including those still in transit: if
+        it is claimed again, another VM may have held it in the meantime.
         """
-        now = frozenset(claims)
-        for claim in self._claims - now:
+        current = frozenset(claims)
+        for claim in self._claims - current:
             self._granted.pop(claim, None)
             for sequence, sent in self._sent.items():
                 self._sent[sequence] = Sent(sent.at_s, sent.claims - {claim})
-        for claim in now - self._claims:
+        for claim in current - self._claims:
             self._granted[claim] = {}
-        self._claims = now
+        self._claims = current
 
     def get_claims(self) -> frozenset[int]:
-        """Returns what is claimed."""
+        """Returns the current claims."""
         return self._claims
 
     def record_sent(self, sequence: int, now_s: float) -> None:
-        """Takes note that a heartbeat is about to be sent."""
+        """Records that a heartbeat is about to be sent."""
         oldest_s = now_s - self._lease_s
         for number in [n for n, s in self._sent.items() if s.at_s < oldest_s]:
             del self._sent[number]
         self._sent[sequence] = Sent(now_s, self._claims)
 
     def get_sent_s(self, sequence: int) -> float | None:
-        """Returns when a heartbeat was sent; None if it is too long ago."""
+        """Returns when a heartbeat was sent; None if that is too long ago."""
         sent = self._sent.get(sequence)
         return None if sent is None else sent.at_s
 
     def record_ack(
         self, voter: str, sequence: int, refused: Collection[int]
     ) -> None:
-        """Takes an acknowledgement that grants all but some claims.
+        """Records an acknowledgement, which grants all claims not refused.
 
-        The lease counts from the sending of the heartbeat acknowledged,
-        never from the acknowledgement's arrival, which may be late.
+        The lease counts from the sending of the acknowledged heartbeat, not
+        from the arrival of the acknowledgement, which may be delayed.
         """
         sent = self._sent.get(sequence)
         if sent is None:
@@ -214,11 +214,11 @@
             times[voter] = max(times.get(voter, -math.inf), sent.at_s)
 
     def compute_contact_until_s(self, window: lists.ListWindow) -> float:
-        """Computes until when a majority acknowledges this VM at all."""
+        """Computes until when a majority acknowledges this VM's heartbeats."""
         return self._compute(window, self._agreed)
 
     def compute_until_s(self, claim: int, window: lists.ListWindow) -> float:
-        """Computes until when a claim is granted; minus infinity if never."""
+        """Computes until when a claim is granted; minus infinity if not."""
         return self._compute(window, self._granted.get(claim, {}))
 
     def _compute(
