--- a/src/azureramp/policy/lists.py
+++ b/src/azureramp/policy/lists.py
@@ -1,9 +1,9 @@
-"""The VM lists that a VM has read of late, and the majorities of them.
+"""The VM lists that a VM has read recently, and their majorities.
 
 Two VMs that have read different lists could each find a majority of its own
-list, with no VM in common. So a majority here is one of every list read
-within the window, and a voter counts only if all lists that it has read are
-known to the claimant. See docs/design/leases.md for the bound.
+list without a VM in common. So a majority must be a majority of every list
+read within the window, and a voter counts only if the claimant knows all lists
+that the voter has read. See docs/design/leases.md for the bound.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 import xxhash
 
 MAX_LISTS = 16
-"""Most lists that a window holds by inheritance; further ones are not known,
-so that the voters who know them don't count."""
+"""Maximum size of the window up to which lists are inherited. Further lists are
+not added, so voters that have read them don't count."""
 
 
 def compute_hash(names: Iterable[str]) -> int:
-    """Computes a list's hash, the same on every VM."""
+    """Computes the hash of a list, which is the same on every VM."""
     return xxhash.xxh3_64_intdigest("\0".join(sorted(names)).encode())
 
 
 @dataclasses.dataclass(slots=True)
 class ReadList:
-    """One list.
+    """A VM list that was read.
 
     Attributes:
         names: The names of its VMs.
-        read_s: When it was last read, on this VM's clock.
-        inherited: True if a peer told of it, and this VM has not read it.
+        read_s: When it was last read, in seconds on this VM's clock.
+        inherited: True if a peer sent it and this VM has not read it.
     """
 
     names: frozenset[str]
@@ -39,12 +39,12 @@
 
 
 class ListWindow:
-    """The lists read within the window, the newest always among them."""
+    """The lists read within the window, always including the newest."""
 
     __slots__ = ("_lists", "_newest", "_window_s")
 
     def __init__(self, window_s: float) -> None:
-        """Makes a window that holds no list.
+        """Creates a window without lists.
 
         Args:
             window_s: How long an earlier list still counts, in seconds.
@@ -54,17 +54,17 @@
         self._newest = 0
 
     def record(self, names: Collection[str], now_s: float) -> None:
-        """Takes a list that was just read."""
+        """Records a list that this VM has just read."""
         self._newest = compute_hash(names)
         self._lists[self._newest] = ReadList(frozenset(names), now_s)
         self.expire(now_s)
 
     def inherit(self, names: Collection[str], now_s: float) -> None:
-        """Takes a list that a peer has read of late.
+        """Records a list that a peer has read recently.
 
-        A VM that has just begun has read the newest list only. Without the
-        earlier ones it would find a majority that has nothing in common with
-        that of a VM which still goes by one of them.
+        A VM that has just started has only read the newest list. Without the
+        earlier ones it could find a majority that shares no VM with the
+        majority of a VM that still uses one of them.
         """
         number = compute_hash(names)
         known = self._lists.get(number)
@@ -74,7 +74,7 @@
             known.read_s = now_s
 
     def get_own(self) -> tuple[tuple[str, ...], ...]:
-        """Returns the names in the lists that this VM itself has read."""
+        """Returns the lists that this VM itself has read, as names."""
         return tuple(
             tuple(sorted(entry.names))
             for entry in self._lists.values()
@@ -82,7 +82,7 @@
         )
 
     def expire(self, now_s: float) -> None:
-        """Drops the lists that were last read before the window."""
+        """Removes the lists that were last read before the window."""
         self._lists = {
             number: entry
             for number, entry in self._lists.items()
@@ -94,18 +94,18 @@
         return tuple(sorted(self._lists))
 
     def knows(self, hashes: Iterable[int]) -> bool:
-        """Tells whether all these lists are in the window."""
+        """Returns True if all the given lists are in the window."""
         return all(number in self._lists for number in hashes)
 
     def compute_agreed(self, times: Mapping[str, float]) -> float | None:
-        """Computes since when a majority of every list agrees.
+        """Computes the latest time at which a majority of every list agreed.
 
         Args:
-            times: For each VM that agrees, the newest time of which it does.
+            times: The latest time of agreement of each VM that agreed.
 
         Returns:
-            The latest time that a majority of each list reaches; None if
-            some list has no majority, or no list was read.
+            The latest time that a majority of each list reaches; None if any
+            list has no majority or no list was read.
         """
         agreed_s: list[float] = []
         for entry in self._lists.values():
