--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -1,4 +1,4 @@
-"""Who is live: heartbeats first, agreed with those who are heard."""
+"""Failure detection by heartbeats, confirmed by a majority of reachable VMs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Standing(enum.Enum):
-    """What this VM thinks of another one."""
+    """The state of another VM as this VM assesses it."""
 
     LISTED = "listed"
     LIVE = "live"
@@ -20,14 +20,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Sighting:
-    """What is known of another VM.
+    """The observations of another VM.
 
     Attributes:
-        heard_s: When it was last heard; minus infinity if never.
-        leaving: True if it said that it shuts down.
-        suspects: The VMs that it said not to hear.
-        may_own_until_s: Until when its lease may last, by what this VM has
-            promised.
+        heard_s: When its last heartbeat arrived, in seconds; minus infinity if
+            none did.
+        leaving: True if it announced its shutdown.
+        suspects: The VMs from which it reports no heartbeats.
+        may_own_until_s: Until when its lease may stay valid, according to the
+            promises of this VM, in seconds.
     """
 
     heard_s: float
@@ -39,38 +40,39 @@
 def judge(
     sightings: Mapping[str, Sighting], now_s: float, suspect_s: float
 ) -> dict[str, Standing]:
-    """Judges every other VM.
+    """Determines the state of every other VM.
 
-    A VM that this one does not hear may be well: the link may be half-open,
-    or this VM cut off. So silence makes it suspect only; it is taken for gone
-    once a majority of those that are heard, this VM included, miss it too. A
-    VM that hears nobody is its own majority: it goes on alone, without a
-    lease.
+    A VM whose heartbeats don't arrive may be healthy: the link may be
+    half-open, or this VM isolated. So missing heartbeats only make it suspect;
+    it is treated as gone once a majority of the reachable VMs, this VM
+    included, miss its heartbeats too. A VM that receives no heartbeats at all
+    is its own majority: it continues alone, without a lease.
 
     Args:
-        sightings: What is known of the others, by name.
-        now_s: The time.
-        suspect_s: Silence after which a VM is suspect, in seconds.
+        sightings: The observations of the other VMs, by name.
+        now_s: The current time, in seconds.
+        suspect_s: Time without heartbeats after which a VM is suspect, in
+            seconds.
 
     Returns:
-        The standing of each.
+        The state of each VM, by name.
     """
-    heard = {
+    reachable = {
         name
         for name, sighting in sightings.items()
         if now_s - sighting.heard_s <= suspect_s
     }
-    majority = (len(heard) + 1) // 2 + 1
+    majority = (len(reachable) + 1) // 2 + 1
     standings: dict[str, Standing] = {}
     for name, sighting in sightings.items():
-        if name in heard:
+        if name in reachable:
             leaving = sighting.leaving
             standings[name] = Standing.LEAVING if leaving else Standing.LIVE
         elif sighting.heard_s == -math.inf:
             standings[name] = Standing.LISTED
         else:
             missing = 1 + sum(
-                name in sightings[other].suspects for other in heard
+                name in sightings[other].suspects for other in reachable
             )
             gone = sighting.leaving or missing >= majority
             standings[name] = Standing.GONE if gone else Standing.SUSPECT
@@ -78,10 +80,10 @@
 
 
 def may_own(standing: Standing, sighting: Sighting, now_s: float) -> bool:
-    """Tells whether a VM is to be taken for an owner.
+    """Returns True if a VM must be treated as an owner.
 
-    One that is gone stays an owner until its lease must have run out: until
-    then nobody else may start on its searchers.
+    A VM that is gone stays an owner until its lease must have expired: until
+    then no other VM may start to use its searchers.
     """
     match standing:
         case Standing.LIVE | Standing.SUSPECT:
@@ -93,16 +95,17 @@
 
 
 def compute_pause(expected_s: float, now_s: float, interval_s: float) -> float:
-    """Computes how long this process itself stood still, in seconds.
+    """Computes how long this process was paused, in seconds.
 
-    A paused process wakes with everybody's last heartbeat in the distant
-    past, before it has read what waits in its sockets. It sees its own pause
-    by its timer, which is late too; the pause does not count as silence.
+    When a paused process resumes, all last heartbeats are long ago, because it
+    has not yet read those waiting in its sockets. It detects the pause by its
+    own late timer; the pause does not count as time without heartbeats.
 
     Args:
-        expected_s: When the timer should have fired.
-        now_s: When it did.
-        interval_s: The timer's interval; lateness below it is ordinary.
+        expected_s: When the timer should have fired, in seconds.
+        now_s: When it fired, in seconds.
+        interval_s: The timer's interval, in seconds; a delay below it is
+            normal.
     """
     late_s = now_s - expected_s
     return late_s if late_s > interval_s else 0.0
@@ -111,18 +114,18 @@
 def needs_new_link(
     acknowledged_s: float, opened_s: float, now_s: float, limit_s: float
 ) -> bool:
-    """Tells whether a link to a VM should be given up for a new one.
+    """Returns True if a link to a VM should be replaced by a new one.
 
-    A half-open link takes everything and delivers nothing: something between
-    the two ends has lost track of it, and no error ever comes. It shows by
-    heartbeats that nobody acknowledges. The VM may also be gone; then a new
-    link costs one attempt to connect.
+    A half-open link accepts all data and delivers none: a device between the
+    two ends has lost its state, and no error is ever reported. It is detected
+    by heartbeats that are not acknowledged. The VM may also be gone; then the
+    new link costs one connection attempt.
 
     Args:
         acknowledged_s: When the newest heartbeat that the other VM
-            acknowledged was sent.
-        opened_s: When the link was opened.
-        now_s: The time.
-        limit_s: How long heartbeats may go unacknowledged, in seconds.
+            acknowledged was sent, in seconds.
+        opened_s: When the link was opened, in seconds.
+        now_s: The current time, in seconds.
+        limit_s: How long heartbeats may stay unacknowledged, in seconds.
     """
     return now_s - max(acknowledged_s, opened_s) > limit_s
