--- a/src/azureramp/policy/merging.py
+++ b/src/azureramp/policy/merging.py
@@ -1,26 +1,26 @@
-"""The greatest records of many parts."""
+"""Merges the largest records of several parts."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
 RECORD_BYTES = 16
-"""Length of one record."""
+"""Length of one record, in bytes."""
 
 
 def split(body: bytes) -> list[bytes]:
-    """Splits a part into its records; a remainder at the end is none."""
+    """Splits a part into its records; an incomplete last record is ignored."""
     end = len(body) - len(body) % RECORD_BYTES
     return [body[at : at + RECORD_BYTES] for at in range(0, end, RECORD_BYTES)]
 
 
 def merge(parts: Iterable[bytes], most: int) -> bytes:
-    """Returns the greatest records of all parts, greatest first.
+    """Returns the largest records of all parts, in descending order.
 
     Args:
-        parts: The parts' bodies, their records in any order. Equal records
-            all count.
-        most: How many records to return at most.
+        parts: The bodies of the parts, with records in any order. Duplicate
+            records are kept.
+        most: The maximum number of records to return.
     """
     records: list[bytes] = []
     for part in parts:
