--- a/src/azureramp/policy/once.py
+++ b/src/azureramp/policy/once.py
@@ -1,4 +1,4 @@
-"""A bounded memory of what may be taken only once."""
+"""A bounded cache for detecting duplicates."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class Once(Generic[_K]):
-    """Remembers keys for some time, and refuses rather than forgets early.
+    """Keeps keys for a fixed time, and refuses new keys when it is full.
 
-    Messages may come doubled or late. Forgetting the oldest key to make
-    room would let a late copy of it through; so with no room a new key is
-    refused, which is safe, since nothing was done for it.
+    Messages may arrive twice or late. Evicting the oldest key when the cache is
+    full would let a late duplicate of it through. Refusing a new key instead is
+    safe, since its message has not been processed.
     """
 
     __slots__ = ("_capacity", "_keep_s", "_seen")
 
     def __init__(self, keep_s: float, capacity: int) -> None:
-        """Makes an empty memory.
+        """Creates an empty cache.
 
         Args:
-            keep_s: How long a key is remembered, in seconds.
-            capacity: Most keys.
+            keep_s: How long a key is kept, in seconds.
+            capacity: The maximum number of keys.
         """
         self._keep_s = keep_s
         self._capacity = capacity
@@ -32,15 +32,15 @@
         )
 
     def __contains__(self, key: _K) -> bool:
-        """Tells whether a key is remembered."""
+        """Returns True if the cache contains a key."""
         return key in self._seen
 
     def add(self, key: _K, now_s: float) -> bool:
-        """Remembers a key; False if there is no room for it.
+        """Adds a key; returns False if the cache is full.
 
         Args:
-            key: The key, not remembered yet.
-            now_s: The time.
+            key: The key, which is not in the cache yet.
+            now_s: The current time, in seconds.
         """
         while self._seen:
             oldest, at_s = next(iter(self._seen.items()))
