--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What a query's end means for its caller."""
+"""Determines a query's outcome for its caller."""
 
 from __future__ import annotations
 
@@ -17,25 +17,27 @@
         errors.Kind.DEADLINE_PASSED,
     }
 )
-"""Kinds by which a queue or a searcher says that it has too much work."""
+"""Error kinds by which a queue or a searcher reports overload."""
 
 NOT_RUN = errors.Ran.NOT_RUN
 
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """How a query's parts went, over all its attempts.
+    """Statistics of a query's parts, over all its attempts.
 
     Attributes:
-        ran: True if any searcher may have worked on any of it.
-        crashes: How many backend servers crashed under it.
-        results: How many parts brought a result.
-        unanswered: How many had none when the time was up.
-        service_ms: The sum of the results' service times.
-        wait_ms: The sum of all other time of both.
-        refused: How many attempts a queue refused.
-        last: Why the last part failed.
-        retry_after_ms: The longest time to come back that a failure gave.
+        ran: True if any searcher may have worked on any part.
+        crashes: The number of backend servers that crashed during the query.
+        results: The number of parts with a result.
+        unanswered: The number of parts without a result at the deadline.
+        service_ms: The sum of the results' service times, in milliseconds.
+        wait_ms: The sum of all other time of parts with and without a result,
+            in milliseconds.
+        refused: The number of attempts that a queue refused.
+        last: The error kind of the last failed part.
+        retry_after_ms: The longest retry delay stated by a failure, in
+            milliseconds.
     """
 
     ran: bool = False
@@ -51,8 +53,8 @@
     def add_merged(self, merged: assembly.Merged, took_ms: float) -> None:
         """Counts a result.
 
-        The stated service time is kept within the time that was measured
-        here; a nonsense one must not spoil the estimates that refuse work.
+        The stated service time is limited to the duration measured here, so
+        that an invalid one does not distort the estimates used by admission.
         """
         service_ms = min(max(0.0, merged.service_ms), took_ms)
         self.ran = True
@@ -88,10 +90,11 @@
 def choose(
     former: assembly.Assembly | None, present: assembly.Assembly
 ) -> assembly.Assembly:
-    """Chooses which version's results to answer with, never both.
+    """Chooses the version whose results are the answer; they are never mixed.
 
-    A restart may find less before the deadline than the version before it had
-    held; the newer one is taken if it covers as much.
+    A query restarted on a newer version may cover less by its deadline than
+    the earlier version had; the newer one is chosen if it covers at least as
+    much.
     """
     if former is None:
         return present
@@ -106,16 +109,16 @@
     tally: Tally,
     permitted: bool,
 ) -> errors.Failure | None:
-    """Decides whether what is held is an answer.
+    """Decides whether the merged results are a sufficient answer.
 
     Args:
-        ledger: What is held.
-        minimum: The least coverage that the caller takes.
-        tally: How the parts went.
+        ledger: The merged results.
+        minimum: The minimum coverage that the caller accepts.
+        tally: The statistics of the parts.
         permitted: False if the service may query none of the shards.
 
     Returns:
-        None if it is; else why not.
+        None if the answer is sufficient; otherwise the failure to return.
     """
     if not permitted:
         return errors.Failure(errors.Kind.FORBIDDEN)
@@ -134,10 +137,10 @@
 
 
 def make_not_run(failure: errors.Failure) -> errors.Failure:
-    """Makes a failure whose answer truly says `not_run`.
+    """Converts a failure to one whose answer states `not_run`.
 
-    Some kinds say that the work may have run, which is wrong for one that
-    was never sent.
+    Some error kinds state that the work may have run, which is wrong for a
+    request that was never sent.
     """
     if failure.get_answer().ran is NOT_RUN:
         return failure
