--- a/src/azureramp/policy/overload.py
+++ b/src/azureramp/policy/overload.py
@@ -1,37 +1,43 @@
-"""Whether a VM's processor is too busy to answer in time."""
+"""Detects that a VM's CPU is too busy to answer in time."""
 
 from __future__ import annotations
 
 SMOOTHING = 0.2
-"""Weight of the newest lateness in the mean: about the last five count."""
+"""Weight of the newest timer delay in the mean, which covers about five timers.
+"""
 
 BUSY_S = 0.02
-"""Mean lateness of timers from which a VM is busy, in seconds: a request to
-all shards passes through the event loop twice and has some tens of
-milliseconds in all."""
+"""Mean timer delay above which a VM is busy, in seconds: a request to all
+shards passes through the event loop twice and has some tens of milliseconds in
+total."""
 
 FROZEN_S = 1.0
-"""A timer later than this tells of a pause of the whole process, in seconds,
-and nothing of its load."""
+"""Timer delay from which on the whole process was paused, in seconds; such a
+delay does not indicate load."""
 
 HOLD_S = 20.0
-"""How long a VM stays busy after it last was, in seconds. Callers that move to
-other VMs take the load away at once; a short hold would call them back and
-away again."""
+"""How long a VM stays marked as busy after its last overload, in seconds. The
+load drops at once when callers move to other VMs; a short time would make them
+move back and forth."""
 
 
 class Overload:
-    """Judges by how late timers fire."""
+    """Detects overload by the delay of timers."""
 
     __slots__ = ("_busy_until_s", "_mean_s")
 
     def __init__(self) -> None:
-        """Makes one that has seen no timer."""
+        """Creates a detector without measurements."""
         self._mean_s = 0.0
         self._busy_until_s = float("-inf")
 
     def add(self, late_s: float, now_s: float) -> bool:
-        """Takes how late a timer was; returns whether the VM is busy."""
+        """Records the delay of a timer; returns True if the VM is busy.
+
+        Args:
+            late_s: The delay of the timer, in seconds.
+            now_s: The current time, in seconds.
+        """
         if late_s < FROZEN_S:
             self._mean_s += SMOOTHING * (max(0.0, late_s) - self._mean_s)
         if self._mean_s > BUSY_S:
