--- a/src/azureramp/policy/ownership.py
+++ b/src/azureramp/policy/ownership.py
@@ -1,8 +1,7 @@
-"""Which VM owns a searcher: rendezvous hash among the live VMs of its zone.
+"""Assigns searchers to owners by rendezvous hashing among a zone's live VMs.
 
-Every VM computes the same from the same view, without a word between them,
-and the loss of a VM moves only that VM's searchers (Thaler and Ravishankar,
-1996).
+All VMs compute the same owners from the same view without communication, and
+the loss of a VM only moves that VM's searchers (Thaler and Ravishankar, 1996).
 """
 
 from __future__ import annotations
@@ -48,8 +47,8 @@
     Args:
         searchers: The zone of each searcher, by the searcher's name.
         candidates: The VMs that are live and not leaving.
-        zones_out: The availability zones out of service; neither their
-            searchers nor their VMs get work.
+        zones_out: The availability zones out of service; their searchers and
+            VMs get no work.
 
     Returns:
         The owner's name for each searcher that has one.
