--- a/src/azureramp/policy/pace.py
+++ b/src/azureramp/policy/pace.py
@@ -1,9 +1,9 @@
-"""How often heartbeats go, and how long silence and leases last.
+"""Computes the heartbeat interval, the suspect timeout and the lease lengths.
 
-In a small cell the settings decide. In a large one every VM hears every
-other, so the same rate would cost each VM processor time in proportion to
-the cell; there the time between heartbeats grows with it instead, and the
-times that count in heartbeats grow alike.
+In a small cell the settings apply unchanged. Since every VM sends heartbeats to
+every other, a fixed rate would cost each VM CPU time in proportion to the size
+of the cell. In a large cell the heartbeat interval grows with that size
+instead, and the timeouts and lease lengths grow by the same factor.
 """
 
 from __future__ import annotations
@@ -12,20 +12,21 @@
 import math
 
 BEATS_PER_S = 48.0
-"""Most heartbeats that a VM sends in a second, all peers together."""
+"""Maximum number of heartbeats that a VM sends to all peers per second."""
 
 GROWTH = 1.25
-"""By how much a VM list may have grown since a peer read it."""
+"""Factor by which a VM list may have grown since a peer read it."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Pace:
-    """The times of one cell.
+    """The intervals and timeouts of one cell.
 
     Attributes:
-        interval_s: Between two heartbeats, in seconds.
-        suspect_s: Silence after which a VM is suspect, in seconds.
-        lease_s: Length of the lease asked for, in seconds.
+        interval_s: Time between two heartbeats, in seconds.
+        suspect_s: Time without heartbeats after which a VM is suspect, in
+            seconds.
+        lease_s: Length of the requested lease, in seconds.
         longest_lease_s: Longest lease that is granted, in seconds; also how
             long a restarted VM grants none.
     """
@@ -39,13 +40,13 @@
 def compute_pace(
     vms: int, heartbeat_ms: int, suspect_ms: int, lease_ms: int
 ) -> Pace:
-    """Computes the times for a cell.
+    """Computes the intervals and timeouts of a cell.
 
     Args:
-        vms: How many VMs are listed.
-        heartbeat_ms: The setting.
-        suspect_ms: The setting.
-        lease_ms: The setting.
+        vms: The number of listed VMs.
+        heartbeat_ms: The setting `heartbeat_ms`, in milliseconds.
+        suspect_ms: The setting `suspect_ms`, in milliseconds.
+        lease_ms: The setting `lease_ms`, in milliseconds.
     """
     factor = _compute_factor(vms, heartbeat_ms)
     grown = _compute_factor(math.ceil(vms * GROWTH), heartbeat_ms)
@@ -58,5 +59,5 @@
 
 
 def _compute_factor(vms: int, heartbeat_ms: int) -> float:
-    """Computes by how much the settings' times are stretched."""
+    """Computes the factor by which the settings are multiplied."""
     return max(1.0, (vms - 1) / BEATS_PER_S / (heartbeat_ms / 1000))
