--- a/src/azureramp/policy/addresses.py
+++ b/src/azureramp/policy/addresses.py
@@ -7,7 +7,7 @@
 
 from azureramp.policy import ownership
 
-SPREAD = 0.0875
+MAX_LOAD_DEVIATION = 0.0875
 """Maximum deviation of a VM's weight from the even share, as a fraction."""
 
 
@@ -67,33 +67,33 @@
         vms: The names of the eligible VMs; at least one.
 
     Returns:
-        The VM of each caller. No VM's load differs from the even share by
-        more than `SPREAD`, unless a single caller weighs more than that.
+        The VM of each caller. No VM's load differs from the even share by more
+        than `MAX_LOAD_DEVIATION`, unless a single caller weighs more than that.
     """
-    room = compute_room(weights, len(vms))
+    capacity = compute_capacity(weights, len(vms))
     loads = dict.fromkeys(vms, 0.0)
-    placed: dict[str, str] = {}
+    assigned: dict[str, str] = {}
     for caller in sorted(weights, key=lambda name: (-weights[name], name)):
         weight = weights[caller]
         vm = next(
-            (vm for vm in rank(caller, vms) if loads[vm] + weight <= room),
+            (vm for vm in rank(caller, vms) if loads[vm] + weight <= capacity),
             None,
         )
         if vm is None:
             vm = min(vms, key=lambda name: (loads[name], name))
         loads[vm] += weight
-        placed[caller] = vm
-    return placed
+        assigned[caller] = vm
+    return assigned
 
 
-def compute_room(weights: Mapping[str, float], vms: int) -> float:
+def compute_capacity(weights: Mapping[str, float], vms: int) -> float:
     """Computes the maximum weight that may be assigned to a VM.
 
     The surplus of all other VMs together can be missing on one VM, so the
     allowed surplus of each is divided by the number of the others.
     """
     share = sum(weights.values()) / vms
-    return share * (1.0 + SPREAD / max(1, vms - 1))
+    return share * (1.0 + MAX_LOAD_DEVIATION / max(1, vms - 1))
 
 
 def rank(caller: str, vms: Iterable[str]) -> list[str]:
@@ -123,13 +123,13 @@
 class Orders:
     """Caches the assignment of the current callers to the current VMs."""
 
-    __slots__ = ("_placed", "_vms", "_weights")
+    __slots__ = ("_assigned", "_vms", "_weights")
 
     def __init__(self) -> None:
         """Creates an empty cache."""
         self._weights: Mapping[str, float] = {}
         self._vms: tuple[str, ...] = ()
-        self._placed: dict[str, str] = {}
+        self._assigned: dict[str, str] = {}
 
     def get(
         self, caller: str, weights: Mapping[str, float], vms: Sequence[str]
@@ -140,7 +140,7 @@
         if self._vms != tuple(vms) or self._weights != weights:
             self._vms = tuple(vms)
             self._weights = dict(weights)
-            self._placed = place(weights, vms)
+            self._assigned = place(weights, vms)
         ranked = rank(caller, vms)
-        first = self._placed.get(caller, ranked[0])
+        first = self._assigned.get(caller, ranked[0])
         return (first, *(vm for vm in ranked if vm != first))
