--- a/src/azureramp/policy/admission.py
+++ b/src/azureramp/policy/admission.py
@@ -12,7 +12,7 @@
 
 from azureramp import errors, messages, resources
 
-MOST_RUNNING: Mapping[resources.Priority, int] = {
+MAX_RUNNING: Mapping[resources.Priority, int] = {
     resources.Priority.URGENT: 512,
     resources.Priority.NORMAL: 384,
     resources.Priority.DEFERRABLE: 256,
@@ -22,27 +22,27 @@
 WINDOW_S = 0.1
 """Length of the window over which waits are averaged, in seconds."""
 
-DECREASE = 0.05
+LEVEL_DECREASE = 0.05
 """Decrease of the level in an overloaded window, multiplied by the mean ratio
 of the waits to their limit."""
 
-STEEPEST = 4.0
+MAX_RATIO = 4.0
 """Maximum of that ratio; also the ratio of a sub-request that a queue refused.
 """
 
-INCREASE = 0.02
+LEVEL_INCREASE = 0.02
 """Increase of the level in a window without overload."""
 
-MOST_WINDOWS = 1000.0
+MAX_IDLE_WINDOWS = 1000.0
 """Maximum number of windows without a sample that are credited at once."""
 
-LOWEST_LEVEL = 0.1
+MIN_LEVEL = 0.1
 """Minimum share of urgent requests accepted, so that waits stay measurable."""
 
-DEADLINE_SHARE = 0.25
+MAX_DEADLINE_SHARE = 0.25
 """Maximum mean wait without overload, as a share of the deadline."""
 
-QUEUE_SHARE = 0.5
+MAX_QUEUE_SHARE = 0.5
 """Maximum mean wait without overload, as a share of the time limit in queues.
 """
 
@@ -52,8 +52,8 @@
 new wait is measured, so the rejections must end without a new measurement.
 """
 
-SHORTEST_RETRY_MS = 200
-LONGEST_RETRY_MS = 30_000
+MIN_RETRY_MS = 200
+MAX_RETRY_MS = 30_000
 
 
 class Level:
@@ -67,13 +67,13 @@
         value: The level, at most the number of priorities.
     """
 
-    __slots__ = ("_counts", "_ends_s", "_overloaded", "_ratios", "value")
+    __slots__ = ("_counts", "_overloaded", "_ratios", "_window_end_s", "value")
 
     def __init__(self) -> None:
         """Creates a level that accepts everything."""
         self.value = float(len(resources.Priority))
         self._overloaded = False
-        self._ends_s = 0.0
+        self._window_end_s = 0.0
         self._ratios = [0.0] * len(resources.Priority)
         self._counts = [0] * len(resources.Priority)
 
@@ -88,7 +88,7 @@
             now_s: The current time, in seconds.
         """
         self._end_window(now_s)
-        self._ratios[priority] += min(STEEPEST, ratio)
+        self._ratios[priority] += min(MAX_RATIO, ratio)
         self._counts[priority] += 1
 
     def get_share(self, priority: resources.Priority, now_s: float) -> float:
@@ -103,24 +103,27 @@
 
     def _end_window(self, now_s: float) -> None:
         """Adjusts the level at the end of a window."""
-        if now_s < self._ends_s:
+        if now_s < self._window_end_s:
             return
-        idle_windows = min(MOST_WINDOWS, (now_s - self._ends_s) / WINDOW_S)
-        self._ends_s = now_s + WINDOW_S
-        worst = self._find_overloaded()
-        if worst is None:
+        idle_windows = min(
+            MAX_IDLE_WINDOWS, (now_s - self._window_end_s) / WINDOW_S
+        )
+        self._window_end_s = now_s + WINDOW_S
+        overloaded = self._find_overloaded()
+        if overloaded is None:
             idle_windows += 1.0
         else:
-            floor = max(LOWEST_LEVEL, float(worst))
-            mean = self._ratios[worst] / self._counts[worst]
-            fallen = max(floor, self.value - DECREASE * mean)
+            floor = max(MIN_LEVEL, float(overloaded))
+            mean = self._ratios[overloaded] / self._counts[overloaded]
+            fallen = max(floor, self.value - LEVEL_DECREASE * mean)
             self.value = min(self.value, fallen)
         # Windows without a sample count as windows without overload: rejected
         # requests give no samples, so the level could never rise otherwise.
         self.value = min(
-            float(len(resources.Priority)), self.value + INCREASE * idle_windows
+            float(len(resources.Priority)),
+            self.value + LEVEL_INCREASE * idle_windows,
         )
-        self._overloaded = worst is not None and idle_windows < 1.0
+        self._overloaded = overloaded is not None and idle_windows < 1.0
         for priority in resources.Priority:
             self._ratios[priority] = 0.0
             self._counts[priority] = 0
@@ -223,7 +226,7 @@
     """
     if demand.left_ms <= 0 or demand.left_ms < demand.needed_ms:
         return errors.Kind.DEADLINE_TOO_SHORT
-    if demand.running >= MOST_RUNNING[demand.priority]:
+    if demand.running >= MAX_RUNNING[demand.priority]:
         return errors.Kind.OVERLOADED
     if draw >= demand.share:
         return errors.Kind.OVERLOADED
@@ -239,7 +242,7 @@
             rejected at the same time do not retry at the same time.
     """
     jittered_ms = drain_ms * (1.0 + draw / 2)
-    return int(min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, jittered_ms)))
+    return int(min(MAX_RETRY_MS, max(MIN_RETRY_MS, jittered_ms)))
 
 
 def compute_ratio(wait_ms: float, allowed_ms: float, queue_ms: float) -> float:
@@ -252,7 +255,7 @@
         queue_ms: The longest time that a sub-request may be queued, in
             milliseconds.
     """
-    max_ms = min(allowed_ms * DEADLINE_SHARE, queue_ms * QUEUE_SHARE)
+    max_ms = min(allowed_ms * MAX_DEADLINE_SHARE, queue_ms * MAX_QUEUE_SHARE)
     return wait_ms / max(1.0, max_ms)
 
 
@@ -297,4 +300,4 @@
         refused: The number of refused sub-requests.
         parts: The number of sub-requests of the request.
     """
-    return STEEPEST * min(1.0, 5.0 * refused / max(1, parts))
+    return MAX_RATIO * min(1.0, 5.0 * refused / max(1, parts))
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -69,7 +69,7 @@
     [
         (DEFERRABLE, (1.0, 1.0, 0.0)),
         (NORMAL, (1.0, 0.0, 0.0)),
-        (URGENT, (admission.LOWEST_LEVEL, 0.0, 0.0)),
+        (URGENT, (admission.MIN_LEVEL, 0.0, 0.0)),
     ],
 )
 def test_the_lowest_priority_is_shed_first_and_no_more_urgent_one_for_it(
@@ -125,7 +125,7 @@
         now_s += after_s
         shares = [level.get_share(one, now_s) for one in resources.Priority]
         assert shares == sorted(shares, reverse=True)
-        assert shares[0] >= admission.LOWEST_LEVEL
+        assert shares[0] >= admission.MIN_LEVEL
 
 
 def test_an_estimate_forgets_the_wait_when_nothing_is_measured() -> None:
@@ -180,5 +180,5 @@
     assert drain_ms == 500.0
     assert admission.compute_retry_ms(drain_ms, 0.0) == 500
     assert admission.compute_retry_ms(drain_ms, 1.0) == 750
-    assert admission.compute_retry_ms(0.0, 0.0) == admission.SHORTEST_RETRY_MS
-    assert admission.compute_retry_ms(1e9, 1.0) == admission.LONGEST_RETRY_MS
+    assert admission.compute_retry_ms(0.0, 0.0) == admission.MIN_RETRY_MS
+    assert admission.compute_retry_ms(1e9, 1.0) == admission.MAX_RETRY_MS
