--- a/src/azureramp/policy/advertising.py
+++ b/src/azureramp/policy/advertising.py
@@ -13,33 +13,33 @@
 
 from azureramp import catalog
 
-MOST_ADVERTISED = 64
+MAX_ADVERTISED = 64
 """Maximum number of addresses in an answer; callers read no more."""
 
-LEAST_ADVERTISED = 4
+MIN_ADVERTISED = 4
 """Minimum number of advertised VMs, if there are as many. With two, the loss
 of one would leave no alternative to callers that cache an answer."""
 
-LEAST_ZONES = 2
+MIN_ZONES = 2
 """Minimum number of availability zones with advertised VMs, if there are as
 many, so that after the loss of one zone advertised, warm VMs remain."""
 
-LINKS_EACH = 8
+USUAL_CONNECTIONS_PER_VM = 8
 """Connections that a VM should be able to hold to each searcher: two for the
 calls of two concurrent requests, and two for hedges and late answers."""
 
-LINKS_LEAST = 3
+MIN_CONNECTIONS_PER_VM = 3
 """Minimum connections per VM to each searcher, however many VMs are busy: one
 for a call, one for its late answer and one for the next call. With fewer, calls
 wait for each other, and VMs with differing views together exceed the limit of
 a searcher, which resets the connections beyond it."""
 
-STRONG_SHARE = 0.5
+LARGE_VM_SHARE = 0.5
 """A VM with less than this share of the largest VM's cores is advertised only
-to reach `LEAST_ADVERTISED`, or in place of a busy VM: a small VM answers a
+to reach `MIN_ADVERTISED`, or in place of a busy VM: a small VM answers a
 request to all shards too late."""
 
-NEAR_SHARE = 0.5
+NEAR_ZONE_SHARE = 0.5
 """An availability zone counts as near the searchers if its share of them is at
 least this fraction of the largest zone's share."""
 
@@ -67,20 +67,20 @@
         The selected VMs, sorted by name.
     """
     staying = [member for member in members if not member.leaving]
-    usual, most = _count_wanted(connections)
-    usual = min(usual, max(LEAST_ADVERTISED, _count_strong(staying)))
+    usual, most = _count_targets(connections)
+    usual = min(usual, max(MIN_ADVERTISED, _count_large(staying)))
     chosen: list[catalog.Member] = []
     busy: list[catalog.Member] = []
     groups = _group_zones(_rank_zones(staying, nearness), nearness)
     for number, zones in enumerate(groups):
         if (
-            len(chosen) >= LEAST_ADVERTISED + len(busy)
-            and _count_zones(chosen) >= LEAST_ZONES
+            len(chosen) >= MIN_ADVERTISED + len(busy)
+            and _count_zones(chosen) >= MIN_ZONES
         ):
             break
         # The last place is reserved for another zone.
         reserved = number == 0 and len(zones) == 1 and len(groups) > 1
-        for member in _rank_evenly(staying, zones):
+        for member in _rank_alternating(staying, zones):
             if len(chosen) >= min(most, usual + len(busy)) - reserved:
                 break
             (busy if member.busy else chosen).append(member)
@@ -108,19 +108,19 @@
     return max(1, math.floor(0.9 * connections / max(1, advertised)))
 
 
-def _count_wanted(connections: int) -> tuple[int, int]:
+def _count_targets(connections: int) -> tuple[int, int]:
     """Returns the usual and the maximum number of advertised VMs."""
     if not connections:
-        return MOST_ADVERTISED, MOST_ADVERTISED
-    usual = max(LEAST_ADVERTISED, connections // LINKS_EACH)
-    most = max(LEAST_ADVERTISED, connections // LINKS_LEAST)
-    return min(MOST_ADVERTISED, usual), min(MOST_ADVERTISED, most)
+        return MAX_ADVERTISED, MAX_ADVERTISED
+    usual = max(MIN_ADVERTISED, connections // USUAL_CONNECTIONS_PER_VM)
+    most = max(MIN_ADVERTISED, connections // MIN_CONNECTIONS_PER_VM)
+    return min(MAX_ADVERTISED, usual), min(MAX_ADVERTISED, most)
 
 
-def _count_strong(members: list[catalog.Member]) -> int:
-    """Returns how many VMs have at least `STRONG_SHARE` of the most cores."""
+def _count_large(members: list[catalog.Member]) -> int:
+    """Returns how many VMs have at least `LARGE_VM_SHARE` of the most cores."""
     most = max((member.cores for member in members), default=0.0)
-    return sum(member.cores >= STRONG_SHARE * most for member in members)
+    return sum(member.cores >= LARGE_VM_SHARE * most for member in members)
 
 
 def _rank_zones(
@@ -141,12 +141,12 @@
     near = [
         zone
         for zone in zones
-        if nearness.get(zone, 0.0) >= NEAR_SHARE * largest
+        if nearness.get(zone, 0.0) >= NEAR_ZONE_SHARE * largest
     ]
     return [near, *([zone] for zone in zones if zone not in near)]
 
 
-def _rank_evenly(
+def _rank_alternating(
     members: list[catalog.Member], zones: list[str]
 ) -> list[catalog.Member]:
     """Ranks VMs, alternating between zones, those with most cores first."""
--- a/tests/policy/test_advertising.py
+++ b/tests/policy/test_advertising.py
@@ -31,7 +31,7 @@
         for index, member in enumerate(make_members(zones))
     ]
     told = advertising.choose(members, dict.fromkeys(zones, 0.25), 54)
-    assert len(told) == 54 // advertising.LINKS_EACH
+    assert len(told) == 54 // advertising.USUAL_CONNECTIONS_PER_VM
     assert all(member.cores == 2.0 for member in told)
     assert len({member.zone for member in told}) == 4
 
