--- a/src/azureramp/policy/allowances.py
+++ b/src/azureramp/policy/allowances.py
@@ -49,7 +49,7 @@
         self._requests_s.append(now_s)
         self._expire(now_s)
 
-    def get_left(self, now_s: float, part: float) -> float:
+    def get_remaining(self, now_s: float, part: float) -> float:
         """Returns how many extra calls may be made now.
 
         Args:
@@ -63,7 +63,7 @@
 
     def spend(self, now_s: float, part: float) -> bool:
         """Uses the allowance for one extra call; False if none is left."""
-        if self.get_left(now_s, part) < 1.0:
+        if self.get_remaining(now_s, part) < 1.0:
             return False
         self._extras_s.append(now_s)
         return True
