--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -9,10 +9,10 @@
 from azureramp import errors, messages, resources
 from azureramp.policy import coverage
 
-REFUSALS = frozenset({errors.Kind.SHED, errors.Kind.VERSION_GONE})
+NOT_STARTED_KINDS = frozenset({errors.Kind.SHED, errors.Kind.VERSION_GONE})
 """Error kinds by which a searcher replies that it did not start the work."""
 
-MOST_WAIT_MS = 60_000
+MAX_RETRY_AFTER_MS = 60_000
 """Maximum retry delay accepted from a failure, in milliseconds."""
 
 MAX_ATTEMPTS = 4
@@ -168,9 +168,9 @@
         self.remove(attempt)
         match result:
             case messages.PartFailed():
-                kind = read_kind(result.kind)
-                ran = result.sent and kind not in REFUSALS
-                wait_ms = min(max(0, result.retry_after_ms), MOST_WAIT_MS)
+                kind = parse_kind(result.kind)
+                ran = result.sent and kind not in NOT_STARTED_KINDS
+                wait_ms = min(max(0, result.retry_after_ms), MAX_RETRY_AFTER_MS)
                 return Failed(attempt, kind, result.sent, ran, wait_ms)
             case messages.PartDone():
                 return self._merge_done(attempt, result)
@@ -218,7 +218,7 @@
         return self.ledger.get_reachable(self.lost)
 
 
-def read_kind(code: str) -> errors.Kind:
+def parse_kind(code: str) -> errors.Kind:
     """Parses an error kind received from another VM; `INTERNAL` if unknown."""
     try:
         return errors.Kind(code)
