--- a/src/azureramp/policy/backoff.py
+++ b/src/azureramp/policy/backoff.py
@@ -13,10 +13,10 @@
 TOLERATED = 3
 """Consecutive failures that start the backoff; fewer are isolated losses."""
 
-FIRST_S = 0.2
+MAX_FIRST_DELAY_S = 0.2
 """Upper limit of the first delay, in seconds."""
 
-LONGEST_S = 3.0
+MAX_DELAY_S = 3.0
 """Upper limit of any delay, in seconds."""
 
 
@@ -85,6 +85,6 @@
         if self.is_open():
             return
         doublings = min(self.failures - TOLERATED, 16)
-        ceiling_s = min(FIRST_S * 2**doublings, LONGEST_S)
+        ceiling_s = min(MAX_FIRST_DELAY_S * 2**doublings, MAX_DELAY_S)
         self.until_s = now_s + ceiling_s * rng.uniform(0.5, 1.0)
         self._probing_until_s = 0.0
