--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -20,10 +20,10 @@
 QUARANTINE_S = 120.0
 """How long a request is refused after its last crash, in seconds."""
 
-MOST_REQUESTS = 2048
+MAX_REQUESTS = 2048
 """Maximum number of requests kept; the oldest one is dropped first."""
 
-OWN = ""
+OWN_KEY = ""
 """The key under which a VM keeps the crashes that it observed itself."""
 
 
@@ -44,8 +44,10 @@
         Returns:
             The number of crashes that it has observed for this request.
         """
-        observed, _ = self._by_request.get(fingerprint, {}).get(OWN, (0, 0.0))
-        self._set_crashes(fingerprint, OWN, observed + 1, now_s)
+        observed, _ = self._by_request.get(fingerprint, {}).get(
+            OWN_KEY, (0, 0.0)
+        )
+        self._set_crashes(fingerprint, OWN_KEY, observed + 1, now_s)
         return observed + 1
 
     def adopt(
@@ -78,7 +80,7 @@
         """Sets the number of crashes that one VM observed for a request."""
         by_vm = self._by_request.setdefault(fingerprint, {})
         by_vm[vm] = (crashes, now_s)
-        if len(self._by_request) > MOST_REQUESTS:
+        if len(self._by_request) > MAX_REQUESTS:
             self._by_request.popitem(last=False)
 
 
