--- a/src/azureramp/policy/caller_delay.py
+++ b/src/azureramp/policy/caller_delay.py
@@ -11,21 +11,21 @@
 
 import collections
 
-REMEMBERED = 128
+MAX_SAMPLES = 128
 """Number of recent requests kept for a route."""
 
-FEW = 5
+MIN_QUANTILE_SAMPLES = 5
 """With fewer requests than this the maximum is used: each VM of a large
 deployment gets one request per second of a route, and an estimate that is too
-small does no harm. From this number on, `FULL_QUANTILE` excludes the maximum.
-"""
+small does no harm. From this number on, `INITIAL_QUANTILE` excludes the largest
+one."""
 
-FULL_QUANTILE = 0.9
+INITIAL_QUANTILE = 0.9
 """The initial timeout of callers is estimated as this quantile of the stated
 timeouts. The maximum may come from a single outlier; at least a tenth of the
 requests arrive on open connections and have spent nothing."""
 
-REFRESH = 4
+REFRESH_SAMPLES = 4
 """Number of requests after which the quantile is recomputed."""
 
 
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         """Creates an estimator without requests."""
         self._stated_s: collections.deque[float] = collections.deque(
-            maxlen=REMEMBERED
+            maxlen=MAX_SAMPLES
         )
         self._since_refresh = 0
         self._initial_s: float | None = None
@@ -46,11 +46,14 @@
         """Records a caller's remaining timeout, in seconds."""
         self._stated_s.append(stated_s)
         self._since_refresh += 1
-        if len(self._stated_s) < FEW:
+        if len(self._stated_s) < MIN_QUANTILE_SAMPLES:
             self._initial_s = max(self._stated_s)
-        elif self._since_refresh >= REFRESH or len(self._stated_s) == FEW:
+        elif (
+            self._since_refresh >= REFRESH_SAMPLES
+            or len(self._stated_s) == MIN_QUANTILE_SAMPLES
+        ):
             ranked = sorted(self._stated_s)
-            self._initial_s = ranked[int(FULL_QUANTILE * (len(ranked) - 1))]
+            self._initial_s = ranked[int(INITIAL_QUANTILE * (len(ranked) - 1))]
             self._since_refresh = 0
 
     def estimate_s(self, stated_s: float, max_wait_s: float) -> float:
