--- a/src/azureramp/policy/connections.py
+++ b/src/azureramp/policy/connections.py
@@ -8,26 +8,26 @@
 
 from __future__ import annotations
 
-REUSE_S = 4.0
+MAX_PROOF_AGE_S = 4.0
 """Maximum age of the last proof of life for reuse without a check, in seconds.
 """
 
 OVERDUE_FACTOR = 5.0
 """Multiple of the usual service time after which a reply is overdue."""
 
-OVERDUE_LEAST_MS = 50.0
+MIN_OVERDUE_MS = 50.0
 """Minimum time before a reply is overdue, in milliseconds."""
 
-OVERDUE_UNKNOWN_MS = 250.0
+DEFAULT_OVERDUE_MS = 250.0
 """Time after which a reply is overdue if the usual service time is unknown, in
 milliseconds."""
 
-GIVE_UP_FACTOR = 4.0
+ABANDON_FACTOR = 4.0
 """Multiple of the overdue time after which a repeatable call is abandoned if a
 new connection works meanwhile: twice the time of a straggler that takes ten
 times the usual time."""
 
-HEALTH_LINKS = 2
+HEALTH_CONNECTIONS = 2
 """Connections reserved for health checks: one that stays open, and a new one
 to distinguish an unresponsive connection from an unresponsive searcher."""
 
@@ -41,7 +41,7 @@
         suspect_before_s: Connections without proof of life since this time are
             suspect, because a reply is overdue on one that was used then.
     """
-    return now_s - proven_s <= REUSE_S and proven_s > suspect_before_s
+    return now_s - proven_s <= MAX_PROOF_AGE_S and proven_s > suspect_before_s
 
 
 def get_overdue_ms(usual_ms: float) -> float:
@@ -51,8 +51,8 @@
         usual_ms: The usual service time, in milliseconds; 0 if unknown.
     """
     if usual_ms <= 0:
-        return OVERDUE_UNKNOWN_MS
-    return max(OVERDUE_LEAST_MS, usual_ms * OVERDUE_FACTOR)
+        return DEFAULT_OVERDUE_MS
+    return max(MIN_OVERDUE_MS, usual_ms * OVERDUE_FACTOR)
 
 
 def get_give_up_ms(usual_ms: float, cold: bool) -> float:
@@ -70,7 +70,7 @@
     """
     if cold or usual_ms <= 0:
         return 0.0
-    return get_overdue_ms(usual_ms) * GIVE_UP_FACTOR
+    return get_overdue_ms(usual_ms) * ABANDON_FACTOR
 
 
 def get_share(connections: int) -> int:
@@ -98,4 +98,4 @@
     """
     if share <= 0:
         return 0, 0
-    return max(1, share - HEALTH_LINKS), HEALTH_LINKS
+    return max(1, share - HEALTH_CONNECTIONS), HEALTH_CONNECTIONS
