--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -54,11 +54,11 @@
     listed: Collection[str]
     acknowledgements: Acknowledgements
 
-    def count_needed(self) -> int:
+    def count_majority(self) -> int:
         """Returns how many VMs form a majority."""
         return len(self.listed) // 2 + 1
 
-    def get_others(self) -> dict[str, Acknowledgement]:
+    def get_configured_peers(self) -> dict[str, Acknowledgement]:
         """Returns the acknowledgements of listed VMs with a configuration.
 
         A VM that has just started has no configuration and no memory of one,
@@ -93,7 +93,7 @@
             The latest time at which a majority of the listed VMs, this one
             included, had proved it; minus infinity if never.
         """
-        for vm, acknowledgement in view.get_others().items():
+        for vm, acknowledgement in view.get_configured_peers().items():
             if acknowledgement.revision <= view.revision:
                 self._credited[vm] = max(
                     self._credited.get(vm, -math.inf), acknowledgement.sent_s
@@ -103,8 +103,8 @@
         if view.own not in view.listed or view.revision == 0:
             return -math.inf
         times = sorted((*self._credited.values(), view.now_s), reverse=True)
-        needed = view.count_needed()
-        return times[needed - 1] if len(times) >= needed else -math.inf
+        majority = view.count_majority()
+        return times[majority - 1] if len(times) >= majority else -math.inf
 
 
 class Acceptance:
@@ -140,12 +140,12 @@
         """Processes the acknowledgements; may raise `revision`."""
         if view.own not in view.listed:
             return
-        others = view.get_others()
-        needed = view.count_needed()
+        others = view.get_configured_peers()
+        majority = view.count_majority()
         if self._revision > self.revision:
-            self._process_second_round(view, others, needed)
+            self._process_second_round(view, others, majority)
         if self._revision <= self.revision:
-            self._process_first_round(view, others, needed)
+            self._process_first_round(view, others, majority)
 
     def get_accepted_s(self, revision: int) -> float:
         """Returns when a revision was accepted; infinity if it was not."""
@@ -153,14 +153,14 @@
         return min(times, default=math.inf)
 
     def _process_first_round(
-        self, view: View, others: dict[str, Acknowledgement], needed: int
+        self, view: View, others: dict[str, Acknowledgement], majority: int
     ) -> None:
         """Starts the second round once a majority holds a newer revision."""
         held = [view.revision, *(other.revision for other in others.values())]
         held.sort(reverse=True)
-        if len(held) < needed:
+        if len(held) < majority:
             return
-        revision = min(held[needed - 1], view.revision)
+        revision = min(held[majority - 1], view.revision)
         if revision <= self.revision:
             return
         self._revision = revision
@@ -170,11 +170,11 @@
             for vm, other in others.items()
             if other.revision >= revision
         }
-        if needed == 1:
+        if majority == 1:
             self._accept(view.now_s)
 
     def _process_second_round(
-        self, view: View, others: dict[str, Acknowledgement], needed: int
+        self, view: View, others: dict[str, Acknowledgement], majority: int
     ) -> None:
         """Accepts once a majority has acknowledged again, or starts over."""
         confirming = 1
@@ -188,18 +188,18 @@
                 and other.revision >= self._revision
             ):
                 confirming += 1
-        if confirming >= needed:
+        if confirming >= majority:
             self._accept(view.now_s)
-        elif len(self._holders) + 1 - invalid < needed:
+        elif len(self._holders) + 1 - invalid < majority:
             self._revision = 0
 
     def _accept(self, now_s: float) -> None:
         self.revision = self._revision
         self._history.append((self.revision, now_s))
-        del self._history[:-HISTORY]
+        del self._history[:-MAX_HISTORY]
 
 
-HISTORY = 64
+MAX_HISTORY = 64
 """Number of accepted revisions that are kept with their times."""
 
 
@@ -216,8 +216,8 @@
         view: The state that the VM knows; its own revision is still 0.
         revision: The revision that it received from peers.
     """
-    others = view.get_others()
-    return len(others) >= view.count_needed() and revision >= max(
+    others = view.get_configured_peers()
+    return len(others) >= view.count_majority() and revision >= max(
         other.revision for other in others.values()
     )
 
@@ -235,7 +235,7 @@
     """
     times = [
         other.confirmed_s
-        for other in view.get_others().values()
+        for other in view.get_configured_peers().values()
         if other.revision <= view.revision
     ]
     return max([confirmed_s, *times])
