--- a/src/azureramp/policy/coverage.py
+++ b/src/azureramp/policy/coverage.py
@@ -54,12 +54,12 @@
             False if the result was not added, because its version or range
             differs or the ledger already has a result of the shard.
         """
-        if self.is_held(shard) or not self.is_match(shard, done):
+        if self.is_held(shard) or not self.matches(shard, done):
             return False
         self._held[shard.name] = items
         return True
 
-    def is_match(self, shard: resources.Shard, done: messages.PartDone) -> bool:
+    def matches(self, shard: resources.Shard, done: messages.PartDone) -> bool:
         """Returns True if a result is of the pinned version and range."""
         return (done.version, done.low, done.high) == (
             self.shard_map.version,
