--- a/src/azureramp/policy/deadlines.py
+++ b/src/azureramp/policy/deadlines.py
@@ -12,7 +12,7 @@
 HOP_MARGIN_MS = 3.0
 """Margin for sending a result from the owner to the coordinator."""
 
-LARGEST_SHARE = 0.1
+MAX_MARGIN_SHARE = 0.1
 """Maximum share of the remaining time that one margin takes, which limits the
 margins of short deadlines."""
 
@@ -20,7 +20,7 @@
 def get_answer_s(now_s: float, deadline_s: float) -> float:
     """Returns the latest time at which the coordinator answers, in seconds."""
     margin_s = ANSWER_MARGIN_MS / 1000
-    return deadline_s - min(margin_s, (deadline_s - now_s) * LARGEST_SHARE)
+    return deadline_s - min(margin_s, (deadline_s - now_s) * MAX_MARGIN_SHARE)
 
 
 def get_remaining_ms(now_s: float, answer_s: float) -> float:
@@ -31,4 +31,4 @@
         answer_s: The latest time at which the coordinator answers, in seconds.
     """
     remaining_ms = max(0.0, answer_s - now_s) * 1000
-    return remaining_ms - min(HOP_MARGIN_MS, remaining_ms * LARGEST_SHARE)
+    return remaining_ms - min(HOP_MARGIN_MS, remaining_ms * MAX_MARGIN_SHARE)
