--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -11,7 +11,7 @@
 import dataclasses
 import math
 
-SAFETY = 0.92
+SAFETY_FACTOR = 0.92
 """Fraction of the bound that is used: requests are counted a moment after they
 are sent, and the last ones of a VM that crashes are never counted."""
 
@@ -24,14 +24,14 @@
 """Maximum share of the recent requests in the canary phase: the old version's
 answers of the same time are the baseline for comparison."""
 
-GRANT_S = 1.0
+GRANT_VALIDITY_S = 1.0
 """How long a grant stays valid, in seconds. A VM that loses contact with the
 driver sends nothing to the new version afterwards."""
 
 RATE_SMOOTHING = 0.3
 """Weight of the newest report in a VM's smoothed request rate."""
 
-SHORTEST_S = 0.05
+MIN_REPORT_INTERVAL_S = 0.05
 """Minimum time between two reports assumed for a rate, in seconds."""
 
 
@@ -53,7 +53,7 @@
 
     def get_grant_s(self) -> float:
         """Returns how long a grant stays valid, in seconds."""
-        return min(GRANT_S, self.stop_s / 5)
+        return min(GRANT_VALIDITY_S, self.stop_s / 5)
 
 
 def count_allowed(terms: Terms, requests: float) -> int:
@@ -63,7 +63,7 @@
         terms: The operators' bound.
         requests: The number of requests to the service since the order.
     """
-    return math.floor(SAFETY * (terms.share * requests + terms.fixed))
+    return math.floor(SAFETY_FACTOR * (terms.share * requests + terms.fixed))
 
 
 @dataclasses.dataclass(slots=True)
@@ -126,7 +126,7 @@
                 self.requests += requests
             return
         added = max(0, requests - account.requests)
-        elapsed_s = max(now_s - account.reported_s, SHORTEST_S)
+        elapsed_s = max(now_s - account.reported_s, MIN_REPORT_INTERVAL_S)
         account.rate += RATE_SMOOTHING * (added / elapsed_s - account.rate)
         account.requests += added
         account.reported_s = now_s
@@ -155,7 +155,7 @@
             account.held_until_s = now_s + self._terms.get_grant_s()
         return limit
 
-    def count_ahead(self, process: str) -> int:
+    def count_unused(self, process: str) -> int:
         """Returns the number of calls that a process may still make."""
         account = self._accounts[process]
         return account.limit - account.spent
@@ -192,5 +192,5 @@
     rate, total = ledger.get_process_rate(process), ledger.get_rate()
     part = rate / total if total > 0 else 1.0
     more = max(min(left, 1), round(left * part))
-    max_ahead = max(1, math.ceil(rate * grant_s))
-    return max(0, min(ledger.count_ahead(process) + more, max_ahead))
+    max_unused = max(1, math.ceil(rate * grant_s))
+    return max(0, min(ledger.count_unused(process) + more, max_unused))
--- a/tests/policy/test_exposure.py
+++ b/tests/policy/test_exposure.py
@@ -18,7 +18,7 @@
 
 def test_a_grant_is_no_longer_than_the_time_to_stop() -> None:
     assert exposure.Terms(0.1, 50, 1.0).get_grant_s() == 0.2
-    assert TERMS.get_grant_s() == exposure.GRANT_S
+    assert TERMS.get_grant_s() == exposure.GRANT_VALIDITY_S
 
 
 def test_a_vm_without_requests_holds_no_grants_for_others() -> None:
