--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -29,11 +29,11 @@
 at once, which is more than the hedge budget covers.
 """
 
-SHORTEST_MS = 1.0
+MIN_DELAY_MS = 1.0
 """Minimum hedge delay; a shorter one would hedge because of scheduling jitter.
 """
 
-UNKNOWN_SHARE = 0.25
+DEFAULT_DELAY_SHARE = 0.25
 """Hedge delay without measurements, as a share of the remaining time."""
 
 _BUCKETS_PER_OCTAVE = 8
@@ -134,7 +134,7 @@
 
     __slots__ = ("_by_index", "_by_place")
 
-    MOST_PLACES = 8192
+    MAX_PLACES = 8192
     """Maximum number of places kept; the oldest one is dropped first."""
 
     def __init__(self) -> None:
@@ -162,8 +162,8 @@
         for sketch in self._find(place):
             quantile_ms = sketch.get()
             if quantile_ms is not None:
-                return max(SHORTEST_MS, quantile_ms)
-        return max(SHORTEST_MS, left_ms * UNKNOWN_SHARE)
+                return max(MIN_DELAY_MS, quantile_ms)
+        return max(MIN_DELAY_MS, left_ms * DEFAULT_DELAY_SHARE)
 
     def get_index_ms(self, index: str, priority: resources.Priority) -> float:
         """Returns an index's `HEDGE_QUANTILE` in milliseconds; 0 if unknown."""
@@ -174,7 +174,7 @@
         """Returns the sketches of a place and its index, created if missing."""
         by_place = self._by_place.get(place)
         if by_place is None:
-            if len(self._by_place) >= self.MOST_PLACES:
+            if len(self._by_place) >= self.MAX_PLACES:
                 self._by_place.pop(next(iter(self._by_place)))
             by_place = self._by_place[place] = Sketch(HEDGE_QUANTILE)
         key = (place.index, place.priority)
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -81,12 +81,12 @@
 def test_the_table_of_delays_is_bounded() -> None:
     delays = hedging.Delays()
 
-    for number in range(delays.MOST_PLACES + 100):
+    for number in range(delays.MAX_PLACES + 100):
         shard = f"{number}"
         place = hedging.Place("cover", shard, resources.Priority.URGENT)
         delays.add(place, 10.0)
 
-    assert len(delays._by_place) == delays.MOST_PLACES
+    assert len(delays._by_place) == delays.MAX_PLACES
 
 
 @pytest.mark.parametrize(
