--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -17,7 +17,7 @@
 
 from azureramp.policy import lists
 
-DRIFT = 0.01
+MAX_CLOCK_DRIFT = 0.01
 """Fraction by which a holder shortens its lease, because the clocks of VMs run
 at slightly different rates."""
 
@@ -123,7 +123,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Sent:
+class SentHeartbeat:
     """A heartbeat that was sent.
 
     Attributes:
@@ -146,9 +146,9 @@
         Args:
             lease_s: The length of the lease, in seconds.
         """
-        self._lease_s = lease_s * (1 - DRIFT)
+        self._lease_s = lease_s * (1 - MAX_CLOCK_DRIFT)
         self._claims: frozenset[int] = frozenset()
-        self._sent: dict[int, Sent] = {}
+        self._sent: dict[int, SentHeartbeat] = {}
         self._agreed: dict[str, float] = {}
         self._granted: dict[int, dict[str, float]] = {}
 
@@ -158,7 +158,7 @@
         A shorter length applies at once, a longer one from the next heartbeat
         on, since existing promises have the old length.
         """
-        held_s = lease_s * (1 - DRIFT)
+        held_s = lease_s * (1 - MAX_CLOCK_DRIFT)
         if held_s > self._lease_s:
             self._agreed.clear()
             self._sent.clear()
@@ -176,7 +176,9 @@
         for claim in self._claims - current:
             self._granted.pop(claim, None)
             for sequence, sent in self._sent.items():
-                self._sent[sequence] = Sent(sent.at_s, sent.claims - {claim})
+                self._sent[sequence] = SentHeartbeat(
+                    sent.at_s, sent.claims - {claim}
+                )
         for claim in current - self._claims:
             self._granted[claim] = {}
         self._claims = current
@@ -190,7 +192,7 @@
         oldest_s = now_s - self._lease_s
         for number in [n for n, s in self._sent.items() if s.at_s < oldest_s]:
             del self._sent[number]
-        self._sent[sequence] = Sent(now_s, self._claims)
+        self._sent[sequence] = SentHeartbeat(now_s, self._claims)
 
     def get_sent_s(self, sequence: int) -> float | None:
         """Returns when a heartbeat was sent; None if that is too long ago."""
