--- a/src/azureramp/policy/merging.py
+++ b/src/azureramp/policy/merging.py
@@ -14,16 +14,16 @@
     return [body[at : at + RECORD_BYTES] for at in range(0, end, RECORD_BYTES)]
 
 
-def merge(parts: Iterable[bytes], most: int) -> bytes:
+def merge(parts: Iterable[bytes], limit: int) -> bytes:
     """Returns the largest records of all parts, in descending order.
 
     Args:
         parts: The bodies of the parts, with records in any order. Duplicate
             records are kept.
-        most: The maximum number of records to return.
+        limit: The maximum number of records to return.
     """
     records: list[bytes] = []
     for part in parts:
         records += split(part)
     records.sort(reverse=True)
-    return b"".join(records[:most])
+    return b"".join(records[:limit])
