--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -8,7 +8,7 @@
 from azureramp import errors
 from azureramp.policy import assembly, coverage
 
-QUEUE_REFUSALS = frozenset(
+OVERLOAD_KINDS = frozenset(
     {
         errors.Kind.OVERLOADED,
         errors.Kind.SHED,
@@ -83,7 +83,7 @@
         self.retry_after_ms = max(self.retry_after_ms, failed.retry_after_ms)
         if failed.kind is errors.Kind.BACKEND_CRASHED:
             self.crashes += 1
-        if failed.kind in QUEUE_REFUSALS:
+        if failed.kind in OVERLOAD_KINDS:
             self.refused += 1
 
 
