--- a/src/azureramp/policy/overload.py
+++ b/src/azureramp/policy/overload.py
@@ -6,16 +6,16 @@
 """Weight of the newest timer delay in the mean, which covers about five timers.
 """
 
-BUSY_S = 0.02
+BUSY_DELAY_S = 0.02
 """Mean timer delay above which a VM is busy, in seconds: a request to all
 shards passes through the event loop twice and has some tens of milliseconds in
 total."""
 
-FROZEN_S = 1.0
+MIN_PAUSE_S = 1.0
 """Timer delay from which on the whole process was paused, in seconds; such a
 delay does not indicate load."""
 
-HOLD_S = 20.0
+BUSY_HOLD_S = 20.0
 """How long a VM stays marked as busy after its last overload, in seconds. The
 load drops at once when callers move to other VMs; a short time would make them
 move back and forth."""
@@ -38,8 +38,8 @@
             late_s: The delay of the timer, in seconds.
             now_s: The current time, in seconds.
         """
-        if late_s < FROZEN_S:
+        if late_s < MIN_PAUSE_S:
             self._mean_s += SMOOTHING * (max(0.0, late_s) - self._mean_s)
-        if self._mean_s > BUSY_S:
-            self._busy_until_s = now_s + HOLD_S
+        if self._mean_s > BUSY_DELAY_S:
+            self._busy_until_s = now_s + BUSY_HOLD_S
         return now_s < self._busy_until_s
