--- a/src/azureramp/policy/pace.py
+++ b/src/azureramp/policy/pace.py
@@ -11,10 +11,10 @@
 import dataclasses
 import math
 
-BEATS_PER_S = 48.0
+MAX_HEARTBEATS_PER_S = 48.0
 """Maximum number of heartbeats that a VM sends to all peers per second."""
 
-GROWTH = 1.25
+MAX_LIST_GROWTH = 1.25
 """Factor by which a VM list may have grown since a peer read it."""
 
 
@@ -49,7 +49,7 @@
         lease_ms: The setting `lease_ms`, in milliseconds.
     """
     factor = _compute_factor(vms, heartbeat_ms)
-    grown = _compute_factor(math.ceil(vms * GROWTH), heartbeat_ms)
+    grown = _compute_factor(math.ceil(vms * MAX_LIST_GROWTH), heartbeat_ms)
     return Pace(
         interval_s=factor * heartbeat_ms / 1000,
         suspect_s=factor * suspect_ms / 1000,
@@ -60,4 +60,4 @@
 
 def _compute_factor(vms: int, heartbeat_ms: int) -> float:
     """Computes the factor by which the settings are multiplied."""
-    return max(1.0, (vms - 1) / BEATS_PER_S / (heartbeat_ms / 1000))
+    return max(1.0, (vms - 1) / MAX_HEARTBEATS_PER_S / (heartbeat_ms / 1000))
