--- a/src/azureramp/policy/addresses.py
+++ b/src/azureramp/policy/addresses.py
@@ -54,7 +54,9 @@
     )
 
 
-def place(weights: Mapping[str, float], vms: Sequence[str]) -> dict[str, str]:
+def assign_callers(
+    weights: Mapping[str, float], vms: Sequence[str]
+) -> dict[str, str]:
     """Assigns each caller to the VM that it should use first.
 
     Rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
@@ -76,7 +78,11 @@
     for caller in sorted(weights, key=lambda name: (-weights[name], name)):
         weight = weights[caller]
         vm = next(
-            (vm for vm in rank(caller, vms) if loads[vm] + weight <= capacity),
+            (
+                vm
+                for vm in rank_vms(caller, vms)
+                if loads[vm] + weight <= capacity
+            ),
             None,
         )
         if vm is None:
@@ -96,7 +102,7 @@
     return share * (1.0 + MAX_LOAD_DEVIATION / max(1, vms - 1))
 
 
-def rank(caller: str, vms: Iterable[str]) -> list[str]:
+def rank_vms(caller: str, vms: Iterable[str]) -> list[str]:
     """Ranks the VMs for a caller by rendezvous weight, highest first."""
     return sorted(
         vms,
@@ -105,7 +111,7 @@
     )
 
 
-def order(
+def order_vms(
     caller: str, weights: Mapping[str, float], vms: Sequence[str]
 ) -> tuple[str, ...]:
     """Orders the VMs for one caller, the preferred one first.
@@ -134,13 +140,13 @@
     def get(
         self, caller: str, weights: Mapping[str, float], vms: Sequence[str]
     ) -> tuple[str, ...]:
-        """Returns the order of the VMs for one caller; see `order`."""
+        """Returns the order of the VMs for one caller; see `order_vms`."""
         if not vms:
             return ()
         if self._vms != tuple(vms) or self._weights != weights:
             self._vms = tuple(vms)
             self._weights = dict(weights)
-            self._assigned = place(weights, vms)
-        ranked = rank(caller, vms)
+            self._assigned = assign_callers(weights, vms)
+        ranked = rank_vms(caller, vms)
         first = self._assigned.get(caller, ranked[0])
         return (first, *(vm for vm in ranked if vm != first))
--- a/tests/policy/test_addresses.py
+++ b/tests/policy/test_addresses.py
@@ -45,8 +45,8 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_few_callers_move_when_one_vm_goes(seed: int) -> None:
     weights = draw_weights(seed)
-    before = addresses.place(weights, VMS)
-    after = addresses.place(weights, VMS[:-1])
+    before = addresses.assign_callers(weights, VMS)
+    after = addresses.assign_callers(weights, VMS[:-1])
 
     moved = sum(
         weights[name] for name in weights if before[name] != after[name]
@@ -60,8 +60,8 @@
     shuffled = dict(sorted(weights.items(), reverse=True))
 
     for caller in list(weights)[:20]:
-        here = addresses.order(caller, weights, VMS)
-        there = addresses.order(caller, shuffled, VMS)
+        here = addresses.order_vms(caller, weights, VMS)
+        there = addresses.order_vms(caller, shuffled, VMS)
         assert here == there
         assert set(here) == set(VMS)
 
@@ -92,5 +92,5 @@
 
 
 def test_an_unknown_caller_and_no_vm_are_answered_too() -> None:
-    assert set(addresses.order("new", {"old": 1.0}, VMS)) == set(VMS)
-    assert addresses.order("old", {"old": 1.0}, ()) == ()
+    assert set(addresses.order_vms("new", {"old": 1.0}, VMS)) == set(VMS)
+    assert addresses.order_vms("old", {"old": 1.0}, ()) == ()
