--- a/tests/policy/test_addresses.py
+++ b/tests/policy/test_addresses.py
@@ -1,4 +1,4 @@
-"""In which order callers use the entry VMs."""
+"""The order in which callers use the entry VMs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def draw_weights(seed: int) -> dict[str, float]:
-    """Draws 1,000 callers, a few of them far heavier than the rest."""
+    """Draws the weights of 1,000 callers from a heavy-tailed distribution."""
     rng = random.Random(seed)
     return {
         f"caller-{seed}-{number}": min(50.0, rng.paretovariate(1.2))
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_unequal_callers_spread_within_a_tenth_of_even(seed: int) -> None:
+def test_load_deviates_at_most_a_tenth_from_the_even_share(seed: int) -> None:
     weights = draw_weights(seed)
     even = sum(weights.values()) / len(VMS)
 
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_few_callers_move_when_one_vm_goes(seed: int) -> None:
+def test_few_callers_move_when_one_vm_is_removed(seed: int) -> None:
     weights = draw_weights(seed)
     before = addresses.assign_callers(weights, VMS)
     after = addresses.assign_callers(weights, VMS[:-1])
@@ -55,15 +55,15 @@
     assert moved <= 0.2 * sum(weights.values())
 
 
-def test_the_order_is_the_same_wherever_it_is_computed() -> None:
+def test_the_order_does_not_depend_on_the_order_of_the_weights() -> None:
     weights = draw_weights(0)
     shuffled = dict(sorted(weights.items(), reverse=True))
 
     for caller in list(weights)[:20]:
-        here = addresses.order_vms(caller, weights, VMS)
-        there = addresses.order_vms(caller, shuffled, VMS)
-        assert here == there
-        assert set(here) == set(VMS)
+        ordered = addresses.order_vms(caller, weights, VMS)
+        reordered = addresses.order_vms(caller, shuffled, VMS)
+        assert ordered == reordered
+        assert set(ordered) == set(VMS)
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
         ({"zone": "out"}, False),
     ],
 )
-def test_only_a_vm_that_serves_and_stays_is_named(
+def test_only_a_ready_live_vm_that_is_not_leaving_is_eligible(
     change: dict[str, object], eligible: bool
 ) -> None:
     values: dict[str, object] = {
@@ -91,6 +91,6 @@
     assert bool(addresses.choose_eligible([entry], {"out"})) is eligible
 
 
-def test_an_unknown_caller_and_no_vm_are_answered_too() -> None:
+def test_an_unknown_caller_and_an_empty_vm_list_are_accepted() -> None:
     assert set(addresses.order_vms("new", {"old": 1.0}, VMS)) == set(VMS)
     assert addresses.order_vms("old", {"old": 1.0}, ()) == ()
