--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""What is taken, and what is refused at once."""
+"""Admission control: accepting and rejecting requests."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         (DEFERRABLE, 100.0, 0.0, 0, 0.0, 0.0, OVERLOADED),
     ],
 )
-def test_a_request_is_taken_or_refused_at_once(
+def test_a_request_is_accepted_or_rejected_as_not_run(
     priority: resources.Priority,
     left_ms: float,
     needed_ms: float,
@@ -56,7 +56,7 @@
 def overload(
     level: admission.Level, priority: resources.Priority, windows: int
 ) -> float:
-    """Lets a priority wait too long for some windows; returns the time."""
+    """Reports waits of twice the limit for some windows; returns the time."""
     now_s = 0.0
     for _ in range(windows):
         level.observe(priority, 2.0, now_s)
@@ -72,7 +72,7 @@
         (URGENT, (admission.MIN_LEVEL, 0.0, 0.0)),
     ],
 )
-def test_the_lowest_priority_is_shed_first_and_no_more_urgent_one_for_it(
+def test_lower_priorities_are_shed_before_the_overloaded_one(
     waiting: resources.Priority, shares: tuple[float, float, float]
 ) -> None:
     level = admission.Level()
@@ -84,7 +84,7 @@
     assert level.is_overloaded(now_s)
 
 
-def test_shedding_ends_by_itself_once_nobody_waits() -> None:
+def test_shedding_ends_once_waits_are_short() -> None:
     level = admission.Level()
     now_s = overload(level, URGENT, 100)
 
@@ -96,7 +96,7 @@
     assert not level.is_overloaded(now_s + admission.WINDOW_S)
 
 
-def test_shedding_ends_also_while_nobody_asks() -> None:
+def test_shedding_ends_without_any_requests() -> None:
     level = admission.Level()
     now_s = overload(level, DEFERRABLE, 100)
 
@@ -114,7 +114,7 @@
         max_size=200,
     )
 )
-def test_a_more_urgent_priority_is_never_taken_less(
+def test_a_more_urgent_priority_never_has_a_lower_share(
     steps: list[tuple[resources.Priority, float, float]],
 ) -> None:
     level = admission.Level()
@@ -128,10 +128,11 @@
         assert shares[0] >= admission.MIN_LEVEL
 
 
-def test_an_estimate_forgets_the_wait_when_nothing_is_measured() -> None:
-    """All was refused since queues were long, and so nothing is measured.
+def test_an_estimated_wait_decays_without_measurements() -> None:
+    """Guards against rejecting all requests forever after long queues.
 
-    If the estimate stayed, everything would be refused for ever.
+    While all requests are rejected, no wait is measured, so an estimate that
+    did not decay would keep rejecting them.
     """
     times = admission.Times()
     for _ in range(100):
@@ -149,7 +150,7 @@
     ("stated_ms", "service_ms"),
     [(8.0, 8.0), (-5.0, 0.0), (1e9, 20.0), (math.nan, 0.0), (math.inf, 20.0)],
 )
-def test_a_nonsense_service_time_does_not_spoil_the_estimates(
+def test_an_invalid_service_time_does_not_distort_the_estimates(
     stated_ms: float, service_ms: float
 ) -> None:
     shard = query_parts.make_map([1]).shards[0]
@@ -162,14 +163,14 @@
     assert tally.get_mean_wait_ms() == 20.0 - service_ms
 
 
-def test_one_sick_searcher_does_not_shed_the_whole_index() -> None:
+def test_one_faulty_searcher_does_not_shed_the_load_of_its_index() -> None:
     one_of_sixty = admission.compute_refusal_ratio(1, 60)
     many = admission.compute_refusal_ratio(20, 60)
 
     assert one_of_sixty < 1.0 < many
 
 
-def test_the_time_to_come_back_is_the_drain_of_the_fullest_shard() -> None:
+def test_the_retry_delay_is_the_drain_time_of_the_most_loaded_shard() -> None:
     shard_map = query_parts.make_map([1, 1])
     states = query_parts.make_states(shard_map)
     states["s0-0"] = query_parts.make_state("s0-0", queued=200)
