--- a/tests/policy/test_advertising.py
+++ b/tests/policy/test_advertising.py
@@ -1,4 +1,4 @@
-"""Which VMs are advertised to callers, under the load of whole deployments."""
+"""The selection of advertised VMs, in deployments of several sizes."""
 
 from __future__ import annotations
 
@@ -18,30 +18,32 @@
     ]
 
 
-def test_a_few_large_vms_hold_warm_connections_for_a_request_to_all() -> None:
-    """64 VMs, half of them of half a core; 90 shards accept 54 connections.
+def test_a_few_large_vms_are_advertised_for_requests_to_all_shards() -> None:
+    """Guards against advertising so many VMs that connections are cold.
 
-    Told of all VMs, callers found no connection open for most calls, and a
-    call costs 0.5 ms of a core: 90 of them take a small VM 90 ms. A trial of
-    the pattern was worth 0.45 with 13 VMs told and 0.61 with 6.
+    64 VMs, three quarters of them with half a core; 90 shards accept 54
+    connections each. With all VMs advertised, most calls found no open
+    connection. A call costs 0.5 ms of a core, so 90 calls take a small VM
+    90 ms. A load trial scored 0.45 with 13 advertised VMs and 0.61 with 6.
     """
     zones = {"a": 16, "b": 16, "c": 16, "d": 16}
     members = [
         dataclasses.replace(member, cores=2.0 if index % 4 == 0 else 0.5)
         for index, member in enumerate(make_members(zones))
     ]
-    told = advertising.choose(members, dict.fromkeys(zones, 0.25), 54)
-    assert len(told) == 54 // advertising.USUAL_CONNECTIONS_PER_VM
-    assert all(member.cores == 2.0 for member in told)
-    assert len({member.zone for member in told}) == 4
+    advertised = advertising.choose(members, dict.fromkeys(zones, 0.25), 54)
+    assert len(advertised) == 54 // advertising.USUAL_CONNECTIONS_PER_VM
+    assert all(member.cores == 2.0 for member in advertised)
+    assert len({member.zone for member in advertised}) == 4
 
 
-def test_a_small_vm_makes_up_no_number_beside_large_ones() -> None:
-    """A tenth of all requests to 90 shards is short, all those of one VM.
+def test_small_vms_are_not_advertised_beside_enough_large_ones() -> None:
+    """Guards against late answers from a small advertised VM.
 
-    Six VMs have two cores, the other 68 half a core and a narrow link. The
-    searchers' connections would do for seven, so one small VM was told, and
-    what it answers to 90 shards comes late.
+    Six VMs have two cores, the other 68 have half a core and a slow link. The
+    searchers' connections suffice for seven VMs. With a small VM as the
+    seventh, a tenth of all requests to 90 shards were incomplete, all of them
+    answered by that VM.
     """
     zones = {"a": 22, "b": 27, "c": 25}
     members = [
@@ -50,116 +52,119 @@
         )
         for member in make_members(zones)
     ]
-    told = advertising.choose(members, dict.fromkeys(zones, 0.33), 59)
-    assert len(told) == 6
-    assert all(member.cores > 2.0 for member in told)
+    advertised = advertising.choose(members, dict.fromkeys(zones, 0.33), 59)
+    assert len(advertised) == 6
+    assert all(member.cores > 2.0 for member in advertised)
 
 
-def test_the_loss_of_a_zone_leaves_vms_that_are_told() -> None:
+def test_advertised_vms_remain_after_the_loss_of_a_zone() -> None:
     zones = {"a": 3, "b": 2, "c": 2, "d": 1}
     nearness = {"a": 1.0}
-    told = advertising.choose(make_members(zones), nearness, 26)
-    assert len({member.zone for member in told}) >= 2
+    advertised = advertising.choose(make_members(zones), nearness, 26)
+    assert len({member.zone for member in advertised}) >= 2
     left = [m for m in make_members(zones) if m.zone != "a"]
     assert len(advertising.choose(left, {}, 26)) >= 3
 
 
-def test_leaving_vms_are_never_told() -> None:
+def test_leaving_vms_are_never_advertised() -> None:
     members = make_members({"a": 2})
     members[0] = dataclasses.replace(members[0], leaving=True)
     assert advertising.choose(members, {}, 26) == (members[1],)
     assert advertising.choose([], {}, 26) == ()
 
 
-def test_a_vm_is_busy_while_its_timers_are_late_and_for_a_while_after() -> None:
-    judged = overload.Overload()
-    assert not judged.add(0.002, 0.0)
-    assert not judged.add(5.0, 1.0), "a pause is not load"
+def test_a_vm_is_busy_during_and_some_time_after_late_timers() -> None:
+    detector = overload.Overload()
+    assert not detector.add(0.002, 0.0)
+    assert not detector.add(5.0, 1.0), "a pause is not load"
     for number in range(5):
-        busy = judged.add(0.05, 2.0 + number / 4)
+        busy = detector.add(0.05, 2.0 + number / 4)
     assert busy
     for number in range(40):
-        assert judged.add(0.0, 3.5 + number / 4)
-    assert not judged.add(0.0, 40.0)
+        assert detector.add(0.0, 3.5 + number / 4)
+    assert not detector.add(0.0, 40.0)
 
 
-def test_a_burst_that_makes_the_told_vms_busy_doubles_their_number() -> None:
-    """Four of eight VMs are told; three times the usual callers come.
+def test_a_vm_is_added_for_each_busy_advertised_vm() -> None:
+    """Guards against an overload of the advertised VMs by a burst.
 
-    Timers of the told VMs fire tens of milliseconds late. For each that says
-    so, one VM more is told, until all that can take part do.
+    Four of eight VMs are advertised and three times the usual number of
+    callers arrives, so timers of these VMs fire tens of milliseconds late. For
+    each busy VM one more is advertised, until all available VMs are.
     """
     members = make_members({"a": 4, "b": 4})
     usual = advertising.choose(members, {}, 26)
     assert len(usual) == 4
     for busy in (1, 2, 4):
         loaded = {member.vm for member in usual[:busy]}
-        now = [
+        current = [
             dataclasses.replace(member, busy=member.vm in loaded)
             for member in members
         ]
-        told = advertising.choose(now, {}, 26)
-        fresh = [member for member in told if not member.busy]
+        advertised = advertising.choose(current, {}, 26)
+        fresh = [member for member in advertised if not member.busy]
         assert len(fresh) == min(4 + busy, len(members) - busy)
-    assert len(told) == 8
+    assert len(advertised) == 8
 
 
-def test_slowed_vms_on_stand_by_leave_the_told_ones_as_they_are() -> None:
-    """Five of 58 VMs on stand-by turn slow while six others serve.
+def test_busy_standby_vms_do_not_change_the_advertised_ones() -> None:
+    """Guards against advertising all VMs because some standby VMs are slow.
 
-    All VMs were told then. Each of the 64 opened a connection to each of 400
-    searchers that accept 54, was reset, and tried again at each change: that
-    made all 64 busy, and callers got half of their answers.
+    Five of 58 standby VMs become slow while six other VMs serve. If all 64 are
+    then advertised, each opens a connection to each of 400 searchers that
+    accept 54, gets a reset and retries at each change. This made all 64 VMs
+    busy, and callers got half of their answers.
     """
     members = make_members({"a": 16, "b": 16, "c": 16, "d": 16})
     usual = advertising.choose(members, {}, 54)
-    told = {member.vm for member in usual}
-    others = [member.vm for member in members if member.vm not in told]
+    advertised = {member.vm for member in usual}
+    others = [member.vm for member in members if member.vm not in advertised]
     slow = set(others[:5])
-    now = [
+    current = [
         dataclasses.replace(member, busy=member.vm in slow)
         for member in members
     ]
-    assert advertising.choose(now, {}, 54) == usual
+    assert advertising.choose(current, {}, 54) == usual
 
 
-def test_however_many_are_busy_each_told_vm_keeps_a_few_connections() -> None:
+def test_each_advertised_vm_keeps_connections_if_all_are_busy() -> None:
     for connections in (26, 54, 440):
         members = [
             dataclasses.replace(member, busy=True)
             for member in make_members({"a": 30, "b": 30})
         ]
-        told = advertising.choose(members, {}, connections)
-        share = advertising.get_link_share(connections, len(told), True)
+        advertised = advertising.choose(members, {}, connections)
+        share = advertising.get_link_share(connections, len(advertised), True)
         assert share >= 2
 
 
-def test_a_slow_vm_is_replaced_by_others() -> None:
+def test_a_busy_vm_is_replaced_by_others() -> None:
     members = make_members({"a": 4, "b": 4})
     usual = advertising.choose(members, {}, 26)
-    now = [
+    current = [
         dataclasses.replace(member, busy=member == usual[0])
         for member in members
     ]
-    told = advertising.choose(now, {}, 26)
-    assert len(told) == 5
-    assert not any(member.busy for member in told)
+    advertised = advertising.choose(current, {}, 26)
+    assert len(advertised) == 5
+    assert not any(member.busy for member in advertised)
 
 
-def test_a_zone_with_vms_enough_does_not_stand_alone() -> None:
-    """All searchers are in one zone, which has VMs enough for all callers.
+def test_a_zone_with_enough_vms_is_not_advertised_alone() -> None:
+    """Guards against advertising VMs of a single zone.
 
-    Told of these alone, callers had nowhere to go once the zone lost power.
+    All searchers are in one zone that has enough VMs for all callers. If only
+    these are advertised, callers have no VM left once the zone loses power.
     """
     members = make_members({"a": 12, "b": 2})
-    told = advertising.choose(members, {"a": 1.0}, 54)
-    assert {member.zone for member in told} == {"a", "b"}
+    advertised = advertising.choose(members, {"a": 1.0}, 54)
+    assert {member.zone for member in advertised} == {"a", "b"}
 
 
 def test_no_vm_holds_more_than_its_share_of_a_searchers_connections() -> None:
     for connections in (4, 26, 54, 440):
-        for told in (1, 4, 13, 64):
-            share = advertising.get_link_share(connections, told, True)
+        for advertised in (1, 4, 13, 64):
+            share = advertising.get_link_share(connections, advertised, True)
             assert share >= 1
-            assert share == 1 or share * told <= connections
+            assert share == 1 or share * advertised <= connections
     assert advertising.get_link_share(26, 4, False) == 1
