--- a/tests/policy/test_allowances.py
+++ b/tests/policy/test_allowances.py
@@ -1,4 +1,4 @@
-"""Extra calls: within the operators' bound over all VMs."""
+"""The extra calls of all VMs together stay within the operators' bound."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 TERMS = allowances.Terms(ratio=0.2, window_s=10.0, fixed=56.0)
 
 
-def test_requests_earn_extra_calls_and_the_window_forgets_them() -> None:
+def test_requests_allow_extra_calls_only_within_the_window() -> None:
     allowance = allowances.Allowance(TERMS)
     for _ in range(100):
         allowance.add_request(0.0)
