--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -1,4 +1,4 @@
-"""When a failing service is called again."""
+"""The backoff from a failing service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def make_failed(failures: int, seed: int = 1) -> tuple[backoff.Backoff, float]:
-    """Makes a backoff after so many failures, each as soon as allowed.
+    """Creates a backoff after failed calls, each made as soon as allowed.
 
     Returns:
         The backoff, and the time of the last failure.
@@ -26,7 +26,7 @@
     return made, now_s
 
 
-def test_a_single_loss_stops_nobody() -> None:
+def test_isolated_failures_do_not_stop_calls() -> None:
     made, now_s = make_failed(backoff.TOLERATED - 1)
 
     assert made.may_call(now_s, PROBE_S)
@@ -37,19 +37,19 @@
     ("failures", "ceiling_s"),
     [(3, 0.2), (4, 0.4), (5, 0.8), (6, 1.6), (7, 3.0), (50, 3.0)],
 )
-def test_the_waits_double_and_are_spread(
+def test_the_delays_double_and_have_jitter(
     failures: int, ceiling_s: float
 ) -> None:
-    waits = set()
+    delays = set()
     for seed in range(20):
         made, now_s = make_failed(failures, seed)
-        waits.add(made.get_wait_s(now_s))
+        delays.add(made.get_wait_s(now_s))
 
-    assert ceiling_s / 2 <= min(waits) < max(waits) <= ceiling_s
-    assert len(waits) == 20
+    assert ceiling_s / 2 <= min(delays) < max(delays) <= ceiling_s
+    assert len(delays) == 20
 
 
-def test_one_caller_probes_and_the_others_wait_for_it() -> None:
+def test_one_call_probes_while_the_others_wait() -> None:
     made, _ = make_failed(5)
     now_s = made.until_s
 
@@ -63,8 +63,8 @@
     assert made.may_call(now_s, PROBE_S)
 
 
-def test_calls_that_fail_together_count_as_one_failure_more() -> None:
-    """An outage begins while a hundred calls are under way."""
+def test_calls_that_fail_together_count_as_one_failure() -> None:
+    """Guards against a long delay after one outage with 100 calls in flight."""
     made, now_s = make_failed(backoff.TOLERATED)
     until_s = made.until_s
 
