--- a/tests/policy/test_caller_delay.py
+++ b/tests/policy/test_caller_delay.py
@@ -1,4 +1,4 @@
-"""What callers spent before their requests came."""
+"""The estimate of how long callers had waited before their requests arrived."""
 
 from __future__ import annotations
 
@@ -8,44 +8,44 @@
 from azureramp.policy import caller_delay
 
 
-def make(told_ms: list[int]) -> caller_delay.CallerDelay:
-    known = caller_delay.CallerDelay()
-    for each in told_ms:
-        known.add(each / 1000)
-    return known
+def make(stated_ms: list[int]) -> caller_delay.CallerDelay:
+    estimator = caller_delay.CallerDelay()
+    for each in stated_ms:
+        estimator.add(each / 1000)
+    return estimator
 
 
-def test_a_caller_that_tells_less_had_waited_before() -> None:
-    """A lookup's answer leaves in time and arrives late.
+def test_a_caller_with_a_shorter_timeout_had_waited() -> None:
+    """Guards against answers that are sent in time but arrive late.
 
-    The caller first asked where to connect and then connected, over a slow
-    link. Its deadline tells: most begin with 300 ms, it has 285 left.
+    The caller first looked up an address and then connected, over a slow link.
+    Its deadline shows this: most callers start with 300 ms, it has 285 left.
     """
-    known = make([300, 285, 284, 300, 300] * 10)
-    assert known.estimate_s(0.285, 0.05) == pytest.approx(0.015)
-    assert known.estimate_s(0.300, 0.05) == 0.0
+    estimator = make([300, 285, 284, 300, 300] * 10)
+    assert estimator.estimate_s(0.285, 0.05) == pytest.approx(0.015)
+    assert estimator.estimate_s(0.300, 0.05) == 0.0
 
 
-def test_nothing_is_believed_of_few_callers_or_odd_ones() -> None:
+def test_implausible_waits_and_outliers_are_ignored() -> None:
     assert make([300] * 5).estimate_s(0.2, 0.05) == 0.0
     assert make([300] * 50).estimate_s(0.15, 0.05) == 0.0
-    odd = make([300] * 60 + [900])
-    assert odd.estimate_s(0.3, 0.05) == 0.0
+    with_outlier = make([300] * 60 + [900])
+    assert with_outlier.estimate_s(0.3, 0.05) == 0.0
 
 
-def test_a_vm_that_gets_few_requests_learns_within_seconds() -> None:
-    """The check of a large deployment that has just started comes late.
+def test_few_requests_suffice_for_an_estimate() -> None:
+    """Guards against late answers in the first 15 s of a large deployment.
 
-    Each of six VMs gets one such request a second; every other one comes on
-    an open connection, the rest after asking where to connect and connecting,
-    11 ms of 46. The first quarter of a minute they were answered for callers
-    that had just begun, and arrived late.
+    Each of six VMs gets one request per second of the route. Every other
+    request arrives on an open connection; the rest arrive after an address
+    lookup and a connect, which take 11 of 46 ms. If the estimate needs many
+    requests, these answers are sent as if the callers had just started.
     """
-    for told in ([259], [253, 259], [259, 248, 253, 259, 259]):
-        known = make(told)
-        assert known.estimate_s(0.248, 0.027) == pytest.approx(0.011)
-    odd = make([259, 248, 900, 253, 259])
-    assert odd.estimate_s(0.259, 0.027) == 0.0
+    for stated_ms in ([259], [253, 259], [259, 248, 253, 259, 259]):
+        estimator = make(stated_ms)
+        assert estimator.estimate_s(0.248, 0.027) == pytest.approx(0.011)
+    with_outlier = make([259, 248, 900, 253, 259])
+    assert with_outlier.estimate_s(0.259, 0.027) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
         (56, 40, 14),
     ],
 )
-def test_a_short_answer_leaves_in_time_for_its_way(
+def test_an_incomplete_answer_is_sent_early_enough_to_arrive(
     target_ms: float, way_ms: float, cut_ms: float
 ) -> None:
     cut_s = gather.compute_cut_s(target_ms / 1000, way_ms / 1000)
