--- a/tests/policy/test_contact.py
+++ b/tests/policy/test_contact.py
@@ -20,7 +20,7 @@
     listed: tuple[str, ...] = FIVE,
     **acknowledged: tuple[float, int] | tuple[float, int, int],
 ) -> contact.View:
-    """Makes a view from (sent_s, revision[, incarnation]) of each VM."""
+    """Creates a view from (sent_s, revision[, incarnation]) of each VM."""
     return contact.View(
         now_s,
         own,
@@ -28,9 +28,11 @@
         listed,
         {
             vm: contact.Acknowledgement(
-                told[0], told[1], told[2] if len(told) > 2 else 1
+                fields[0],
+                fields[1],
+                fields[2] if len(fields) > 2 else 1,
             )
-            for vm, told in acknowledged.items()
+            for vm, fields in acknowledged.items()
         },
     )
 
@@ -52,29 +54,30 @@
     ],
     ids=[
         "majority of five",
-        "the newest that make one",
+        "the latest times of a majority count",
         "a minority",
-        "a VM that knows more does not count",
+        "a VM with a higher revision does not count",
         "a VM that has just started does not count",
-        "without a configuration there is none",
-        "alone in the list",
+        "no contact without a configuration",
+        "the only listed VM",
         "no list yet",
-        "not in the list itself",
+        "this VM is not listed",
         "one of two",
         "VMs that are not listed do not count",
     ],
 )
-def test_contact_is_what_a_majority_proves(
+def test_contact_is_the_latest_time_proven_by_a_majority(
     view: contact.View, contact_s: float
 ) -> None:
     assert contact.Contacts().update(view) == contact_s
 
 
-def test_contact_with_a_vm_that_knows_more_stays_where_it_was() -> None:
-    """A change is accepted by c, d and e; its update to us is lost for good.
+def test_contact_with_a_vm_of_a_higher_revision_is_not_renewed() -> None:
+    """Guards against working forever on an old configuration.
 
-    Their heartbeats go on and show the higher revision. If these counted, we
-    would go on for ever on the old configuration.
+    A change is accepted by c, d and e, but its update to this VM is lost. Their
+    heartbeats continue with the higher revision. If they counted as contact,
+    this VM would keep using the old configuration.
     """
     contacts = contact.Contacts()
     contacts.update(make_view(1, 5, b=(1, 5), c=(1, 5)))
@@ -85,7 +88,7 @@
     assert contacts.update(caught_up) == 9
 
 
-def test_a_change_is_accepted_when_a_majority_says_it_twice() -> None:
+def test_a_change_is_accepted_after_two_rounds_of_a_majority() -> None:
     acceptance = contact.Acceptance()
     acceptance.update(make_view(1, 7, b=(0.9, 7), c=(0.9, 7)))
     assert acceptance.revision == 0
@@ -98,11 +101,12 @@
 
 
 def test_a_vm_that_restarted_between_the_rounds_does_not_count() -> None:
-    """B acknowledges the change and restarts at once, before c has it.
+    """Guards against accepting a change that a majority never held at once.
 
-    b's new process asks c among others, and takes the old configuration for
-    the newest. Then c acknowledges the change too. With b and c there was a
-    majority, but never at one moment: b lacks the change and works.
+    VM b acknowledges the change and restarts before c has it. The new process
+    of b queries c among others and recovers the old configuration as the
+    newest one. Then c acknowledges the change too. With b and c a majority has
+    acknowledged, but at different times: b works without the change.
     """
     acceptance = contact.Acceptance()
     acceptance.update(make_view(1, 7, b=(0.9, 7, 1), c=(0.9, 7, 1)))
@@ -125,21 +129,21 @@
     ],
     ids=[
         "a majority of others",
-        "with us they would be one, but we remember nothing",
+        "this VM does not count towards the majority",
         "one of them has just started too",
-        "one of them knows more",
+        "one of them has a higher revision",
         "nobody",
     ],
 )
-def test_a_starting_vm_needs_a_majority_of_others(
+def test_a_starting_vm_needs_a_majority_of_other_vms(
     acknowledged: dict[str, tuple[float, int]], revision: int, may: bool
 ) -> None:
     view = make_view(2, 0)
-    told = {
+    acknowledgement = {
         vm: contact.Acknowledgement(sent_s, held, 1)
         for vm, (sent_s, held) in acknowledged.items()
     }
-    view = dataclasses.replace(view, acknowledgements=told)
+    view = dataclasses.replace(view, acknowledgements=acknowledgement)
 
     assert contact.may_recover(view, revision) is may
 
@@ -147,10 +151,10 @@
 @pytest.mark.parametrize(
     ("revision", "confirmed_s"), [(5, 4.0), (6, 4.0), (4, 1.0)]
 )
-def test_a_peers_confirmation_holds_for_those_who_have_all_it_had(
+def test_a_peers_confirmation_applies_if_its_revision_is_not_higher(
     revision: int, confirmed_s: float
 ) -> None:
-    told = contact.Acknowledgement(5, 5, 1, confirmed_s=4.0)
-    view = contact.View(9, "a", revision, FIVE, {"b": told})
+    acknowledgement = contact.Acknowledgement(5, 5, 1, confirmed_s=4.0)
+    view = contact.View(9, "a", revision, FIVE, {"b": acknowledgement})
 
     assert contact.compute_confirmed_s(view, 1.0) == confirmed_s
