--- a/tests/policy/test_coverage.py
+++ b/tests/policy/test_coverage.py
@@ -1,4 +1,4 @@
-"""Stated coverage equals held coverage, whatever happens to the parts."""
+"""Stated coverage equals actual coverage for any sequence of part results."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class PartsMachine(st_state.RuleBasedStateMachine):
-    """Parts in any order, doubled, lost, crossed, cut and failing."""
+    """Results in any order, duplicate, lost, misrouted, truncated or failed."""
 
     @st_state.initialize(sizes=SIZES)
     def pin(self, sizes: list[int]) -> None:
@@ -54,9 +54,9 @@
         if attempt is None:
             return
         done = query_parts.make_done(attempt.part, attempt.shard, 7)
-        taken = self.state.take(done)
+        handled = self.state.take(done)
         if attempt.shard.name not in self.held:
-            assert isinstance(taken, assembly.Merged)
+            assert isinstance(handled, assembly.Merged)
         self.held.add(attempt.shard.name)
         self.ended.append(attempt)
 
@@ -82,14 +82,14 @@
             "truncated": query_parts.make_done(part, shard, 7, b"[[1,2],["),
             "object": query_parts.make_done(part, shard, 7, b'{"a":1}'),
         }[wrong]
-        taken = self.state.take(done)
-        assert isinstance(taken, assembly.Failed)
-        assert taken.ran
+        handled = self.state.take(done)
+        assert isinstance(handled, assembly.Failed)
+        assert handled.ran
         self.ended.append(attempt)
 
     @st_state.rule(data=st.data())
     def arrive_crossed(self, data: st.DataObject) -> None:
-        """Two replies change places: each carries the other's range."""
+        """Delivers a reply that carries the range of another shard."""
         attempt = self.pick_running(data)
         other = data.draw(st.sampled_from(self.shard_map.shards))
         if attempt is None or other.name == attempt.shard.name:
@@ -171,7 +171,7 @@
         (fractions.Fraction(0), False, 0.0),
     ],
 )
-def test_a_share_is_rounded_down_and_one_only_if_complete(
+def test_a_share_is_rounded_down_and_is_1_only_if_complete(
     share: fractions.Fraction, complete: bool, stated: float
 ) -> None:
     rounded = coverage.round_down(share, complete)
