--- a/tests/policy/test_exposure.py
+++ b/tests/policy/test_exposure.py
@@ -1,4 +1,4 @@
-"""Requests to a version that isn't proved, granted to many VMs."""
+"""Grants of requests to an unproven version, for many VMs."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     assert exposure.count_allowed(TERMS, 1000) == 138
 
 
-def test_a_grant_is_no_longer_than_the_time_to_stop() -> None:
+def test_a_grant_expires_within_the_time_to_stop() -> None:
     assert exposure.Terms(0.1, 50, 1.0).get_grant_s() == 0.2
     assert TERMS.get_grant_s() == exposure.GRANT_VALIDITY_S
 
 
-def test_a_vm_without_requests_holds_no_grants_for_others() -> None:
+def test_a_vm_without_requests_gets_at_most_one_call() -> None:
     ledger = exposure.Ledger(TERMS, 0, 0)
     for number in range(10):
         ledger.take("busy", 20 * number, 0, number * 0.2)
@@ -31,7 +31,7 @@
 
 
 def test_a_new_driver_counts_what_earlier_ones_may_have_granted() -> None:
-    """Guards against a driver's death that lets the exposure start anew."""
+    """Guards against a driver's crash that resets the count of requests."""
     ledger = exposure.Ledger(TERMS, 30, 400)
     ledger.take("vm", 390, 25, 0.0)
     assert ledger.count_used() == 30
@@ -42,18 +42,18 @@
 
 
 class Process:
-    """A VM's process that sends calls within its grants."""
+    """A process of a VM that sends calls within its grants."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.requests = 0
         self.spent = 0
         self.limit = 0
-        self.good_until_s = -1.0
+        self.valid_until_s = -1.0
 
 
 class GrantsMachine(stateful.RuleBasedStateMachine):
-    """VMs that report, lose answers and die; drivers that are replaced."""
+    """VMs that report, miss answers and restart; drivers that are replaced."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -81,7 +81,7 @@
     def send(self, which: int, requests: int) -> None:
         process = self.processes[which]
         process.requests += requests
-        if self.now_s < process.good_until_s:
+        if self.now_s < process.valid_until_s:
             left = process.limit - process.spent
             process.spent += max(0, min(left, requests))
 
@@ -97,12 +97,12 @@
             self.ledger, process.name, left, TERMS.get_grant_s()
         )
         limit = self.ledger.grant(process.name, wanted, self.now_s)
-        # The driver records what it grants before it answers.
+        # The driver stores its grants before it answers.
         self.reserved = max(self.reserved, self.ledger.count_used())
         self.counted = self.ledger.requests
         if not lost:
             process.limit = limit
-            process.good_until_s = self.now_s + TERMS.get_grant_s()
+            process.valid_until_s = self.now_s + TERMS.get_grant_s()
 
     @stateful.rule(which=st.integers(0, 2))
     def restart(self, which: int) -> None:
@@ -115,8 +115,8 @@
     @stateful.rule()
     def replace_driver(self) -> None:
         for process in self.processes:
-            # A VM goes by its new driver's grants only.
-            process.good_until_s = -1.0
+            # A VM uses only the grants of the new driver.
+            process.valid_until_s = -1.0
         self.ledger = exposure.Ledger(TERMS, self.reserved, self.counted)
 
     @stateful.invariant()
