--- a/tests/policy/test_fingerprints.py
+++ b/tests/policy/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""The hash by which crashes are blamed on a request."""
+"""The hash that identifies a request to which crashes are attributed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from azureramp.policy import fingerprints
 
 
-def test_the_same_query_encoded_another_way_has_the_same_fingerprint() -> None:
+def test_the_fingerprint_does_not_depend_on_the_encoding() -> None:
     one = fingerprints.compute("cover", b'{"a": 1, "b": [2, "\\u00e1"]}')
     other = fingerprints.compute("cover", '{"b":[2,"á"],"a":1}'.encode())
 
@@ -19,7 +19,9 @@
     ("index", "body"),
     [("cover", b'{"a":2}'), ("ledger", b'{"a":1}'), ("cover", b'{"b":1}')],
 )
-def test_another_query_has_another_fingerprint(index: str, body: bytes) -> None:
+def test_different_queries_have_different_fingerprints(
+    index: str, body: bytes
+) -> None:
     one = fingerprints.compute("cover", b'{"a":1}')
 
     assert fingerprints.compute(index, body) != one
@@ -29,7 +31,7 @@
     "body",
     [b"", b"{", b"1e999", b"\xff", b"[" * 100_000 + b"]" * 100_000],
 )
-def test_a_body_that_cant_be_read_has_one_all_the_same(body: bytes) -> None:
+def test_an_invalid_body_has_a_fingerprint_too(body: bytes) -> None:
     one = fingerprints.compute("cover", body)
 
     assert one == fingerprints.compute("cover", body)
