--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,4 +1,4 @@
-"""When a sub-request is late, and what the budgets allow."""
+"""Hedge delays of late sub-requests, and the budgets of extra calls."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     assert found_ms <= true_ms * 2 ** (1 / 8) * 1.001
 
 
-def test_a_sketch_forgets_what_is_long_ago() -> None:
+def test_a_sketch_discards_old_samples() -> None:
     sketch = hedging.Sketch(0.95)
     for _ in range(500):
         sketch.add(1000.0)
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("time_ms", [0.0, -1.0, 1e-9, 1e12])
-def test_a_sketch_takes_any_time(time_ms: float) -> None:
+def test_a_sketch_accepts_any_duration(time_ms: float) -> None:
     sketch = hedging.Sketch(0.95)
 
     for _ in range(50):
@@ -55,7 +55,7 @@
     assert sketch.get() is not None
 
 
-def test_a_deferrable_parts_wait_does_not_delay_an_urgent_hedge() -> None:
+def test_deferrable_sub_requests_do_not_affect_urgent_hedge_delays() -> None:
     delays = hedging.Delays()
 
     for _ in range(50):
@@ -66,7 +66,7 @@
     assert delays.get_ms(DEFERRABLE, 500.0) > 800.0
 
 
-def test_an_unmeasured_shard_takes_its_indexs_delay() -> None:
+def test_a_shard_without_samples_uses_the_delay_of_its_index() -> None:
     delays = hedging.Delays()
     new = hedging.Place("cover", "new", resources.Priority.URGENT)
     unknown_ms = delays.get_ms(new, 400.0)
@@ -126,7 +126,7 @@
         assert budget.spent - before <= budgets.BURST
 
 
-def test_a_share_of_zero_means_none_at_all() -> None:
+def test_a_share_of_zero_discards_saved_tokens() -> None:
     budget = budgets.Budget(budgets.BURST)
 
     budget.earn(1000, 0.0)
