--- a/tests/policy/test_identity.py
+++ b/tests/policy/test_identity.py
@@ -1,4 +1,4 @@
-"""Who a caller is, and what it may query."""
+"""Authentication and authorization of callers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_table(*declared: resources.AnyResource) -> topology.Topology:
-    """Indexes some resources."""
+    """Builds the lookup tables of the given resources."""
     configuration = resources.Configuration()
     kinds = {kind: name for name, kind in resources.KINDS.items()}
     for resource in declared:
@@ -63,7 +63,7 @@
         ("Bearer \udcff", None),
     ],
 )
-def test_only_the_whole_token_of_one_unrevoked_caller_is_known(
+def test_only_the_exact_token_of_one_unrevoked_caller_is_accepted(
     authorization: str, name: str | None
 ) -> None:
     found = identity.find_caller(TABLE.callers, authorization)
@@ -84,7 +84,7 @@
         ("claims", "unknown", False),
     ],
 )
-def test_a_caller_queries_only_what_its_services_name(
+def test_a_caller_may_query_only_indexes_of_its_services(
     service: str, index: str, allowed: bool
 ) -> None:
     caller = make_caller("clerk", "good")
@@ -96,7 +96,7 @@
         assert checked.error == errors.Failure(errors.Kind.FORBIDDEN)
 
 
-def test_a_service_queries_only_the_shards_that_it_names() -> None:
+def test_a_service_may_query_only_its_shards() -> None:
     shards = query_parts.make_map([1, 1]).shards
 
     some = [identity.may_query(TABLE.services["claims"], s) for s in shards]
