--- a/tests/policy/lease_model.py
+++ b/tests/policy/lease_model.py
@@ -1,8 +1,8 @@
-"""A cell of VMs that claim searchers, with the time and the faults driven.
+"""A cell of VMs that claim searchers, with simulated time and faults.
 
-The VMs' views of the owners are left out: any VM may claim the searcher at
-any time, which is worse than any views could be. The clocks run at rates
-that differ a little.
+The VMs' views of the owners are not modelled: any VM may claim the searcher at
+any time, which covers every possible view. The clocks run at slightly
+different rates.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Beat:
-    """A heartbeat on its way."""
+class Heartbeat:
+    """A heartbeat in transit."""
 
     target: str
     holder: leases.Holder
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Ack:
-    """An acknowledgement on its way."""
+    """An acknowledgement in transit."""
 
     target: leases.Holder
     voter: str
@@ -41,7 +41,7 @@
 
 
 class Node:
-    """One process."""
+    """A process of a VM."""
 
     def __init__(self, name: str, incarnation: int, rate: float) -> None:
         self.holder = leases.Holder(name, incarnation)
@@ -67,13 +67,13 @@
 
 
 class Cell:
-    """All VMs, the VM list, and the messages on their way."""
+    """All VMs, the VM list, and the messages in transit."""
 
     def __init__(self, names: tuple[str, ...]) -> None:
         self.now_s = 100.0
         self.history: list[tuple[float, tuple[str, ...]]] = [(0.0, names)]
         self.nodes: dict[str, Node] = {}
-        self.wire: list[Beat | Ack] = []
+        self.wire: list[Heartbeat | Ack] = []
         self._starts = 0
         for name in names:
             self.start(name)
@@ -82,7 +82,7 @@
         return self.now_s * node.rate
 
     def start(self, name: str) -> None:
-        """Starts a process, or restarts it with its memory gone."""
+        """Starts a process, or restarts it without its state."""
         self._starts += 1
         rate = 1.0 + 0.002 * (self._starts % 3 - 1)
         node = Node(name, self._starts, rate)
@@ -94,7 +94,7 @@
         return leases.Promises(started_s, LEASE_S)
 
     def read(self, name: str, lag_s: float) -> None:
-        """Reads the VM list as it was some time ago."""
+        """Reads the VM list as it was `lag_s` seconds ago."""
         node = self.nodes[name]
         seen = [n for at, n in self.history if at <= self.now_s - lag_s]
         node.window.record(seen[-1], self.clock(node))
@@ -102,7 +102,7 @@
         node.update(self.clock(node))
 
     def change_list(self, names: tuple[str, ...]) -> None:
-        """Changes the list, and starts and stops no process by itself."""
+        """Changes the list without starting or stopping processes."""
         self.history.append((self.now_s, names))
 
     def claim(self, name: str, claims: frozenset[int]) -> None:
@@ -110,15 +110,15 @@
         node.lease.set_claims(claims)
         node.update(self.clock(node))
 
-    def beat(
+    def send_heartbeat(
         self, name: str, reached: frozenset[str], *, answered: bool = True
     ) -> None:
-        """Sends a heartbeat, which reaches some at once and others late.
+        """Sends a heartbeat, which arrives at some VMs at once, at others late.
 
         Args:
             name: The sender.
-            reached: Who gets it at once.
-            answered: True if their answers come back at once too.
+            reached: The VMs at which it arrives at once.
+            answered: True if their acknowledgements arrive at once too.
         """
         node = self.nodes[name]
         if node.paused:
@@ -126,7 +126,7 @@
         node.sequence += 1
         node.lease.record_sent(node.sequence, self.clock(node))
         for target in self.nodes:
-            beat = Beat(
+            heartbeat = Heartbeat(
                 target,
                 node.holder,
                 node.sequence,
@@ -134,29 +134,29 @@
                 node.window.get_own(),
             )
             if target in reached or target == name:
-                ack = self.receive_beat(beat)
+                ack = self.receive_heartbeat(heartbeat)
                 if ack is not None and (answered or target == name):
                     self.receive_ack(ack)
                 elif ack is not None:
                     self.wire.append(ack)
             else:
-                self.wire.append(beat)
+                self.wire.append(heartbeat)
 
-    def receive_beat(self, beat: Beat) -> Ack | None:
-        node = self.nodes.get(beat.target)
+    def receive_heartbeat(self, heartbeat: Heartbeat) -> Ack | None:
+        node = self.nodes.get(heartbeat.target)
         if node is None or node.paused:
             return None
-        for names in beat.lists:
+        for names in heartbeat.lists:
             node.window.inherit(names, self.clock(node))
         refused = node.promises.grant(
-            beat.holder, beat.claims, LEASE_S, self.clock(node)
+            heartbeat.holder, heartbeat.claims, LEASE_S, self.clock(node)
         )
         if refused is None:
             return None
         return Ack(
-            beat.holder,
-            beat.target,
-            beat.sequence,
+            heartbeat.holder,
+            heartbeat.target,
+            heartbeat.sequence,
             refused,
             node.window.get_hashes(),
         )
@@ -170,7 +170,7 @@
         node.update(self.clock(node))
 
     def deliver(self, index: int, *, keep: bool) -> None:
-        """Delivers a late message; keeping it on the wire doubles it."""
+        """Delivers a late message; with `keep` it can be delivered again."""
         if not self.wire:
             return
         index %= len(self.wire)
@@ -178,16 +178,16 @@
         if isinstance(message, Ack):
             self.receive_ack(message)
             return
-        ack = self.receive_beat(message)
+        ack = self.receive_heartbeat(message)
         if ack is not None:
             self.wire.append(ack)
 
     def advance(self, by_s: float, lags_s: dict[str, float]) -> None:
-        """Lets time pass; who is not paused reads the list every second.
+        """Advances the time; VMs not paused read the list every second.
 
         Args:
-            by_s: How much, in seconds.
-            lags_s: How old the list is that each VM reads, in seconds.
+            by_s: By how much to advance, in seconds.
+            lags_s: The age of the list that each VM reads, in seconds.
         """
         end_s = self.now_s + by_s
         while self.now_s < end_s:
@@ -197,9 +197,9 @@
                     self.read(name, lags_s.get(name, 0.0))
 
     def find_holders(self) -> list[str]:
-        """Returns who may send to the searcher now, paused ones included.
+        """Returns the VMs that may send to the searcher now, even if paused.
 
-        A paused process may wake at any time, and checks its clock then.
+        A paused process may resume at any time, and checks its clock then.
         """
         return [
             name
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -1,7 +1,8 @@
-"""No two VMs may send to one cold searcher, whatever is lost or late.
+"""Checks that no two VMs hold the lease of one cold searcher.
 
-Each broken cell leaves out one guard; the same search must find that two VMs
-hold one searcher. Were a guard not needed, its broken cell would pass.
+Messages may be lost, delayed or duplicated. Each broken cell lacks one
+safeguard, and the search or a scenario must find two holders of one searcher in
+it. If a safeguard were unnecessary, the test of its broken cell would fail.
 """
 
 from __future__ import annotations
@@ -33,16 +34,17 @@
 LISTS = [
     names for size in (2, 3, 4) for names in itertools.combinations(ALL, size)
 ]
-CALM_S = lease_model.LAG_S + lease_model.READ_S
+SETTLE_S = lease_model.LAG_S + lease_model.READ_S
 STEPS = 60
 
 
 class Machine(stateful.RuleBasedStateMachine):
     """Claims, heartbeats and faults in any order.
 
-    A rule runs many drawn steps, since two holders take a certain sequence
-    of about six events that single rules find too seldom. How often each kind
-    of step comes, who claims and who is cut off is drawn for each run.
+    A rule runs many random steps, because two holders result from a sequence of
+    about six events that is too rare with one step per rule. The frequencies
+    of the steps, the claimants and the network partition are drawn for each
+    run.
     """
 
     cell_type: type[lease_model.Cell] = lease_model.Cell
@@ -56,18 +58,18 @@
         self.cell.advance(lease_model.LEASE_S + 0.1, self.lags_s)
 
     @stateful.rule(seed=st.integers(0, 2**32))
-    def lose_delay_and_double(self, seed: int) -> None:
+    def lose_delay_and_duplicate(self, seed: int) -> None:
         rng = random.Random(seed)
         nodes = list(self.cell.nodes)
         claimants = rng.sample(nodes, min(2, len(nodes)))
         for name in claimants:
             self.cell.claim(name, frozenset({lease_model.SEARCHER}))
-        near = {vm for vm in ALL if rng.random() < 0.5}
+        one_side = {vm for vm in ALL if rng.random() < 0.5}
         weights = (16, rng.choice((2, 16)), 6, rng.choice((0, 0, 3)), 1)
         for _ in range(STEPS):
             match rng.choices(range(5), weights)[0]:
                 case 0:
-                    self._beat(rng, rng.choice(claimants), near)
+                    self._send_heartbeat(rng, rng.choice(claimants), one_side)
                 case 1:
                     keep = rng.random() < 0.2
                     self.cell.deliver(rng.randrange(1000), keep=keep)
@@ -87,7 +89,7 @@
         self.cell.advance(by_s, self.lags_s)
 
     @stateful.rule(vm=st.sampled_from(ALL))
-    def pause_one_and_wake_the_others(self, vm: str) -> None:
+    def pause_one_and_resume_the_others(self, vm: str) -> None:
         for name, node in self.cell.nodes.items():
             node.paused = name == vm
 
@@ -104,8 +106,8 @@
         changed_s, former = self.cell.history[-1]
         if 2 * len(set(names) - set(former)) > len(names):
             return
-        if self.cell.now_s - changed_s < CALM_S:
-            self.cell.advance(CALM_S, self.lags_s)
+        if self.cell.now_s - changed_s < SETTLE_S:
+            self.cell.advance(SETTLE_S, self.lags_s)
         self.lags_s = dict.fromkeys(lagging, lease_model.LAG_S)
         self.cell.change_list(names)
         for name in set(names).difference(self.cell.nodes):
@@ -119,14 +121,17 @@
     def at_most_one_holds_the_searcher(self) -> None:
         assert len(self.cell.find_holders()) <= 1
 
-    def _beat(self, rng: random.Random, name: str, near: set[str]) -> None:
-        """Sends a heartbeat, mostly to those on the sender's side."""
+    def _send_heartbeat(
+        self, rng: random.Random, name: str, one_side: set[str]
+    ) -> None:
+        """Sends a heartbeat, mostly to VMs on the sender's side."""
         reached = frozenset(
             vm
             for vm in ALL
-            if rng.random() < (0.7 if (vm in near) == (name in near) else 0.1)
+            if rng.random()
+            < (0.7 if (vm in one_side) == (name in one_side) else 0.1)
         )
-        self.cell.beat(name, reached, answered=rng.random() < 0.7)
+        self.cell.send_heartbeat(name, reached, answered=rng.random() < 0.7)
         del self.cell.wire[:-40]
 
 
@@ -135,7 +140,7 @@
 
 
 class ForgottenHolder(lease_model.Cell):
-    """A restarted process passes for the one that held the promise."""
+    """Treats a restarted process as the holder of its former promises."""
 
     def start(self, name: str) -> None:
         super().start(name)
@@ -143,14 +148,14 @@
 
 
 class RestartedVoter(lease_model.Cell):
-    """A restarted VM acknowledges at once, its promises forgotten."""
+    """Lets a restarted VM grant claims at once, without its lost promises."""
 
     def make_promises(self, started_s: float) -> leases.Promises:
         return super().make_promises(started_s - lease_model.LEASE_S)
 
 
 class FromArrival(lease_model.Cell):
-    """The lease counts from the acknowledgement's arrival."""
+    """Counts the lease from the arrival of the acknowledgement."""
 
     def receive_ack(self, ack: lease_model.Ack) -> None:
         node = self.nodes.get(ack.target.vm)
@@ -160,7 +165,7 @@
 
 
 class NewestListOnly(lease_model.Cell):
-    """The majority is one of the list read last."""
+    """Requires a majority only of the newest list."""
 
     def read(self, name: str, lag_s: float) -> None:
         node = self.nodes[name]
@@ -173,11 +178,13 @@
 
 
 class UnknownLists(lease_model.Cell):
-    """A voter counts also if it knows a list that the claimant does not."""
+    """Counts voters that have read a list unknown to the claimant."""
 
-    def receive_beat(self, beat: lease_model.Beat) -> lease_model.Ack | None:
-        beat.lists = ()
-        return super().receive_beat(beat)
+    def receive_heartbeat(
+        self, heartbeat: lease_model.Heartbeat
+    ) -> lease_model.Ack | None:
+        heartbeat.lists = ()
+        return super().receive_heartbeat(heartbeat)
 
     def receive_ack(self, ack: lease_model.Ack) -> None:
         ack.lists = ()
@@ -185,7 +192,7 @@
 
 
 def search(cell_type: type[lease_model.Cell], seeds: range) -> int:
-    """Drives cells by plain random choice; counts those with two holders."""
+    """Returns how many of the randomly driven cells had two holders."""
     machine_type = type("Searched", (Machine,), {"cell_type": cell_type})
     found = 0
     for seed in seeds:
@@ -200,12 +207,12 @@
 
 
 def drive(machine: Machine, rng: random.Random) -> None:
-    """Runs one rule."""
+    """Runs one randomly chosen rule."""
     match rng.randrange(5):
         case 0 | 1:
-            machine.lose_delay_and_double(rng.randrange(2**32))
+            machine.lose_delay_and_duplicate(rng.randrange(2**32))
         case 2:
-            machine.pause_one_and_wake_the_others(rng.choice(ALL))
+            machine.pause_one_and_resume_the_others(rng.choice(ALL))
         case 3:
             machine.restart(rng.choice(ALL))
         case _:
@@ -215,7 +222,7 @@
 
 
 @pytest.mark.parametrize("broken", [RestartedVoter, FromArrival])
-def test_the_search_finds_two_holders_where_a_guard_is_left_out(
+def test_the_search_finds_two_holders_without_a_safeguard(
     broken: type[lease_model.Cell],
 ) -> None:
     assert search(broken, range(40)) > 0
@@ -223,47 +230,47 @@
 
 
 def restart_a_voter(cell: lease_model.Cell) -> None:
-    """The one VM that both majorities share forgets its promise."""
-    cell.beat("a", frozenset("b"))
+    """Restarts the only VM in both majorities, which loses its promise."""
+    cell.send_heartbeat("a", frozenset("b"))
     cell.start("b")
-    cell.beat("c", frozenset("b"))
+    cell.send_heartbeat("c", frozenset("b"))
 
 
 def restart_the_holder(cell: lease_model.Cell) -> None:
-    """A VM is replaced while the old process is only paused.
+    """Replaces a process that is only paused.
 
-    The model keeps one process a name, so the old one's last lease is put
-    beside the new one's.
+    The model has one process per name, so the paused process is kept under
+    another name beside the new one.
     """
-    cell.beat("a", frozenset("b"))
+    cell.send_heartbeat("a", frozenset("b"))
     old = cell.nodes["a"]
     cell.start("a")
     cell.nodes["a, paused"] = old
     old.paused = True
     cell.claim("a", frozenset({lease_model.SEARCHER}))
-    cell.beat("a", frozenset("bc"))
+    cell.send_heartbeat("a", frozenset("bc"))
 
 
 def delay_an_acknowledgement(cell: lease_model.Cell) -> None:
-    """The answer comes when the voter's promise has almost ended."""
-    cell.beat("a", frozenset("bc"), answered=False)
+    """Delivers an acknowledgement shortly before the promise expires."""
+    cell.send_heartbeat("a", frozenset("bc"), answered=False)
     cell.advance(1.3, {})
     cell.deliver(0, keep=False)
     cell.deliver(0, keep=False)
     cell.advance(0.3, {})
-    cell.beat("c", frozenset("b"))
+    cell.send_heartbeat("c", frozenset("b"))
 
 
 def replace_a_vm(cell: lease_model.Cell) -> None:
-    """Two still go by the list before the change, two by the one after."""
-    cell.advance(CALM_S, {})
+    """Changes the list while two VMs still use the previous one."""
+    cell.advance(SETTLE_S, {})
     cell.change_list(("b", "c", "d"))
     cell.start("d")
     cell.claim("d", frozenset({lease_model.SEARCHER}))
     lags_s = {"a": lease_model.LAG_S, "b": lease_model.LAG_S}
     cell.advance(lease_model.LEASE_S + 0.1, lags_s)
-    cell.beat("a", frozenset("b"))
-    cell.beat("d", frozenset("c"))
+    cell.send_heartbeat("a", frozenset("b"))
+    cell.send_heartbeat("d", frozenset("c"))
 
 
 @pytest.mark.parametrize(
@@ -276,7 +283,7 @@
         (UnknownLists, replace_a_vm),
     ],
 )
-def test_a_guard_keeps_a_second_holder_out(
+def test_each_safeguard_prevents_a_second_holder(
     broken: type[lease_model.Cell],
     scenario: Callable[[lease_model.Cell], None],
 ) -> None:
@@ -293,15 +300,15 @@
     assert len(holders[1]) == 2
 
 
-def test_a_new_vm_that_was_told_of_the_earlier_list_is_granted() -> None:
+def test_a_new_vm_that_received_the_earlier_list_gets_the_lease() -> None:
     cell = lease_model.Cell(NAMES)
-    cell.advance(CALM_S, {})
+    cell.advance(SETTLE_S, {})
     cell.change_list(("b", "c", "d"))
     cell.start("d")
     cell.claim("d", frozenset({lease_model.SEARCHER}))
     cell.advance(lease_model.LEASE_S + 0.1, {})
 
-    cell.beat("b", frozenset("d"))
-    cell.beat("d", frozenset("bc"))
+    cell.send_heartbeat("b", frozenset("d"))
+    cell.send_heartbeat("d", frozenset("bc"))
 
     assert cell.find_holders() == ["d"]
