--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is taken for live, and who for an owner."""
+"""Which VMs are treated as live, and which as owners."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 SILENT = membership.Sighting(NOW_S - 1.5)
 
 
-def blaming(*names: str) -> membership.Sighting:
+def make_suspecting(*names: str) -> membership.Sighting:
     return membership.Sighting(NOW_S - 0.2, suspects=frozenset(names))
 
 
@@ -23,37 +23,43 @@
     [
         pytest.param([LIVE], "live", id="heard"),
         pytest.param(
-            [membership.Sighting(NOW_S - 0.6)], "live", id="two beats missing"
+            [membership.Sighting(NOW_S - 0.6)],
+            "live",
+            id="two heartbeats missing",
         ),
         pytest.param([membership.Sighting(-math.inf)], "listed", id="never"),
         pytest.param(
             [membership.Sighting(NOW_S, leaving=True)], "leaving", id="leaving"
         ),
-        pytest.param([SILENT, LIVE, LIVE], "suspect", id="only we miss it"),
         pytest.param(
-            [SILENT, blaming("x"), LIVE], "gone", id="most miss it too"
+            [SILENT, LIVE, LIVE], "suspect", id="only this VM misses it"
         ),
         pytest.param(
-            [SILENT, blaming("x"), LIVE, LIVE, LIVE],
+            [SILENT, make_suspecting("x"), LIVE],
+            "gone",
+            id="a majority misses it",
+        ),
+        pytest.param(
+            [SILENT, make_suspecting("x"), LIVE, LIVE, LIVE],
             "suspect",
-            id="few miss it",
+            id="a minority misses it",
         ),
-        pytest.param([SILENT, SILENT, SILENT], "gone", id="we hear nobody"),
+        pytest.param([SILENT, SILENT, SILENT], "gone", id="no VM is reachable"),
         pytest.param(
             [membership.Sighting(NOW_S - 1.5, leaving=True), LIVE, LIVE],
             "gone",
-            id="left and now silent",
+            id="silent after leaving",
         ),
     ],
 )
-def test_a_vm_is_judged_by_what_most_hear(
+def test_a_vms_state_depends_on_the_majority_of_reachable_vms(
     sightings: list[membership.Sighting], standing: str
 ) -> None:
     named = dict(zip("xabcd", sightings, strict=False))
 
-    judged = membership.judge(named, NOW_S, SUSPECT_S)
+    standings = membership.judge(named, NOW_S, SUSPECT_S)
 
-    assert judged["x"].value == standing
+    assert standings["x"].value == standing
 
 
 @pytest.mark.parametrize(
@@ -68,7 +74,7 @@
         (membership.Standing.LISTED, False, NOW_S + 0.1, False),
     ],
 )
-def test_an_owner_stays_one_until_its_lease_must_have_ended(
+def test_an_owner_stays_one_until_its_lease_must_have_expired(
     standing: membership.Standing,
     leaving: bool,
     promised_s: float,
@@ -84,7 +90,7 @@
 @pytest.mark.parametrize(
     ("late_s", "pause_s"), [(0.0, 0.0), (0.25, 0.0), (0.3, 0.3), (60.0, 60.0)]
 )
-def test_a_timer_later_than_its_interval_shows_an_own_pause(
+def test_a_timer_later_than_its_interval_indicates_a_pause(
     late_s: float, pause_s: float
 ) -> None:
     paused_s = membership.compute_pause(NOW_S, NOW_S + late_s, 0.25)
