--- a/src/azureramp/policy/addresses.py
+++ b/src/azureramp/policy/addresses.py
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Entry:
-    """An entry VM with what decides whether its address is given out.
+    """An entry VM that may be advertised to callers.
 
     Attributes:
         name: The VM's name.
--- a/src/azureramp/policy/admission.py
+++ b/src/azureramp/policy/admission.py
@@ -115,8 +115,8 @@
         else:
             floor = max(MIN_LEVEL, float(overloaded))
             mean = self._ratios[overloaded] / self._counts[overloaded]
-            fallen = max(floor, self.value - LEVEL_DECREASE * mean)
-            self.value = min(self.value, fallen)
+            lowered = max(floor, self.value - LEVEL_DECREASE * mean)
+            self.value = min(self.value, lowered)
         # Windows without a sample count as windows without overload: rejected
         # requests give no samples, so the level could never rise otherwise.
         self.value = min(
--- a/src/azureramp/policy/advertising.py
+++ b/src/azureramp/policy/advertising.py
@@ -67,24 +67,24 @@
         The selected VMs, sorted by name.
     """
     staying = [member for member in members if not member.leaving]
-    usual, most = _count_targets(connections)
+    usual, maximum = _count_targets(connections)
     usual = min(usual, max(MIN_ADVERTISED, _count_large(staying)))
     chosen: list[catalog.Member] = []
     busy: list[catalog.Member] = []
     groups = _group_zones(_rank_zones(staying, nearness), nearness)
-    for number, zones in enumerate(groups):
+    for index, zones in enumerate(groups):
         if (
             len(chosen) >= MIN_ADVERTISED + len(busy)
             and _count_zones(chosen) >= MIN_ZONES
         ):
             break
         # The last place is reserved for another zone.
-        reserved = number == 0 and len(zones) == 1 and len(groups) > 1
+        reserved = index == 0 and len(zones) == 1 and len(groups) > 1
         for member in _rank_alternating(staying, zones):
-            if len(chosen) >= min(most, usual + len(busy)) - reserved:
+            if len(chosen) >= min(maximum, usual + len(busy)) - reserved:
                 break
             (busy if member.busy else chosen).append(member)
-    chosen += busy[: min(most, usual + len(busy)) - len(chosen)]
+    chosen += busy[: min(maximum, usual + len(busy)) - len(chosen)]
     return tuple(sorted(chosen, key=lambda member: member.vm))
 
 
@@ -113,14 +113,14 @@
     if not connections:
         return MAX_ADVERTISED, MAX_ADVERTISED
     usual = max(MIN_ADVERTISED, connections // USUAL_CONNECTIONS_PER_VM)
-    most = max(MIN_ADVERTISED, connections // MIN_CONNECTIONS_PER_VM)
-    return min(MAX_ADVERTISED, usual), min(MAX_ADVERTISED, most)
+    maximum = max(MIN_ADVERTISED, connections // MIN_CONNECTIONS_PER_VM)
+    return min(MAX_ADVERTISED, usual), min(MAX_ADVERTISED, maximum)
 
 
 def _count_large(members: list[catalog.Member]) -> int:
     """Returns how many VMs have at least `LARGE_VM_SHARE` of the most cores."""
-    most = max((member.cores for member in members), default=0.0)
-    return sum(member.cores >= LARGE_VM_SHARE * most for member in members)
+    maximum = max((member.cores for member in members), default=0.0)
+    return sum(member.cores >= LARGE_VM_SHARE * maximum for member in members)
 
 
 def _rank_zones(
--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -76,11 +76,11 @@
 class Contacts:
     """When each VM last proved that it has no newer revision than this VM."""
 
-    __slots__ = ("_credited",)
+    __slots__ = ("_contact_s",)
 
     def __init__(self) -> None:
         """Creates a record without any contact."""
-        self._credited: dict[str, float] = {}
+        self._contact_s: dict[str, float] = {}
 
     def update(self, view: View) -> float:
         """Processes the acknowledgements.
@@ -95,14 +95,14 @@
         """
         for vm, acknowledgement in view.get_configured_peers().items():
             if acknowledgement.revision <= view.revision:
-                self._credited[vm] = max(
-                    self._credited.get(vm, -math.inf), acknowledgement.sent_s
+                self._contact_s[vm] = max(
+                    self._contact_s.get(vm, -math.inf), acknowledgement.sent_s
                 )
-        for vm in [vm for vm in self._credited if vm not in view.listed]:
-            del self._credited[vm]
+        for vm in [vm for vm in self._contact_s if vm not in view.listed]:
+            del self._contact_s[vm]
         if view.own not in view.listed or view.revision == 0:
             return -math.inf
-        times = sorted((*self._credited.values(), view.now_s), reverse=True)
+        times = sorted((*self._contact_s.values(), view.now_s), reverse=True)
         majority = view.count_majority()
         return times[majority - 1] if len(times) >= majority else -math.inf
 
@@ -123,7 +123,7 @@
     __slots__ = (
         "_history",
         "_holders",
-        "_revision",
+        "_pending_revision",
         "_second_round_s",
         "revision",
     )
@@ -131,7 +131,7 @@
     def __init__(self) -> None:
         """Creates a record without accepted changes."""
         self.revision = 0
-        self._revision = 0
+        self._pending_revision = 0
         self._second_round_s = -math.inf
         self._holders: dict[str, int] = {}
         self._history: list[tuple[int, float]] = []
@@ -142,9 +142,9 @@
             return
         others = view.get_configured_peers()
         majority = view.count_majority()
-        if self._revision > self.revision:
+        if self._pending_revision > self.revision:
             self._process_second_round(view, others, majority)
-        if self._revision <= self.revision:
+        if self._pending_revision <= self.revision:
             self._process_first_round(view, others, majority)
 
     def get_accepted_s(self, revision: int) -> float:
@@ -163,7 +163,7 @@
         revision = min(held[majority - 1], view.revision)
         if revision <= self.revision:
             return
-        self._revision = revision
+        self._pending_revision = revision
         self._second_round_s = view.now_s
         self._holders = {
             vm: other.incarnation
@@ -185,16 +185,16 @@
                 invalid += 1
             elif (
                 other.sent_s > self._second_round_s
-                and other.revision >= self._revision
+                and other.revision >= self._pending_revision
             ):
                 confirming += 1
         if confirming >= majority:
             self._accept(view.now_s)
         elif len(self._holders) + 1 - invalid < majority:
-            self._revision = 0
+            self._pending_revision = 0
 
     def _accept(self, now_s: float) -> None:
-        self.revision = self._revision
+        self.revision = self._pending_revision
         self._history.append((self.revision, now_s))
         del self._history[:-MAX_HISTORY]
 
--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -96,7 +96,7 @@
         requests: The number of requests to the service since the order.
     """
 
-    __slots__ = ("_accounts", "_before", "_is_first", "_terms", "requests")
+    __slots__ = ("_accounts", "_is_first", "_reserved", "_terms", "requests")
 
     def __init__(self, terms: Terms, reserved: int, requests: int) -> None:
         """Creates a ledger.
@@ -107,7 +107,7 @@
             requests: The requests that earlier drivers counted.
         """
         self._terms = terms
-        self._before = reserved
+        self._reserved = reserved
         self._is_first = not reserved and not requests
         self._accounts: dict[str, Account] = {}
         self.requests = requests
@@ -167,7 +167,7 @@
 
     def count_used(self) -> int:
         """Returns the maximum number of calls made to the new version."""
-        return self._before + sum(
+        return self._reserved + sum(
             account.limit - account.base for account in self._accounts.values()
         )
 
@@ -190,7 +190,7 @@
         grant_s: How long a grant stays valid, in seconds.
     """
     rate, total = ledger.get_process_rate(process), ledger.get_rate()
-    part = rate / total if total > 0 else 1.0
-    more = max(min(left, 1), round(left * part))
+    fraction = rate / total if total > 0 else 1.0
+    additional = max(min(left, 1), round(left * fraction))
     max_unused = max(1, math.ceil(rate * grant_s))
-    return max(0, min(ledger.count_unused(process) + more, max_unused))
+    return max(0, min(ledger.count_unused(process) + additional, max_unused))
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -83,11 +83,11 @@
             self._counts = [count // 2 for count in self._counts]
             self._total = sum(self._counts)
 
-    def get(self, which: int = 0) -> float | None:
+    def get(self, index: int = 0) -> float | None:
         """Returns a quantile in milliseconds; None with too few samples.
 
         Args:
-            which: The index of the quantile in the constructor's arguments.
+            index: The index of the quantile in the constructor's arguments.
         """
         if self._total < _MIN_SAMPLES:
             return None
@@ -96,7 +96,7 @@
                 self._compute(quantile) for quantile in self._quantiles
             )
             self._since_recompute = 0
-        return self._cached[which]
+        return self._cached[index]
 
     def _compute(self, quantile: float) -> float:
         """Returns the upper bound of a quantile's bucket, in milliseconds."""
--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -61,7 +61,7 @@
     makes none for the length of one lease: by then the lost ones have expired.
     """
 
-    __slots__ = ("_by_claim", "_longest_s", "_started_s")
+    __slots__ = ("_by_claim", "_max_lease_s", "_started_s")
 
     def __init__(self, started_s: float, lease_s: float) -> None:
         """Creates an empty table.
@@ -70,7 +70,7 @@
             started_s: When this process started, in seconds on its clock.
             lease_s: The longest lease that is granted, in seconds.
         """
-        self._longest_s = lease_s
+        self._max_lease_s = lease_s
         self._started_s = started_s
         self._by_claim: dict[int, Promise] = {}
 
@@ -79,7 +79,7 @@
 
         This is also the time after its start in which this process grants none.
         """
-        self._longest_s = lease_s
+        self._max_lease_s = lease_s
 
     def grant(
         self,
@@ -99,8 +99,8 @@
         Returns:
             The claims that are refused; None if nothing is granted at all.
         """
-        starting = now_s < self._started_s + self._longest_s
-        if starting or not 0 < lease_s <= self._longest_s:
+        starting = now_s < self._started_s + self._max_lease_s
+        if starting or not 0 < lease_s <= self._max_lease_s:
             return None
         refused: set[int] = set()
         for claim in claims:
--- a/src/azureramp/policy/lists.py
+++ b/src/azureramp/policy/lists.py
@@ -67,11 +67,11 @@
         majority of a VM that still uses one of them.
         """
         number = compute_hash(names)
-        known = self._lists.get(number)
-        if known is None and len(self._lists) < MAX_LISTS:
+        existing = self._lists.get(number)
+        if existing is None and len(self._lists) < MAX_LISTS:
             self._lists[number] = ReadList(frozenset(names), now_s, True)
-        elif known is not None and known.inherited:
-            known.read_s = now_s
+        elif existing is not None and existing.inherited:
+            existing.read_s = now_s
 
     def get_own(self) -> tuple[tuple[str, ...], ...]:
         """Returns the lists that this VM itself has read, as names."""
--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -88,7 +88,7 @@
 
 
 def choose(
-    former: assembly.Assembly | None, present: assembly.Assembly
+    previous: assembly.Assembly | None, current: assembly.Assembly
 ) -> assembly.Assembly:
     """Chooses the version whose results are the answer; they are never mixed.
 
@@ -96,11 +96,11 @@
     the earlier version had; the newer one is chosen if it covers at least as
     much.
     """
-    if former is None:
-        return present
-    if present.ledger.get_share() >= former.ledger.get_share():
-        return present
-    return former
+    if previous is None:
+        return current
+    if current.ledger.get_share() >= previous.ledger.get_share():
+        return current
+    return previous
 
 
 def judge(
--- a/src/azureramp/policy/pace.py
+++ b/src/azureramp/policy/pace.py
@@ -49,12 +49,14 @@
         lease_ms: The setting `lease_ms`, in milliseconds.
     """
     factor = _compute_factor(vms, heartbeat_ms)
-    grown = _compute_factor(math.ceil(vms * MAX_LIST_GROWTH), heartbeat_ms)
+    grown_factor = _compute_factor(
+        math.ceil(vms * MAX_LIST_GROWTH), heartbeat_ms
+    )
     return Pace(
         interval_s=factor * heartbeat_ms / 1000,
         suspect_s=factor * suspect_ms / 1000,
         lease_s=factor * lease_ms / 1000,
-        longest_lease_s=grown * lease_ms / 1000,
+        longest_lease_s=grown_factor * lease_ms / 1000,
     )
 
 
