--- a/src/azureramp/policy/addresses.py
+++ b/src/azureramp/policy/addresses.py
@@ -1,4 +1,4 @@
-"""In which order a caller should use the entry VMs."""
+"""The order in which a caller should use the entry VMs."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 from azureramp.policy import ownership
 
-SPREAD = 0.0875
-"""Most that a VM's weight may differ from the even share, as a part of it."""
+MAX_LOAD_DEVIATION = 0.0875
+"""Maximum deviation of a VM's weight from the even share, as a fraction."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Entry:
-    """An entry VM, as far as addresses matter.
+    """An entry VM that may be advertised to callers.
 
     Attributes:
         name: The VM's name.
         zone: Its availability zone.
         ready: True if it serves callers.
-        live: True if it is heard.
-        leaving: True once it or the platform said that it goes.
+        live: True if its heartbeats arrive.
+        leaving: True once the VM or the platform has announced its shutdown.
     """
 
     name: str
@@ -33,14 +33,14 @@
 def choose_eligible(
     entries: Iterable[Entry], zones_out: Collection[str]
 ) -> tuple[str, ...]:
-    """Chooses the VMs that may be advertised.
+    """Selects the VMs that may be advertised.
 
     Args:
         entries: The VMs.
         zones_out: The availability zones out of service.
 
     Returns:
-        Their names, ascending.
+        The names of the eligible VMs, in ascending order.
     """
     return tuple(
         sorted(
@@ -54,50 +54,56 @@
     )
 
 
-def place(weights: Mapping[str, float], vms: Sequence[str]) -> dict[str, str]:
-    """Places each caller on the VM that it should use first.
+def assign_callers(
+    weights: Mapping[str, float], vms: Sequence[str]
+) -> dict[str, str]:
+    """Assigns each caller to the VM that it should use first.
 
-    Rendezvous hash with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
-    2016): a caller gets the first VM of its own order that still has room,
-    the heavy callers before the light ones. Every VM computes the same from
-    the same configuration and the same eligible VMs.
+    Rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
+    2016): a caller is assigned to the first VM of its own ranking that has
+    capacity left, heavy callers before light ones. Every VM computes the same
+    result from the same configuration and the same eligible VMs.
 
     Args:
         weights: The declared weight of each caller, by name.
         vms: The names of the eligible VMs; at least one.
 
     Returns:
-        A VM for each caller. No VM has more than `SPREAD` above or below the
-        even share, unless one caller alone weighs more than that.
+        The VM of each caller. No VM's load differs from the even share by more
+        than `MAX_LOAD_DEVIATION`, unless a single caller weighs more than that.
     """
-    room = compute_room(weights, len(vms))
+    capacity = compute_capacity(weights, len(vms))
     loads = dict.fromkeys(vms, 0.0)
-    placed: dict[str, str] = {}
+    assigned: dict[str, str] = {}
     for caller in sorted(weights, key=lambda name: (-weights[name], name)):
         weight = weights[caller]
         vm = next(
-            (vm for vm in rank(caller, vms) if loads[vm] + weight <= room),
+            (
+                vm
+                for vm in rank_vms(caller, vms)
+                if loads[vm] + weight <= capacity
+            ),
             None,
         )
         if vm is None:
             vm = min(vms, key=lambda name: (loads[name], name))
         loads[vm] += weight
-        placed[caller] = vm
-    return placed
+        assigned[caller] = vm
+    return assigned
 
 
-def compute_room(weights: Mapping[str, float], vms: int) -> float:
-    """Computes the most weight that a VM may get.
+def compute_capacity(weights: Mapping[str, float], vms: int) -> float:
+    """Computes the maximum weight that may be assigned to a VM.
 
-    The others' surplus is what one VM can lack, so the bound above the even
-    share shrinks with the number of VMs.
+    The surplus of all other VMs together can be missing on one VM, so the
+    allowed surplus of each is divided by the number of the others.
     """
     share = sum(weights.values()) / vms
-    return share * (1.0 + SPREAD / max(1, vms - 1))
+    return share * (1.0 + MAX_LOAD_DEVIATION / max(1, vms - 1))
 
 
-def rank(caller: str, vms: Iterable[str]) -> list[str]:
-    """Ranks the VMs for a caller by rendezvous hash, best first."""
+def rank_vms(caller: str, vms: Iterable[str]) -> list[str]:
+    """Ranks the VMs for a caller by rendezvous weight, highest first."""
     return sorted(
         vms,
         key=lambda vm: (ownership.compute_weight(caller, vm), vm),
@@ -105,12 +111,12 @@
     )
 
 
-def order(
+def order_vms(
     caller: str, weights: Mapping[str, float], vms: Sequence[str]
 ) -> tuple[str, ...]:
-    """Orders the VMs for one caller, best first.
+    """Orders the VMs for one caller, the preferred one first.
 
-    Places all callers each time; where many ask, keep an `Orders`.
+    Assigns all callers on each call; use an `Orders` for repeated calls.
 
     Args:
         caller: The caller's name.
@@ -121,26 +127,26 @@
 
 
 class Orders:
-    """The orders for the present callers and VMs, computed once."""
+    """Caches the assignment of the current callers to the current VMs."""
 
-    __slots__ = ("_placed", "_vms", "_weights")
+    __slots__ = ("_assigned", "_vms", "_weights")
 
     def __init__(self) -> None:
-        """Makes one that has computed nothing."""
+        """Creates an empty cache."""
         self._weights: Mapping[str, float] = {}
         self._vms: tuple[str, ...] = ()
-        self._placed: dict[str, str] = {}
+        self._assigned: dict[str, str] = {}
 
     def get(
         self, caller: str, weights: Mapping[str, float], vms: Sequence[str]
     ) -> tuple[str, ...]:
-        """Returns the order for one caller; see `order`."""
+        """Returns the order of the VMs for one caller; see `order_vms`."""
         if not vms:
             return ()
         if self._vms != tuple(vms) or self._weights != weights:
             self._vms = tuple(vms)
             self._weights = dict(weights)
-            self._placed = place(weights, vms)
-        ranked = rank(caller, vms)
-        first = self._placed.get(caller, ranked[0])
+            self._assigned = assign_callers(weights, vms)
+        ranked = rank_vms(caller, vms)
+        first = self._assigned.get(caller, ranked[0])
         return (first, *(vm for vm in ranked if vm != first))
