--- a/src/azureramp/ports/forwarding/api.py
+++ b/src/azureramp/ports/forwarding/api.py
@@ -1,4 +1,4 @@
-"""The interface of calls that carry a caller's request to a searcher."""
+"""The interface for calls that forward a caller's request to a searcher."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 import h11
 
 Fields = Sequence[tuple[bytes, bytes]]
-"""Headers as they stand in a message, names in lower case."""
+"""Headers in the order of a message, with names in lower case."""
 
 
 @dataclasses.dataclass(slots=True)
 class Message:
-    """What a caller sent, ready to be forwarded any number of times.
+    """A caller's request, ready to be forwarded any number of times.
 
     Attributes:
-        id: The id that the caller gave this try.
+        id: The id that the caller gave this attempt.
         method: The HTTP method.
         target: The path with its query, as sent.
-        fields: The headers that are forwarded; none that concerns only the
-            caller's own connection, and none that the tier sets itself.
+        fields: The headers that are forwarded; excludes headers of the caller's
+            own connection and those that the tier sets itself.
         body: The body.
-        head: Its request line and headers as h11 checked them; None until the
-            first call is encoded.
+        head: The request line and headers after h11 validated them; None until
+            the first call is encoded.
     """
 
     id: bytes
@@ -40,12 +40,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Call:
-    """One call of one searcher.
+    """One call to one searcher.
 
     Attributes:
-        message: What is forwarded.
-        searcher: The id of the searcher that is meant.
-        left_s: How long the searcher may work on it, in seconds.
+        message: The message to forward.
+        searcher: The id of the searcher that should answer.
+        left_s: How long the searcher may work on the call, in seconds.
     """
 
     message: Message
@@ -63,12 +63,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Load:
-    """What a searcher says of its load.
+    """The load that a searcher reports.
 
     Attributes:
-        running: Requests that it runs.
-        waiting: Requests that wait in it.
-        slots: How many it runs at once.
+        running: Number of requests that it is running.
+        waiting: Number of requests that are queued in it.
+        slots: Maximum number of requests that it runs at once.
     """
 
     running: int
@@ -78,17 +78,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Reply:
-    """A searcher's whole answer to a call.
+    """A searcher's complete answer to a call.
 
     Attributes:
         status: The HTTP status.
-        fields: Its headers as they came.
-        body: The whole body.
+        fields: The headers as received.
+        body: The complete body.
         signature: The searcher's signature of the answer; empty if none.
-        ran: Whether it ran the call, by its own word.
-        misdirected: True if another searcher than the one meant answered.
-        load: Its load, if it told.
-        cold_s: How much longer it is cold, in seconds, if it told.
+        ran: Whether the searcher states that it ran the call.
+        misdirected: True if a searcher other than the called one answered.
+        load: The reported load; None if not reported.
+        cold_s: How much longer the searcher is cold, in seconds; None if not
+            reported.
     """
 
     status: int
@@ -101,7 +102,7 @@
     cold_s: float | None
 
     def is_success(self) -> bool:
-        """Tells whether it is a searcher's own successful answer."""
+        """Returns True if this is a searcher's own successful answer."""
         return 200 <= self.status < 300 and bool(self.signature)
 
 
@@ -119,8 +120,8 @@
     """A call without an answer.
 
     Attributes:
-        loss: Why.
-        sent: True if any byte of it may have reached the searcher.
+        loss: The reason.
+        sent: True if any byte of the call may have reached the searcher.
     """
 
     loss: Loss
@@ -132,14 +133,14 @@
 
 
 class Codec(Protocol):
-    """Names and reads the headers that the tier and searchers exchange."""
+    """Encodes and decodes the headers exchanged with searchers."""
 
     def encode_message(self, message: Message) -> Fields:
-        """Returns the headers that all calls of a message have in common."""
+        """Returns the headers that all calls of a message share."""
         ...
 
     def encode_call(self, call: Call) -> Fields:
-        """Returns the headers that a call has besides."""
+        """Returns the additional headers of one call."""
         ...
 
     def read_id(self, fields: Fields) -> bytes:
@@ -147,25 +148,26 @@
         ...
 
     def decode_reply(self, status: int, fields: Fields, body: bytes) -> Reply:
-        """Reads a searcher's answer."""
+        """Decodes a searcher's answer."""
         ...
 
 
-class Ticket(Protocol):
-    """A call that was submitted."""
+class PendingCall(Protocol):
+    """A submitted call."""
 
     def is_sent(self) -> bool:
-        """Tells whether the call was written to a connection."""
+        """Returns True if the call was written to a connection."""
         ...
 
     def abandon(self, linger_s: float) -> None:
-        """Ends a call whose answer nobody waits for any more.
+        """Ends a call whose answer is no longer needed.
 
-        A call that was not written is dropped, and its receiver not called.
-        One that was keeps its connection for the time given, since an answer
-        that still comes saves a new connection; then it is cut.
+        A call that was not written is dropped without calling its receiver. One
+        that was written keeps its connection for the given time, since an
+        answer that still arrives saves opening a new connection; then it is
+        cut.
 
         Args:
-            linger_s: How long the answer may still come, in seconds.
+            linger_s: How long the answer may still arrive, in seconds.
         """
         ...
