--- a/src/azureramp/ports/forwarding/ticket.py
+++ b/src/azureramp/ports/forwarding/ticket.py
@@ -1,4 +1,4 @@
-"""A call that was submitted to a searcher's connections."""
+"""A call that was submitted to a searcher's connection pool."""
 
 from __future__ import annotations
 
@@ -6,36 +6,37 @@
 from azureramp.ports.forwarding import link as link_module
 
 
-class Ticket:
-    """A call that waits for a connection or its answer; see `api.Ticket`.
+class PendingCall:
+    """A call that waits for a connection or its answer; see `api.PendingCall`.
 
     Attributes:
         call: The call.
-        receiver: Takes its outcome; None once nobody waits for it.
-        link: The connection that it was written to; None while it waits.
+        receiver: Called with its outcome; None once the outcome is not needed.
+        link: The connection that it was written to; None while it waits for
+            one.
     """
 
     __slots__ = ("call", "link", "receiver")
 
     def __init__(self, call: api.Call, receiver: api.Receiver) -> None:
-        """Makes the ticket of a call that waits."""
+        """Creates a call that waits for a connection."""
         self.call = call
         self.receiver: api.Receiver | None = receiver
         self.link: link_module.Link | None = None
 
     def is_sent(self) -> bool:
-        """Tells whether the call was written to a connection."""
+        """Returns True if the call was written to a connection."""
         return self.link is not None
 
     def abandon(self, linger_s: float) -> None:
-        """Ends a call that nobody waits for; see `api.Ticket`."""
+        """Ends a call that is no longer needed; see `api.PendingCall`."""
         if self.link is None:
             self.receiver = None
         else:
-            self.link.cut_after(linger_s)
+            self.link.abort_after(linger_s)
 
     def deliver(self, outcome: api.Outcome) -> None:
-        """Hands an outcome to whoever still waits for it."""
+        """Passes an outcome to the receiver, unless it was already called."""
         receiver, self.receiver = self.receiver, None
         if receiver is not None:
             receiver(outcome)
