--- a/src/azureramp/ports/forwarding/link.py
+++ b/src/azureramp/ports/forwarding/link.py
@@ -1,4 +1,4 @@
-"""One connection to a searcher, for one call at a time, by h11."""
+"""A connection to a searcher that carries one call at a time, using h11."""
 
 from __future__ import annotations
 
@@ -12,50 +12,50 @@
 from azureramp.ports.web import connection as web_connection
 
 MAX_BODY_BYTES = 8_000_000
-"""Largest answer that is taken; a searcher's page is a thousandth of it."""
+"""Maximum size of an answer's body; a searcher's page is a thousandth of it."""
 
-KEEP_SHARE = 0.8
-"""Share of the searcher's idle timeout for which a connection is kept. The
-searcher's clock starts up to a round trip earlier than this side's, and a call
+KEEP_ALIVE_SHARE = 0.8
+"""Share of the searcher's idle timeout for which a connection is reused. The
+searcher's timer starts up to a round trip before this side's, and a call
 written to a connection that is just closing is lost."""
 
 
 class Link(asyncio.Protocol):
     """A connection that carries calls one after another.
 
-    A searcher's answer is used only if it is whole and bears the call's id.
-    Whatever else arrives ends the connection: bytes that nobody asked for
-    would otherwise be read as the answer to the next caller's request.
+    A searcher's answer is used only if it is complete and carries the call's
+    id. Any other data closes the connection: unrequested bytes would otherwise
+    be read as the answer to the next caller's request.
 
     Attributes:
-        proven_s: When the searcher last gave a sign of life on it, on the
-            loop's clock.
+        last_received_s: When data last arrived on it, or when it was opened, on
+            the loop's clock.
         busy: True while a call waits for its answer on it.
-        closed: True once it can't be used again.
-        calls: How many calls it has carried.
+        closed: True once it can't be used any more.
+        calls: Number of calls that it has carried.
     """
 
     __slots__ = (
+        "_abort_at_s",
         "_body",
         "_call",
         "_codec",
-        "_cut_s",
         "_head",
-        "_heard",
         "_http",
-        "_keep_s",
-        "_keep_until_s",
+        "_keep_alive_s",
         "_loop",
         "_on_closed",
         "_on_idle",
+        "_received_any",
         "_receiver",
-        "_strays",
+        "_reusable_until_s",
+        "_stray_answers",
         "_timer",
         "_transport",
         "busy",
         "calls",
         "closed",
-        "proven_s",
+        "last_received_s",
     )
 
     def __init__(
@@ -64,13 +64,13 @@
         on_idle: Callable[[Link], None],
         on_closed: Callable[[Link, bool], None],
     ) -> None:
-        """Makes a link that is not connected yet.
+        """Creates a protocol that is not connected yet.
 
         Args:
-            codec: Reads and names the headers.
-            on_idle: Called once another call may be sent.
-            on_closed: Called once, at the end; True if the searcher ended it
-                before it had answered anything on it.
+            codec: Encodes and decodes the headers.
+            on_idle: Called each time another call may be sent.
+            on_closed: Called once when the connection ends; with True if the
+                searcher closed it before sending anything on it.
         """
         self._codec = codec
         self._on_idle = on_idle
@@ -81,29 +81,29 @@
         self._call: api.Call | None = None
         self._receiver: api.Receiver | None = None
         self._head: h11.Response | None = None
-        self._heard = False
+        self._received_any = False
         self._body = bytearray()
-        self._keep_until_s = float("inf")
-        self._keep_s = float("inf")
-        self._strays = 0
-        self._cut_s = 0.0
+        self._reusable_until_s = float("inf")
+        self._keep_alive_s = float("inf")
+        self._stray_answers = 0
+        self._abort_at_s = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self.proven_s = 0.0
+        self.last_received_s = 0.0
         self.busy = False
         self.closed = False
         self.calls = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the open transport."""
+        """Stores the open transport."""
         self._transport = transport
-        self.proven_s = self._loop.time()
+        self.last_received_s = self._loop.time()
         web_connection.set_transport_options(transport)
 
     def is_usable(self, now_s: float) -> bool:
-        """Tells whether a call may be written now."""
+        """Returns True if a call may be written now."""
         if self.closed or self.busy:
             return False
-        return now_s < self._keep_until_s
+        return now_s < self._reusable_until_s
 
     def send(self, call: api.Call, receiver: api.Receiver) -> None:
         """Writes a call.
@@ -116,75 +116,81 @@
         self._receiver = receiver
         self.busy = True
         self.calls += 1
-        self._strays = 0
+        self._stray_answers = 0
         self._transport.write(self._encode(call))
 
-    def cut_after(self, seconds: float) -> None:
-        """Cuts the connection if its present call still waits then.
+    def abort_after(self, seconds: float) -> None:
+        """Aborts the connection unless its call ends within a delay.
 
-        A timer for each call would cost more than the call's own writing, so
-        one timer serves many: it looks again where a later call moved the
-        time, and is set anew only where the time comes closer.
+        One timer per call would cost more than writing the call itself, so one
+        timer serves many calls: when it fires early, because a later call moved
+        the time, it is set again, and it is replaced only if the time moves
+        closer.
+
+        Args:
+            seconds: The delay, in seconds.
         """
-        self._cut_s = self._loop.time() + seconds
+        self._abort_at_s = self._loop.time() + seconds
         if self._timer is not None:
-            if self._timer.when() <= self._cut_s:
+            if self._timer.when() <= self._abort_at_s:
                 return
             self._timer.cancel()
-        self._timer = self._loop.call_at(self._cut_s, self._cut_when_due)
+        self._timer = self._loop.call_at(self._abort_at_s, self._abort_when_due)
 
-    def _cut_when_due(self) -> None:
-        """Cuts the connection if its call's time is over."""
+    def _abort_when_due(self) -> None:
+        """Aborts the connection if its call's time has run out."""
         self._timer = None
         if self.closed or not self.busy:
             return
-        if self._loop.time() < self._cut_s:
-            self._timer = self._loop.call_at(self._cut_s, self._cut_when_due)
+        if self._loop.time() < self._abort_at_s:
+            self._timer = self._loop.call_at(
+                self._abort_at_s, self._abort_when_due
+            )
             return
         self.abort()
 
     def abort(self) -> None:
-        """Closes at once; a call that waits is lost."""
+        """Closes the connection at once; a pending call is lost."""
         self._end(api.Loss.BROKEN)
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of an answer."""
+        """Handles received bytes, which belong to the pending call's answer."""
         if self.closed:
             return
         if not self.busy:
             self.abort()
             return
-        self.proven_s = self._loop.time()
-        self._heard = True
+        self.last_received_s = self._loop.time()
+        self._received_any = True
         self._feed(data)
 
     def eof_received(self) -> bool:
-        """Takes the end of the searcher's stream.
+        """Handles the end of the searcher's stream.
 
-        It ends an answer that states no length, and cuts any other.
+        It completes an answer without a length, and truncates any other.
         """
         if self.busy:
             self._feed(b"")
         if not self.closed:
-            self._end(api.Loss.BROKEN, refused=not self._heard)
+            self._end(api.Loss.BROKEN, refused=not self._received_any)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Takes the connection's end.
+        """Handles the loss of the connection.
 
-        A reset may have cut an answer that states no length, so what has
-        come of it is not used.
+        A reset may have truncated an answer without a length, so the part that
+        was received is not used.
         """
         if not self.closed:
-            self._end(api.Loss.BROKEN, refused=not self._heard)
+            self._end(api.Loss.BROKEN, refused=not self._received_any)
 
     def _encode(self, call: api.Call) -> bytes:
-        """Encodes a call by h11.
+        """Encodes a call with h11.
 
-        Calls of one message differ in a few headers only. h11 checks the
-        common ones once for each message, and what differs is put in before
-        the empty line that ends the head.
+        Calls of one message differ in only a few headers. h11 checks the common
+        headers once per message; the others are inserted before the empty line
+        that ends the head.
         """
         message = call.message
         if message.head is None:
@@ -204,7 +210,7 @@
         return data + (self._http.send(h11.EndOfMessage()) or b"")
 
     def _feed(self, data: bytes) -> None:
-        """Gives bytes to h11 and takes the events."""
+        """Passes received bytes to h11 and handles the resulting events."""
         try:
             self._http.receive_data(data)
             while self.busy and not self.closed:
@@ -219,20 +225,20 @@
                     case h11.Data() as event:
                         self._body += event.data
                         if len(self._body) > MAX_BODY_BYTES:
-                            self._invalidate()
+                            self._abort_invalid()
                     case h11.EndOfMessage():
                         self._finish_answer()
                     case _:
                         self._end(api.Loss.BROKEN)
         except h11.RemoteProtocolError:
-            self._invalidate()
+            self._abort_invalid()
 
     def _finish_answer(self) -> None:
-        """Takes a whole answer."""
+        """Handles a complete answer."""
         head, call = self._head, self._call
         assert head is not None
         assert call is not None
-        # h11's own sequence of headers makes a tuple anew at each step.
+        # h11's own sequence of headers creates a new tuple at each iteration.
         fields = list(head.headers)
         if self._codec.read_id(fields) != call.message.id:
             self._skip_stray(call)
@@ -252,16 +258,16 @@
             receiver(reply)
 
     def _skip_stray(self, call: api.Call) -> None:
-        """Passes over an answer to another call and goes on reading.
+        """Skips an answer to another call and continues reading.
 
         A faulty searcher may answer an earlier call twice; the second answer
-        comes where this call's is due, and this call's own follows it. One is
-        passed over, and the connection ends after this call. More than one
-        says that nothing on it can be trusted.
+        then arrives in place of this call's, which follows it. One such answer
+        is skipped, and the connection closes after this call. After a second
+        one, nothing on the connection can be trusted.
         """
-        self._strays += 1
-        if self._strays > 1 or self._call_may_mix(call):
-            self._invalidate()
+        self._stray_answers += 1
+        if self._stray_answers > 1 or self._cannot_continue(call):
+            self._abort_invalid()
             return
         surplus = self._http.trailing_data[0]
         self._http = h11.Connection(h11.CLIENT)
@@ -271,18 +277,18 @@
         if surplus:
             self._feed(surplus)
 
-    def _call_may_mix(self, call: api.Call) -> bool:
-        """Tells whether h11 can't follow up on the stray answer."""
+    def _cannot_continue(self, call: api.Call) -> bool:
+        """Returns True if reading can't continue after a stray answer."""
         return self._http.their_state is not h11.DONE or not call.message.id
 
     def _may_reuse(self) -> bool:
-        """Tells whether the next call may use this connection.
+        """Returns True if the next call may use this connection.
 
-        Not if bytes came past the answer, if the searcher answered before it
-        had taken the whole request, or after a stray answer.
+        It may not if more bytes followed the answer, if the searcher answered
+        before it had read the whole request, or after a stray answer.
         """
         return (
-            self._strays == 0
+            self._stray_answers == 0
             and self._http.our_state is h11.DONE
             and self._http.their_state is h11.DONE
             and not self._http.trailing_data[0]
@@ -291,29 +297,29 @@
         )
 
     def _read_keep_alive(self, fields: api.Fields) -> None:
-        """Takes how long the searcher keeps an idle connection."""
+        """Reads how long the searcher keeps an idle connection open."""
         for name, value in fields:
             if name == b"keep-alive":
                 seconds = parse_keep_alive(value)
                 if seconds is not None:
-                    self._keep_s = seconds * KEEP_SHARE
-        self._keep_until_s = self._loop.time() + self._keep_s
+                    self._keep_alive_s = seconds * KEEP_ALIVE_SHARE
+        self._reusable_until_s = self._loop.time() + self._keep_alive_s
 
     def _reset_call(self) -> None:
-        """Makes ready for another call."""
+        """Clears the state of the current call."""
         self._call = None
         self._receiver = None
         self._head = None
         self._body = bytearray()
         self.busy = False
 
-    def _invalidate(self) -> None:
-        """Ends the connection since what came on it is no answer."""
+    def _abort_invalid(self) -> None:
+        """Closes the connection because it received an invalid answer."""
         self._end(api.Loss.INVALID)
         self._transport.abort()
 
     def _close(self) -> None:
-        """Ends the connection between two calls."""
+        """Closes the connection between two calls."""
         self.closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -321,7 +327,7 @@
         self._on_closed(self, False)
 
     def _end(self, loss: api.Loss, refused: bool = False) -> None:
-        """Ends the connection; a call that waits gets its outcome."""
+        """Ends the connection and reports the loss of a pending call."""
         if self.closed:
             return
         self.closed = True
@@ -335,13 +341,13 @@
 
 
 def parse_keep_alive(value: bytes) -> float | None:
-    """Reads the timeout of a Keep-Alive header.
+    """Parses the timeout of a Keep-Alive header.
 
     Args:
         value: The header's value, such as `timeout=5, max=100`.
 
     Returns:
-        The timeout in seconds; None if it states none.
+        The timeout in seconds; None if the header states none.
     """
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
