--- a/src/azureramp/ports/forwarding/pool.py
+++ b/src/azureramp/ports/forwarding/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one searcher, and the calls that wait for one."""
+"""A pool of connections to one searcher, and the calls that wait for one."""
 
 from __future__ import annotations
 
@@ -14,35 +14,37 @@
 from azureramp.ports.web import connection as web_connection
 
 CONNECT_S = 1.0
-"""Longest time that opening a connection may take, in seconds; a searcher
-that is up takes some milliseconds."""
+"""Timeout for opening a connection, in seconds; a searcher that is up takes
+some milliseconds."""
 
 PROBE_S = 0.5
-"""The same for a connection that only shows whether the searcher lives. A
-packet that opens one is sent again after a second: a shorter time and another
-try find a searcher that is back sooner."""
+"""Timeout for a connection that checks whether the searcher is up, in seconds.
+TCP resends a lost SYN only after a second, so a shorter timeout and another
+attempt detect a returned searcher sooner."""
 
 STALLED_S = 0.03
 """How long opening the first connection may take before other searchers are
-preferred, in seconds: one that lost power answers nothing at all."""
+preferred, in seconds: a searcher that lost power sends no response at all."""
 
 MAX_WAITING = 64
-"""Most calls that wait for a connection; more than a few would be late."""
+"""Maximum number of calls that wait for a connection; with more than a few,
+they would be answered late."""
 
-CROWDED_LEAST_S = 1.0
-CROWDED_MOST_S = 8.0
-"""How long no second connection is opened after the searcher ended one that
-it had answered nothing on, in seconds, at first and after several: most likely
-it holds as many as it accepts. VMs that connect again at once keep it, and
-themselves, busy with handshakes; a few seconds let idle ones elsewhere end."""
+MIN_FULL_BACKOFF_S = 1.0
+MAX_FULL_BACKOFF_S = 8.0
+"""Initial and maximum backoff before a second connection is opened after the
+searcher closed one that it had answered nothing on, in seconds: most likely it
+already holds as many connections as it accepts. VMs that reconnect at once keep
+it, and themselves, busy with handshakes; a few seconds let idle connections of
+other VMs close."""
 
-GRACE_S = 0.1
-"""How long after a call's time its connection is kept, in seconds: the
-searcher's own answer that the time is over still comes on it."""
+ANSWER_GRACE_S = 0.1
+"""How long a connection is kept after its call's time limit, in seconds: the
+searcher's own timeout answer can still arrive on it."""
 
 
-class Found(enum.Enum):
-    """What a new connection shows of a searcher."""
+class ProbeResult(enum.Enum):
+    """Result of opening a connection to check whether a searcher is up."""
 
     OPENED = "opened"
     REFUSED = "refused"
@@ -50,38 +52,39 @@
 
 
 class Pool:
-    """Opens connections to one searcher as they are needed.
+    """Opens connections to one searcher on demand.
 
     Attributes:
         address: The searcher's `IP:port`.
-        limit: Most connections to hold.
-        opened: How many connections were opened since the start.
-        away: True from when the searcher refused the only connection there
-            was, or ended it unused, until it answers a call again.
-        returned_s: When it last answered after it had been away, on the
-            loop's clock.
-        linked_s: Since when there has always been a connection; infinite
-            while there is none.
+        limit: Maximum number of connections.
+        opened_count: Number of connections opened since the pool was created.
+        unavailable: True from when the searcher refused a connection while no
+            other was open, or closed the last one unused, until it answers a
+            call again.
+        available_since_s: When the searcher first answered after being
+            unavailable, on the loop's clock.
+        connected_since_s: Since when there has always been an open connection,
+            on the loop's clock; infinite while there is none.
     """
 
     __slots__ = (
         "_codec",
-        "_crowded_s",
-        "_crowded_until_s",
+        "_full_backoff_s",
+        "_full_until_s",
         "_idle",
         "_links",
         "_on_unreachable",
         "_opening",
         "_opening_s",
-        "_probe",
-        "_probes",
+        "_probe_receivers",
+        "_probe_task",
         "_waiting",
         "address",
-        "away",
+        "available_since_s",
+        "connected_since_s",
         "limit",
-        "linked_s",
-        "opened",
-        "returned_s",
+        "opened_count",
+        "unavailable",
     )
 
     def __init__(
@@ -91,112 +94,118 @@
         limit: int,
         on_unreachable: Callable[[], None],
     ) -> None:
-        """Makes a pool without connections.
+        """Creates a pool without connections.
 
         Args:
-            codec: Reads and names the headers of calls.
+            codec: Encodes and decodes the headers of calls.
             address: The searcher's `IP:port`.
-            limit: Most connections to hold.
-            on_unreachable: Called where none is open and none could be opened.
+            limit: Maximum number of connections.
+            on_unreachable: Called if a connection can't be opened and no other
+                is open.
         """
         self._codec = codec
         self._on_unreachable = on_unreachable
-        self._crowded_s = 0.0
-        self._crowded_until_s = 0.0
+        self._full_backoff_s = 0.0
+        self._full_until_s = 0.0
         self._idle: list[link_module.Link] = []
         self._links: set[link_module.Link] = set()
         self._opening: set[asyncio.Task[None]] = set()
         self._opening_s = 0.0
-        self._waiting: collections.deque[ticket_module.Ticket] = (
+        self._waiting: collections.deque[ticket_module.PendingCall] = (
             collections.deque()
         )
-        self._probes: list[Callable[[Found], None]] = []
-        self._probe: asyncio.Task[None] | None = None
+        self._probe_receivers: list[Callable[[ProbeResult], None]] = []
+        self._probe_task: asyncio.Task[None] | None = None
         self.address = address
         self.limit = limit
-        self.opened = 0
-        self.away = False
-        self.returned_s = -math.inf
-        self.linked_s = math.inf
+        self.opened_count = 0
+        self.unavailable = False
+        self.available_since_s = -math.inf
+        self.connected_since_s = math.inf
 
     def submit(
         self, call: api.Call, receiver: api.Receiver
-    ) -> ticket_module.Ticket:
-        """Makes a call as soon as there is a connection for it.
+    ) -> ticket_module.PendingCall:
+        """Sends a call as soon as a connection is available.
 
         Args:
             call: The call.
-            receiver: Called once with the outcome, never before this returns.
+            receiver: Called once with the outcome, never before `submit`
+                returns.
+
+        Returns:
+            The submitted call.
         """
-        ticket = ticket_module.Ticket(call, receiver)
-        link = self._take()
+        pending_call = ticket_module.PendingCall(call, receiver)
+        link = self._pop_idle()
         if link is not None:
-            self._send(link, ticket)
+            self._send(link, pending_call)
         elif len(self._waiting) >= MAX_WAITING:
             loop = asyncio.get_running_loop()
             lost = api.Lost(api.Loss.NO_ROOM, sent=False)
-            loop.call_soon(ticket.deliver, lost)
+            loop.call_soon(pending_call.deliver, lost)
         else:
-            self._waiting.append(ticket)
+            self._waiting.append(pending_call)
             self._open_more()
-        return ticket
+        return pending_call
 
     def is_stalled(self) -> bool:
-        """Tells whether calls wait for a first connection that lasts long."""
+        """Returns True if opening the first connection is taking too long."""
         if self._links or not self._opening:
             return False
         now_s = asyncio.get_running_loop().time()
         return now_s - self._opening_s > STALLED_S
 
     def count_open(self) -> int:
-        """Returns how many connections are open or being opened."""
+        """Returns the number of connections that are open or being opened."""
         return len(self._links) + len(self._opening)
 
-    def prepare(self, wanted: int) -> None:
-        """Opens connections ahead of need, unless the searcher is crowded.
+    def open_ahead(self, wanted: int) -> None:
+        """Opens connections ahead of need, unless the searcher is full.
 
         Args:
             wanted: How many should be open, within the limit.
         """
-        if self._is_crowded():
+        if self._is_backing_off():
             return
         while self.count_open() < min(wanted, self.limit):
             self._open()
 
     def set_limit(self, limit: int) -> None:
-        """Changes the limit; idle connections beyond it are closed."""
+        """Changes the limit and closes idle connections beyond it."""
         self.limit = limit
         for link in list(self._idle):
             if len(self._links) <= limit:
                 break
             link.abort()
 
-    def probe(self, receiver: Callable[[Found], None]) -> None:
-        """Finds out by a new connection whether the searcher lives.
+    def probe(self, receiver: Callable[[ProbeResult], None]) -> None:
+        """Checks whether the searcher is up by opening a new connection.
 
         Args:
-            receiver: Called once with what was found. A connection that could
-                be opened is used for calls.
+            receiver: Called once with the result. A connection that could be
+                opened is then used for calls.
         """
-        self._probes.append(receiver)
-        if self._probe is None:
-            self._probe = self._open(PROBE_S)
+        self._probe_receivers.append(receiver)
+        if self._probe_task is None:
+            self._probe_task = self._open(PROBE_S)
 
-    def retire(self, before_s: float) -> None:
-        """Closes idle connections that gave no sign of life for long.
+    def close_stale(self, before_s: float) -> None:
+        """Closes idle connections that have received nothing for too long.
 
-        Something between the two ends may have lost track of them: what is
-        written there never arrives, while new connections work.
+        A middlebox may have dropped their state: data written to them never
+        arrives, while new connections work.
 
         Args:
-            before_s: The last sign of life that is too old.
+            before_s: Connections that last received data before this time are
+                closed, on the loop's clock.
         """
         for link in list(self._idle):
-            if link.proven_s < before_s:
+            if link.last_received_s < before_s:
                 link.abort()
 
     def close(self) -> None:
-        """Closes idle connections; busy ones close with their call."""
+        """Closes idle connections; busy ones close after their call."""
         self.limit = 0
         for link in list(self._idle):
             link.abort()
@@ -204,8 +213,8 @@
             task.cancel()
         self._fail_waiting(api.Loss.NO_CONNECTION)
 
-    def _take(self) -> link_module.Link | None:
-        """Takes the idle connection that was used last, if any is fit."""
+    def _pop_idle(self) -> link_module.Link | None:
+        """Removes and returns the usable idle connection that was used last."""
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             link = self._idle.pop()
@@ -215,88 +224,90 @@
         return None
 
     def _send(
-        self, link: link_module.Link, ticket: ticket_module.Ticket
+        self, link: link_module.Link, pending_call: ticket_module.PendingCall
     ) -> None:
-        """Writes a call, and sees to the connection's end if it is silent."""
-        receiver = ticket.receiver
+        """Writes a call and sets the time at which its connection is cut."""
+        receiver = pending_call.receiver
         if receiver is None:
             return
-        ticket.link = link
-        link.send(ticket.call, receiver)
-        link.cut_after(ticket.call.left_s + GRACE_S)
+        pending_call.link = link
+        link.send(pending_call.call, receiver)
+        link.abort_after(pending_call.call.left_s + ANSWER_GRACE_S)
 
     def _serve_waiting(self) -> None:
-        """Gives connections to the calls that wait."""
+        """Assigns idle connections to the waiting calls."""
         while self._waiting:
             if self._waiting[0].receiver is None:
                 self._waiting.popleft()
                 continue
-            link = self._take()
+            link = self._pop_idle()
             if link is None:
                 break
             self._send(link, self._waiting.popleft())
         self._open_more()
 
     def _open_more(self) -> None:
-        """Opens connections for the calls that wait, within the limit."""
+        """Opens connections for the waiting calls, within the limit."""
         while (
             len(self._opening) < len(self._waiting)
             and self.count_open() < self.limit
-            and not (self._is_crowded() and self.count_open())
+            and not (self._is_backing_off() and self.count_open())
         ):
             self._open()
         if self._waiting and not self.count_open():
             self._fail_waiting(api.Loss.NO_ROOM)
 
-    def _open(self, most_s: float = CONNECT_S) -> asyncio.Task[None]:
+    def _open(self, timeout_s: float = CONNECT_S) -> asyncio.Task[None]:
         """Opens one connection in the background.
 
         Args:
-            most_s: Longest time that it may take, in seconds.
+            timeout_s: Timeout, in seconds.
         """
         if not self._opening:
             self._opening_s = asyncio.get_running_loop().time()
-        task = asyncio.ensure_future(self._connect(most_s))
+        task = asyncio.ensure_future(self._connect(timeout_s))
         self._opening.add(task)
-        task.add_done_callback(self._opened)
+        task.add_done_callback(self._handle_opened)
         return task
 
-    async def _connect(self, most_s: float) -> None:
+    async def _connect(self, timeout_s: float) -> None:
         """Opens one connection.
 
         Args:
-            most_s: Longest time that it may take, in seconds.
+            timeout_s: Timeout, in seconds.
 
         Raises:
-            OSError: It can't be opened.
-            TimeoutError: It takes too long.
+            OSError: The connection can't be opened.
+            TimeoutError: Opening it takes longer than the timeout.
         """
         host, port = web_connection.split_address(self.address)
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(most_s):
+        async with asyncio.timeout(timeout_s):
             _, link = await loop.create_connection(self._make_link, host, port)
-        self.opened += 1
+        self.opened_count += 1
         if link.closed:
             return
         if not self._links:
-            self.linked_s = loop.time()
+            self.connected_since_s = loop.time()
         self._links.add(link)
         self._idle.append(link)
 
     def _make_link(self) -> link_module.Link:
-        """Makes the protocol of a new connection."""
-        return link_module.Link(self._codec, self._take_idle, self._take_closed)
+        """Creates the protocol of a new connection."""
+        return link_module.Link(
+            self._codec, self._handle_idle, self._handle_closed
+        )
 
-    def _opened(self, task: asyncio.Task[None]) -> None:
-        """Goes on after a connection was opened, or was not."""
+    def _handle_opened(self, task: asyncio.Task[None]) -> None:
+        """Handles the end of an attempt to open a connection."""
         self._opening.discard(task)
         failure = None if task.cancelled() else task.exception()
         failed = task.cancelled() or failure is not None
         if isinstance(failure, ConnectionError) and not self._links:
-            self.away = True
-        if task is self._probe:
-            self._probe = None
-            self._tell_probes(failure, failed)
+            self.unavailable = True
+        if task is self._probe_task:
+            self._probe_task = None
+            self._report_probe(failure, failed)
         if failure is not None and not self._links:
             self._on_unreachable()
         if failed and not self._links and not self._opening:
@@ -304,53 +315,55 @@
         elif not failed:
             self._serve_waiting()
 
-    def _tell_probes(self, failure: BaseException | None, failed: bool) -> None:
-        """Tells those that wait for a probe what it found."""
-        found = Found.OPENED
+    def _report_probe(
+        self, failure: BaseException | None, failed: bool
+    ) -> None:
+        """Reports the result of a probe to its receivers."""
+        result = ProbeResult.OPENED
         if isinstance(failure, ConnectionError):
-            found = Found.REFUSED
+            result = ProbeResult.REFUSED
         elif failed:
-            found = Found.SILENT
-        probes, self._probes = self._probes, []
-        for receiver in probes:
-            receiver(found)
-
-    def _is_crowded(self) -> bool:
-        """Tells whether the searcher ended new connections just now."""
-        return asyncio.get_running_loop().time() < self._crowded_until_s
-
-    def _take_idle(self, link: link_module.Link) -> None:
-        """Takes a connection back whose call has ended."""
-        self._crowded_s = self._crowded_until_s = 0.0
-        if self.away:
-            self.away = False
-            self.returned_s = asyncio.get_running_loop().time()
+            result = ProbeResult.SILENT
+        receivers, self._probe_receivers = self._probe_receivers, []
+        for receiver in receivers:
+            receiver(result)
+
+    def _is_backing_off(self) -> bool:
+        """Returns True while the backoff for a full searcher lasts."""
+        return asyncio.get_running_loop().time() < self._full_until_s
+
+    def _handle_idle(self, link: link_module.Link) -> None:
+        """Reuses a connection whose call has ended."""
+        self._full_backoff_s = self._full_until_s = 0.0
+        if self.unavailable:
+            self.unavailable = False
+            self.available_since_s = asyncio.get_running_loop().time()
         if self.limit == 0 or len(self._links) > self.limit:
             link.abort()
             return
         self._idle.append(link)
         self._serve_waiting()
 
-    def _take_closed(self, link: link_module.Link, refused: bool) -> None:
-        """Forgets a connection that has ended."""
+    def _handle_closed(self, link: link_module.Link, refused: bool) -> None:
+        """Removes a connection that has closed."""
         if refused:
-            longer_s = max(CROWDED_LEAST_S, 2 * self._crowded_s)
-            self._crowded_s = min(CROWDED_MOST_S, longer_s)
+            backoff_s = max(MIN_FULL_BACKOFF_S, 2 * self._full_backoff_s)
+            self._full_backoff_s = min(MAX_FULL_BACKOFF_S, backoff_s)
             now_s = asyncio.get_running_loop().time()
-            self._crowded_until_s = now_s + self._crowded_s
+            self._full_until_s = now_s + self._full_backoff_s
         self._links.discard(link)
         if not self._links:
-            self.linked_s = math.inf
-            self.away = self.away or refused
+            self.connected_since_s = math.inf
+            self.unavailable = self.unavailable or refused
         if link in self._idle:
             self._idle.remove(link)
         if self._waiting:
             self._open_more()
 
     def _fail_waiting(self, loss: api.Loss) -> None:
-        """Ends the calls that wait; nothing of them was sent."""
+        """Fails the waiting calls, of which no byte was sent."""
         waiting = list(self._waiting)
         self._waiting.clear()
         loop = asyncio.get_running_loop()
-        for ticket in waiting:
-            loop.call_soon(ticket.deliver, api.Lost(loss, sent=False))
+        for pending_call in waiting:
+            loop.call_soon(pending_call.deliver, api.Lost(loss, sent=False))
