--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -1,4 +1,4 @@
-"""One service's part of a request: its first call, hedges and retries."""
+"""A request's calls to one service: the first call, hedges and retries."""
 
 from __future__ import annotations
 
@@ -15,58 +15,64 @@
     learning,
     pacing,
     rollout_view,
-    searchers,
+)
+from azureramp.controllers.forwarding import (
+    searchers as searchers_module,
 )
 from azureramp.policy import selection
 from azureramp.ports.forwarding import api
 
-LINGER_S = 0.25
-"""How long an answer that nobody waits for may still come before its
-connection is cut, in seconds. Most come, which saves a new connection; half a
-second after a caller has gone its work must have ended."""
+ABANDONED_CALL_LINGER_S = 0.25
+"""How long a call that is no longer needed may still receive its answer before
+its connection is cut, in seconds. Most answers arrive within this time, which
+saves opening a new connection; half a second after a caller disconnects, all
+work for it must have ended."""
 
-MORE_SENDS = 2
-"""Calls beyond the allowed runs, for those that searchers reject unrun."""
+EXTRA_CALLS_AFTER_REJECTION = 2
+"""Extra calls beyond the route's maximum number of runs, to replace calls that
+searchers rejected without running them."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Work:
-    """What all parts of a request have in common.
+class RequestContext:
+    """What all parts of a request share.
 
     Attributes:
-        message: What is forwarded.
+        message: The message to forward.
         route: The route.
-        until_s: When the answer must be out.
+        answer_by_s: When the answer must be sent, on the loop's clock.
     """
 
     message: api.Message
     route: catalog.Route
-    until_s: float
+    answer_by_s: float
 
 
 class Part:
-    """Gets one searcher of a service to answer.
+    """Obtains an answer from one searcher of a service.
 
     Attributes:
         service: The service's name.
-        reply: The answer that ended it: a success, or a failure that is
-            returned as it is; None if there is none.
-        failed: The last searcher's own failure that was not final.
-        done: True once it has ended.
-        runs: Calls that ran or may have run.
-        rejections: Calls that searchers rejected without running them.
+        reply: The answer that ended the part: a success, or a failure that is
+            returned unchanged; None if there is none.
+        failed_reply: The last error answer that didn't end the part, since the
+            request may be repeated.
+        done: True once the part has ended.
+        runs: Number of calls that ran or may have run.
+        rejections: Number of calls that searchers rejected without running
+            them.
     """
 
     __slots__ = (
         "_attempts",
-        "_crashes",
+        "_context",
+        "_crash_tracker",
         "_on_done",
-        "_pace",
         "_searchers",
+        "_timings",
         "_tried",
-        "_work",
         "done",
-        "failed",
+        "failed_reply",
         "rejections",
         "reply",
         "runs",
@@ -75,178 +81,190 @@
 
     def __init__(
         self,
-        known: searchers.Searchers,
-        blames: crashes.Crashes,
-        pace: pacing.Pace,
-        work: Work,
+        searchers: searchers_module.Searchers,
+        crash_tracker: crashes.Crashes,
+        timings: pacing.Pace,
+        context: RequestContext,
         service: str,
         on_done: Callable[[Part], None],
     ) -> None:
-        """Makes a part that has sent nothing.
+        """Creates a part that has sent nothing.
 
         Args:
-            known: The searchers.
-            blames: Finds out which requests crash searchers.
-            pace: How long calls of the route usually last.
-            work: The request.
-            service: The service to ask.
-            on_done: Called once at its end, never before `start` returns.
+            searchers: The searchers to choose from.
+            crash_tracker: Counts the crashes that each request caused.
+            timings: Call durations of the route.
+            context: The request that the part belongs to.
+            service: The service to call.
+            on_done: Called once when the part ends, never before `start`
+                returns.
         """
-        self._searchers = known
-        self._crashes = blames
-        self._pace = pace
-        self._work = work
+        self._searchers = searchers
+        self._crash_tracker = crash_tracker
+        self._timings = timings
+        self._context = context
         self._on_done = on_done
         self._attempts: list[attempt_module.Attempt] = []
         self._tried: set[str] = set()
         self.service = service
         self.reply: api.Reply | None = None
-        self.failed: api.Reply | None = None
+        self.failed_reply: api.Reply | None = None
         self.done = False
         self.runs = 0
         self.rejections = 0
 
     def start(self) -> bool:
-        """Makes the first call; False if no searcher may get it."""
+        """Makes the first call; returns False if no searcher is available."""
         now_s = asyncio.get_running_loop().time()
         self._searchers.bounds.get_allowance(self.service).add_request(now_s)
-        return self._send(now_s)
+        return self._start_call(now_s)
 
     def hedge(self, within_s: float = math.inf) -> bool:
-        """Makes a second call beside one that is overdue.
+        """Makes an extra call because the current one is overdue.
+
+        A call that still waits for a connection is moved to another searcher
+        instead.
 
         Args:
-            within_s: The time within which its answer is of use, in seconds.
+            within_s: The time within which the extra call's answer is useful,
+                in seconds.
 
         Returns:
-            True if one was made.
+            True if a hedged call was made.
         """
         now_s = asyncio.get_running_loop().time()
         self.mark_overdue()
-        if self.done or self._move(now_s):
+        if self.done or self._move_unsent(now_s):
             return False
-        if not self._work.route.repeatable:
+        if not self._context.route.repeatable:
             return False
-        hedged = self._may_send() and self._send(now_s, within_s)
+        hedged = self._may_send() and self._start_call(now_s, within_s)
         if hedged:
             self._searchers.metrics.count("call.hedged")
         return hedged
 
-    def _move(self, now_s: float) -> bool:
-        """Sends a call elsewhere that still waits for a connection.
+    def _move_unsent(self, now_s: float) -> bool:
+        """Moves a call that still waits for a connection to another searcher.
 
-        A searcher that lost power answers nothing, so opening a connection
-        lasts until it is given up, and the request would be late. Nothing of
-        the call was sent: it may go elsewhere whatever its route.
+        A searcher that lost power sends no response at all, so opening a
+        connection takes until its timeout, and the request would be late. No
+        byte of the call was sent, so it may go to another searcher whatever its
+        route's type.
 
         Returns:
-            True if it was sent elsewhere.
+            True if the call was moved.
         """
         waiting = [each for each in self._attempts if not each.ended]
         if self.runs or self.rejections or len(waiting) != 1:
             return False
-        if not self._send(now_s, instead_of=waiting[0]):
+        if not self._start_call(now_s, instead_of=waiting[0]):
             return False
         self._searchers.metrics.count("call.moved")
         return True
 
     def mark_overdue(self) -> None:
-        """Counts the calls that wait now as overdue at their searchers."""
+        """Counts the pending calls as overdue in their searchers' records."""
         for attempt in self._attempts:
             if not attempt.ended and not attempt.overdue:
                 attempt.overdue = True
                 attempt.target.record.overdue += 1
 
     def abandon(self) -> None:
-        """Ends it; answers that still come only save connections."""
+        """Ends the part; late answers only keep connections reusable."""
         self.done = True
         now_s = asyncio.get_running_loop().time()
         for attempt in self._attempts:
-            if attempt.ended or attempt.ticket is None:
+            if attempt.ended or attempt.pending_call is None:
                 continue
-            if not self._drop_unsent(attempt, now_s):
-                self._judge(attempt, rollout_view.End.UNANSWERED, now_s)
+            if not self._cancel_unsent(attempt, now_s):
+                self._report_end(attempt, rollout_view.End.UNANSWERED, now_s)
                 record = attempt.target.record
                 queues = selection.has_queue(record, now_s)
-                attempt.ticket.abandon(0.0 if queues else LINGER_S)
+                attempt.pending_call.abandon(
+                    0.0 if queues else ABANDONED_CALL_LINGER_S
+                )
 
     def count_extra(self) -> int:
-        """Returns how many calls it made beyond the first."""
+        """Returns the number of calls beyond the first."""
         return max(0, len(self._attempts) - 1)
 
     def describe(self, began_s: float) -> list[str]:
-        """Describes its calls, unless the first one ended it well.
+        """Describes the calls, unless the first one succeeded alone.
 
         Args:
-            began_s: When the request began.
+            began_s: When the request began, on the loop's clock.
         """
         return attempt_module.describe(self.service, self._attempts, began_s)
 
     def list_not_ready(self) -> list[str]:
-        """Lists `searcher state` of those called that take no new work."""
-        told: list[str] = []
+        """Lists `searcher state` for called searchers that take no new work."""
+        states: list[str] = []
         for attempt in self._attempts:
             searcher = attempt.target.searcher
             if attempt.target.gone:
-                told.append(f"{searcher.id} gone")
+                states.append(f"{searcher.id} gone")
             elif searcher.state is not catalog.SearcherState.READY:
-                told.append(f"{searcher.id} {searcher.state.value}")
-        return told
+                states.append(f"{searcher.id} {searcher.state.value}")
+        return states
 
     def is_waiting(self) -> bool:
-        """Tells whether a call is without an answer."""
+        """Returns True if any call has no outcome yet."""
         return any(not attempt.ended for attempt in self._attempts)
 
     def _may_send(self) -> bool:
-        """Tells whether one more call stays within the route's bounds."""
+        """Returns True if the route's limits allow another call."""
         waiting = sum(not attempt.ended for attempt in self._attempts)
-        attempts = self._work.route.attempts
+        attempts = self._context.route.attempts
         return (
             self.runs + waiting < attempts
-            and len(self._attempts) < attempts + MORE_SENDS
+            and len(self._attempts) < attempts + EXTRA_CALLS_AFTER_REJECTION
         )
 
-    def _send(
+    def _start_call(
         self,
         now_s: float,
-        hedged_s: float | None = None,
+        hedge_within_s: float | None = None,
         instead_of: attempt_module.Attempt | None = None,
     ) -> bool:
-        """Makes one call; False if none may be made.
+        """Makes one call; returns False if none may be made.
 
-        A hedge to a searcher that holds overdue calls itself, or that hardly
-        answers in time, is left out: where all searchers of a shard are slow
-        or stand still, it would only add to their load and spend what other
-        requests could use.
+        A hedge is skipped if the chosen searcher has overdue calls itself or is
+        unlikely to answer in time: where all searchers of a shard are slow or
+        paused, hedging would only add to their load and use up extra calls that
+        other requests could need.
 
         Args:
-            now_s: The time.
-            hedged_s: The time within which a hedge's answer is of use, in
+            now_s: The current time.
+            hedge_within_s: The time within which a hedge's answer is useful, in
                 seconds; None for other calls.
-            instead_of: A call to drop for it, if it was not sent.
+            instead_of: A call to cancel in favor of this one, if it was not
+                sent.
         """
-        left_s = self._work.until_s - now_s
+        left_s = self._context.answer_by_s - now_s
         if left_s <= 0:
             return False
-        # What may run once only is better refused than lost.
+        # A request that may run only once isn't sent to a failing searcher:
+        # refusing it is better than losing its answer.
         target = self._searchers.choose(
             self.service,
             self._tried,
             now_s,
-            self._work.route.repeatable,
+            self._context.route.repeatable,
             is_first=not self._attempts,
         )
         if target is None:
             return False
-        if hedged_s is not None and not self._is_worth_hedging(
-            target.record, now_s, hedged_s
+        if hedge_within_s is not None and not self._is_worth_hedging(
+            target.record, now_s, hedge_within_s
         ):
             return False
-        if instead_of is not None and not self._drop_unsent(instead_of, now_s):
+        if instead_of is not None and not self._cancel_unsent(
+            instead_of, now_s
+        ):
             return False
         if self._count_arrivals() and not self._searchers.bounds.get_allowance(
             self.service
-        ).spend(now_s, self._searchers.bounds.get_part(now_s)):
+        ).spend(now_s, self._searchers.bounds.get_extra_call_share(now_s)):
             self._searchers.metrics.count("call.withheld")
             return False
         self._searchers.metrics.count("call.sent")
@@ -256,41 +274,41 @@
         record = target.record
         record.in_flight += 1
         record.trial = record.failures > 0
-        self._searchers.note_call(target, now_s)
-        call = api.Call(self._work.message, target.searcher.id, left_s)
-        attempt.ticket = target.pool.submit(
-            call, lambda outcome: self._receive(attempt, outcome)
+        self._searchers.record_call(target, now_s)
+        call = api.Call(self._context.message, target.searcher.id, left_s)
+        attempt.pending_call = target.pool.submit(
+            call, lambda outcome: self._handle_outcome(attempt, outcome)
         )
         return True
 
     def _is_worth_hedging(
         self, record: selection.Record, now_s: float, within_s: float
     ) -> bool:
-        """Tells whether a hedge to a searcher most likely helps."""
-        expected_s = self._pace.get_usual_s() * selection.estimate(
+        """Returns True if a hedge is likely to be answered in time."""
+        expected_s = self._timings.get_usual_s() * selection.estimate(
             record, now_s
         )
         return not record.overdue and expected_s <= within_s
 
-    def _drop_unsent(
+    def _cancel_unsent(
         self, attempt: attempt_module.Attempt, now_s: float
     ) -> bool:
-        """Drops a call; False if it was sent already."""
-        if attempt.ticket is None or attempt.ticket.is_sent():
+        """Cancels a call; returns False if it was already sent."""
+        if attempt.pending_call is None or attempt.pending_call.is_sent():
             return False
-        attempt.ticket.abandon(0.0)
-        self._end(attempt)
+        attempt.pending_call.abandon(0.0)
+        self._mark_ended(attempt)
         attempt.ended_s = now_s
         attempt.outcome = "dropped, not sent"
         return True
 
     def _count_arrivals(self) -> int:
-        """Returns how many calls reached a searcher, or still may."""
+        """Returns the number of calls that reached a searcher or still may."""
         waiting = sum(not attempt.ended for attempt in self._attempts)
         return self.runs + self.rejections + waiting
 
-    def _end(self, attempt: attempt_module.Attempt) -> None:
-        """Takes a call out of its searcher's record."""
+    def _mark_ended(self, attempt: attempt_module.Attempt) -> None:
+        """Marks a call as ended and updates its searcher's record."""
         attempt.ended = True
         record = attempt.target.record
         record.in_flight -= 1
@@ -298,13 +316,13 @@
         if attempt.overdue:
             record.overdue -= 1
 
-    def _receive(
+    def _handle_outcome(
         self, attempt: attempt_module.Attempt, outcome: api.Outcome
     ) -> None:
-        """Takes a call's outcome."""
+        """Handles a call's outcome."""
         if attempt.ended:
             return
-        self._end(attempt)
+        self._mark_ended(attempt)
         now_s = asyncio.get_running_loop().time()
         attempt.ended_s = now_s
         attempt.outcome = attempt_module.describe_outcome(outcome)
@@ -313,7 +331,7 @@
             case api.Reply():
                 if outcome.ran is not api.Ran.NO:
                     answered = outcome.is_success()
-                    self._judge(
+                    self._report_end(
                         attempt,
                         rollout_view.End.ANSWERED
                         if answered
@@ -324,91 +342,91 @@
                     self._searchers.metrics.record_ms(
                         "call.took_ms", took_s * 1000
                     )
-                learning.learn_from_reply(
-                    attempt.target, outcome, self._pace, took_s, now_s
+                learning.record_reply(
+                    attempt.target, outcome, self._timings, took_s, now_s
                 )
                 if not self.done:
-                    self._take_reply(outcome, now_s)
+                    self._handle_reply(outcome, now_s)
             case api.Lost():
                 if outcome.sent and not self.done:
-                    self._judge(attempt, rollout_view.End.FAILED, now_s)
-                self._note_loss(attempt.target, outcome, took_s, now_s)
+                    self._report_end(attempt, rollout_view.End.FAILED, now_s)
+                self._record_loss(attempt.target, outcome, took_s, now_s)
                 if not self.done:
-                    self._take_loss(outcome, now_s)
+                    self._handle_loss(outcome, now_s)
 
-    def _judge(
+    def _report_end(
         self,
         attempt: attempt_module.Attempt,
         end: rollout_view.End,
         now_s: float,
     ) -> None:
-        """Takes how a call ended for the judgement of a new version, once."""
-        if attempt.judged:
+        """Reports how a call ended to its version's roll-out, once."""
+        if attempt.reported:
             return
         took_s = now_s - attempt.sent_s
-        attempt.judged = self._searchers.rollouts.note_end(
+        attempt.reported = self._searchers.rollouts.note_end(
             attempt.target.searcher,
-            self._work.route.name,
+            self._context.route.name,
             end,
             took_s,
-            self._pace.get_usual_s(),
+            self._timings.get_usual_s(),
         )
 
-    def _note_loss(
+    def _record_loss(
         self,
         target: board_module.Target,
         lost: api.Lost,
         took_s: float,
         now_s: float,
     ) -> None:
-        """Learns of a searcher from a call without an answer."""
+        """Updates a searcher's record after a call without an answer."""
         self._searchers.metrics.count("call.lost")
-        # The pool tells by itself of a connection that could not be opened.
-        if not lost.sent or (self.done and took_s < learning.SILENT_S):
+        # The pool itself reports a connection that could not be opened.
+        if not lost.sent or (self.done and took_s < learning.MIN_SILENCE_S):
             return
         if not self.done:
-            self._crashes.watch(
-                target, self._work.message, self._work.route.repeatable
+            self._crash_tracker.check_for_crash(
+                target, self._context.message, self._context.route.repeatable
             )
-        learning.learn_from_loss(target, took_s, now_s)
+        learning.record_loss(target, took_s, now_s)
 
-    def _take_reply(self, reply: api.Reply, now_s: float) -> None:
-        """Goes on after an answer."""
+    def _handle_reply(self, reply: api.Reply, now_s: float) -> None:
+        """Continues after an answer: finishes, or makes another call."""
         if reply.ran is api.Ran.NO:
             self.rejections += 1
             self._searchers.metrics.count("call.rejected")
-            self._go_on(now_s)
+            self._retry_or_finish(now_s)
             return
         self.runs += 1
         if (
             reply.is_success()
             or reply.status < 500
-            or not self._work.route.repeatable
+            or not self._context.route.repeatable
         ):
             self._finish(reply)
         else:
-            self.failed = reply
-            self._go_on(now_s)
+            self.failed_reply = reply
+            self._retry_or_finish(now_s)
 
-    def _take_loss(self, lost: api.Lost, now_s: float) -> None:
-        """Goes on after a call without an answer."""
+    def _handle_loss(self, lost: api.Lost, now_s: float) -> None:
+        """Continues after a call without an answer."""
         if lost.sent:
             self.runs += 1
-            if not self._work.route.repeatable:
+            if not self._context.route.repeatable:
                 self._finish(None)
                 return
-        self._go_on(now_s)
+        self._retry_or_finish(now_s)
 
-    def _go_on(self, now_s: float) -> None:
-        """Makes another call, or ends if none waits and none may be made."""
-        if self._may_send() and self._send(now_s):
+    def _retry_or_finish(self, now_s: float) -> None:
+        """Makes another call, or finishes if none is pending or allowed."""
+        if self._may_send() and self._start_call(now_s):
             self._searchers.metrics.count("call.retried")
             return
         if not self.is_waiting():
             self._finish(None)
 
     def _finish(self, reply: api.Reply | None) -> None:
-        """Ends it."""
+        """Ends the part with its final answer, if any."""
         self.reply = reply
         self.abandon()
         self._on_done(self)
