--- a/src/azureramp/controllers/forwarding/attempt.py
+++ b/src/azureramp/controllers/forwarding/attempt.py
@@ -14,53 +14,56 @@
     """One call of a part.
 
     Attributes:
-        target: The searcher.
-        sent_s: When it was submitted.
-        ticket: The submitted call.
-        overdue: True once it is counted as overdue.
+        target: The searcher that was called.
+        sent_s: When the call was submitted to the searcher's pool.
+        pending_call: The submitted call; None until it is submitted.
+        overdue: True once the call is counted as overdue.
         ended: True once its outcome is known.
-        ended_s: When that was.
-        outcome: Its outcome in a word; empty while it is not known.
-        judged: True once it counts for or against its searcher's version.
+        ended_s: When the outcome became known.
+        outcome: A short description of the outcome; empty until it is known.
+        reported: True once the outcome was counted for its searcher's version.
     """
 
     target: board_module.Target
     sent_s: float
-    ticket: api.Ticket | None = None
+    pending_call: api.PendingCall | None = None
     overdue: bool = False
     ended: bool = False
     ended_s: float = 0.0
     outcome: str = ""
-    judged: bool = False
+    reported: bool = False
 
 
 def describe(
     service: str, attempts: Sequence[Attempt], began_s: float
 ) -> list[str]:
-    """Describes the calls of a part, unless the first one ended it well.
+    """Describes a part's calls, unless the first one succeeded alone.
 
     Args:
-        service: The service that was asked.
-        attempts: The calls in the order of their sending.
-        began_s: When the request began.
+        service: The service that was called.
+        attempts: The calls in the order in which they were made.
+        began_s: When the request began, on the loop's clock.
+
+    Returns:
+        One text per call, with times in milliseconds since the request began.
     """
     if not attempts:
         return [f"{service} none: no searcher may get it"]
     if len(attempts) == 1 and attempts[0].outcome == "200":
         return []
-    told: list[str] = []
+    lines: list[str] = []
     for attempt in attempts:
         sent_ms = round((attempt.sent_s - began_s) * 1000)
         end = attempt.outcome or "no answer yet"
         if attempt.ended:
             end = f"{round((attempt.ended_s - began_s) * 1000)} {end}"
         name = attempt.target.searcher.id
-        told.append(f"{service} {name} {sent_ms}: {end}")
-    return told
+        lines.append(f"{service} {name} {sent_ms}: {end}")
+    return lines
 
 
 def describe_outcome(outcome: api.Outcome) -> str:
-    """Returns a call's outcome in a word or two."""
+    """Returns a short description of a call's outcome."""
     match outcome:
         case api.Reply(misdirected=True):
             return "another searcher answered"
