--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -1,4 +1,4 @@
-"""A request to all shards of a route: one call each, merged into one answer."""
+"""A request to all shards of a route, whose answers are merged into one."""
 
 from __future__ import annotations
 
@@ -11,93 +11,97 @@
     pacing,
     part,
     requests,
-    searchers,
+)
+from azureramp.controllers.forwarding import (
+    searchers as searchers_module,
 )
 from azureramp.policy import merging
 
-CUT_SHARE = 0.85
-"""Share of the route's target after which an answer goes out short, if enough
-shards are in, where nothing is known of the way to the caller."""
+PARTIAL_ANSWER_SHARE = 0.85
+"""Share of the route's target after which a partial answer is returned if
+enough shards have answered. Used if the caller's time outside of this VM is
+unknown."""
 
-MERGE_SHARE = 0.06
-"""Share of the route's target kept for merging and sending an answer, where
-the way to the caller is known."""
+MERGE_RESERVE_SHARE = 0.06
+"""Share of the route's target reserved for merging and sending an answer. Used
+if the caller's time outside of this VM is known."""
 
-LEAST_CUT_SHARE = 0.25
-"""Least share of the route's target that the shards get, however long the
-caller has waited."""
+MIN_PARTIAL_ANSWER_SHARE = 0.25
+"""Minimum share of the route's target that the shards get, however long the
+caller has already waited."""
 
-OPENING_TRIPS = 2.0
-"""Round trips that a caller on a new connection has spent at least: one to open
-it, and one to ask where to connect or for this side to accept."""
+CONNECTION_ROUND_TRIPS = 2.0
+"""Minimum number of round trips that a caller on a new connection has spent:
+one to open it, and one to look up the address or for this VM to accept it."""
 
-MOST_SPENT_SHARE = 0.6
-"""Share of the route's target up to which a caller is believed to have waited
-before its request came; one that waited longer is late in any case."""
+MAX_SPENT_SHARE = 0.6
+"""Upper limit of the caller's estimated wait before its request arrived, as a
+share of the route's target; a caller that waited longer gets a late answer in
+any case."""
 
 
-class Gather:
-    """One request's way through all shards.
+class FanOutRequest:
+    """Forwards a request to all shards and merges their answers.
 
     Attributes:
-        parts: One part a shard, once begun.
-        way_s: The time that the caller is taken to spend outside of this VM,
-            in seconds; 0 if it is not known.
+        parts: One part per shard; empty until the calls are made.
+        caller_overhead_s: The time that the caller is estimated to spend
+            outside of this VM, in seconds; 0 if unknown.
     """
 
     __slots__ = (
-        "_crashes",
-        "_cut",
-        "_cut_s",
+        "_allows_partial",
+        "_context",
+        "_crash_tracker",
         "_destination",
         "_done",
-        "_least",
-        "_pace",
+        "_min_shards",
+        "_partial_after_s",
         "_request",
         "_searchers",
         "_timers",
+        "_timings",
         "_waiting",
-        "_work",
+        "caller_overhead_s",
         "parts",
-        "way_s",
     )
 
     def __init__(
         self,
-        known: searchers.Searchers,
-        blames: crashes.Crashes,
-        pace: pacing.Pace,
+        searchers: searchers_module.Searchers,
+        crash_tracker: crashes.Crashes,
+        timings: pacing.Pace,
         request: requests.Incoming,
         route: catalog.Route,
         destination: catalog.AllOf,
-        until_s: float,
+        answer_by_s: float,
     ) -> None:
-        """Makes one that has sent nothing; see `run`."""
-        self._searchers = known
-        self._crashes = blames
-        self._pace = pace
+        """Creates a request that has sent nothing; see `run`."""
+        self._searchers = searchers
+        self._crash_tracker = crash_tracker
+        self._timings = timings
         self._request = request
         self._destination = destination
-        self._work = part.Work(request.message, route, until_s)
+        self._context = part.RequestContext(request.message, route, answer_by_s)
         self.parts: list[part.Part] = []
-        self.way_s = 0.0
+        self.caller_overhead_s = 0.0
         self._timers: list[asyncio.TimerHandle] = []
         self._waiting = 0
-        self._cut = False
-        self._cut_s = 0.0
-        self._least = count_least(destination)
+        self._allows_partial = False
+        self._partial_after_s = 0.0
+        self._min_shards = compute_min_shards(destination)
         self._done: asyncio.Future[None] | None = None
 
     async def run(self) -> requests.Answer:
-        """Gets the answer."""
+        """Makes the calls and returns the merged answer."""
         loop = asyncio.get_running_loop()
         now_s = loop.time()
         usable = sum(
             self._searchers.count_usable(service, now_s) > 0
             for service in self._destination.services
         )
-        if usable < self._least:
-            detail = f"{usable} shards can be asked, {self._least} are needed"
+        if usable < self._min_shards:
+            detail = f"{usable} shards available, {self._min_shards} required"
             return self._refuse(errors.Kind.SHARDS_UNREACHABLE, detail)
         self._done = loop.create_future()
         self._start(loop, now_s)
@@ -113,21 +117,23 @@
         return self._make_answer()
 
     def _start(self, loop: asyncio.AbstractEventLoop, now_s: float) -> None:
-        """Makes the first call of each shard, and sets the timers."""
-        target_s = self._work.route.target_s
-        self.way_s = self._estimate_way_s(target_s)
-        self._cut_s = self._request.began_s + compute_cut_s(
-            target_s, self.way_s
+        """Makes each shard's first call and sets the timers."""
+        target_s = self._context.route.target_s
+        self.caller_overhead_s = self._estimate_caller_overhead_s(target_s)
+        self._partial_after_s = self._request.began_s + compute_cut_s(
+            target_s, self.caller_overhead_s
+        )
+        hedge_s = now_s + self._timings.get_hedge_s(
+            target_s, self._partial_after_s - now_s
         )
-        hedge_s = now_s + self._pace.get_hedge_s(target_s, self._cut_s - now_s)
         for service in self._destination.services:
             each = part.Part(
                 self._searchers,
-                self._crashes,
-                self._pace,
-                self._work,
+                self._crash_tracker,
+                self._timings,
+                self._context,
                 service,
-                self._take,
+                self._handle_part_done,
             )
             self.parts.append(each)
             if each.start():
@@ -136,67 +142,67 @@
                 each.done = True
         self._timers = [
             loop.call_at(hedge_s, self._hedge),
-            loop.call_at(self._cut_s, self._cut_off),
-            loop.call_at(self._work.until_s, self._finish),
+            loop.call_at(self._partial_after_s, self._allow_partial),
+            loop.call_at(self._context.answer_by_s, self._finish),
         ]
 
-    def _estimate_way_s(self, target_s: float) -> float:
+    def _estimate_caller_overhead_s(self, target_s: float) -> float:
         """Estimates the time that the caller spends outside of this VM.
 
         Returns:
-            What it spent before it sent the request, and the round trip, in
-            seconds; 0 if nothing is known.
+            The time spent before the request was sent plus the round trip, in
+                seconds; 0 if unknown.
         """
         request = self._request
-        spent_s = OPENING_TRIPS * request.connection_setup_s
+        spent_s = CONNECTION_ROUND_TRIPS * request.connection_setup_s
         if request.deadline_s is not None:
-            estimated_s = self._pace.caller_delay.estimate_s(
-                request.deadline_s, MOST_SPENT_SHARE * target_s
+            estimated_s = self._timings.caller_delay.estimate_s(
+                request.deadline_s, MAX_SPENT_SHARE * target_s
             )
             spent_s = max(spent_s, estimated_s)
         return spent_s + request.round_trip_s
 
     def _hedge(self) -> None:
-        """Makes second calls for the shards that are late."""
+        """Makes hedged calls for the shards that have not answered yet."""
         now_s = asyncio.get_running_loop().time()
         for each in self.parts:
             if not each.done:
-                each.hedge(self._cut_s - now_s)
+                each.hedge(self._partial_after_s - now_s)
 
-    def _cut_off(self) -> None:
-        """Lets the answer go out short from now on."""
-        self._cut = True
-        self._check()
+    def _allow_partial(self) -> None:
+        """Allows a partial answer from now on."""
+        self._allows_partial = True
+        self._finish_if_ready()
 
-    def _take(self, each: part.Part) -> None:
-        """Takes a part that has ended."""
+    def _handle_part_done(self, each: part.Part) -> None:
+        """Handles the end of a part."""
         self._waiting -= 1
-        self._check()
+        self._finish_if_ready()
 
-    def _check(self) -> None:
-        """Ends the wait once nothing more is worth waiting for."""
+    def _finish_if_ready(self) -> None:
+        """Stops waiting once no further answer is worth waiting for."""
         if self._waiting == 0 or (
-            self._cut and self._count_in() >= self._least
+            self._allows_partial and self._count_answered() >= self._min_shards
         ):
             self._finish()
 
     def _finish(self) -> None:
-        """Ends the wait."""
+        """Stops waiting for the shards."""
         if self._done is not None and not self._done.done():
             self._done.set_result(None)
 
-    def _count_in(self) -> int:
-        """Returns how many parts have an answer."""
-        return sum(_is_in(each) for each in self.parts)
+    def _count_answered(self) -> int:
+        """Returns the number of shards that have answered successfully."""
+        return sum(_is_answered(each) for each in self.parts)
 
     def _make_answer(self) -> requests.Answer:
-        """Makes the answer of what is in."""
+        """Merges the answers that have arrived, or refuses the request."""
         replies = [
             each.reply
             for each in self.parts
             if each.reply is not None and each.reply.is_success()
         ]
-        if len(replies) >= max(1, self._least):
+        if len(replies) >= max(1, self._min_shards):
             return requests.Merged(
                 self._request.id,
                 tuple(reply.signature for reply in replies),
@@ -212,39 +218,41 @@
         return self._refuse(errors.Kind.SHED, detail)
 
     def _has_run(self) -> bool:
-        """Tells whether any searcher ran it, or may have."""
+        """Returns True if any searcher ran the request, or may have."""
         return any(each.runs or each.is_waiting() for each in self.parts)
 
     def _refuse(self, kind: errors.Kind, detail: str) -> requests.Refused:
-        """Makes a refusal."""
+        """Builds a refusal."""
         return requests.Refused(errors.Failure(kind, detail), self._request.id)
 
 
-def compute_cut_s(target_s: float, way_s: float) -> float:
-    """Returns after how long an answer goes out short, in seconds.
+def compute_cut_s(target_s: float, caller_overhead_s: float) -> float:
+    """Returns the delay after which a partial answer is returned, in seconds.
 
-    The target counts from the moment in which the caller began, so the way
-    here and back is taken off: over a slow link a fixed share of the target
-    would be too late, over a fast one it would give up parts for nothing.
+    The target counts from the moment when the caller started, so the time that
+    it spends outside of this VM is subtracted: a fixed share of the target
+    would be too late over a slow link, and would drop shards without need over
+    a fast one.
 
     Args:
-        target_s: The route's target.
-        way_s: The time on the way, both directions; 0 if not known.
+        target_s: The route's target, in seconds.
+        caller_overhead_s: The caller's time outside of this VM, both
+            directions, in seconds; 0 if unknown.
     """
-    if way_s <= 0:
-        return CUT_SHARE * target_s
-    left_s = target_s * (1.0 - MERGE_SHARE) - way_s
-    return max(LEAST_CUT_SHARE * target_s, left_s)
+    if caller_overhead_s <= 0:
+        return PARTIAL_ANSWER_SHARE * target_s
+    left_s = target_s * (1.0 - MERGE_RESERVE_SHARE) - caller_overhead_s
+    return max(MIN_PARTIAL_ANSWER_SHARE * target_s, left_s)
 
 
-def count_least(destination: catalog.AllOf) -> int:
-    """Returns how many shards an answer must hold to count."""
+def compute_min_shards(destination: catalog.AllOf) -> int:
+    """Returns the minimum number of shards that an answer must include."""
     shards = len(destination.services)
     # A share such as 0.85 has no exact binary form: without the margin, 17 of
-    # 20 would be taken for too few.
+    # 20 would be too few.
     return max(1, math.ceil(destination.least_share * shards - 1e-9))
 
 
-def _is_in(each: part.Part) -> bool:
-    """Tells whether a part has an answer that is merged."""
+def _is_answered(each: part.Part) -> bool:
+    """Returns True if a part has a successful answer to merge."""
     return each.reply is not None and each.reply.is_success()
