--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -1,4 +1,4 @@
-"""Where callers' requests come in."""
+"""Entry point for callers' requests."""
 
 from __future__ import annotations
 
@@ -14,40 +14,48 @@
     pacing,
     request_log,
     requests,
-    searchers,
     single,
 )
+from azureramp.controllers.forwarding import (
+    searchers as searchers_module,
+)
 from azureramp.policy import routing
 
-WAY_BACK_S = 0.005
-"""Time kept for the answer's way to the caller, in seconds; a few one-way
-times of the usual networks."""
+REPLY_TRANSIT_S = 0.005
+"""Time reserved for sending the answer to the caller, in seconds; a few one-way
+latencies of typical networks."""
 
 
 class Entry:
-    """Answers requests of callers."""
+    """Answers callers' requests."""
 
     __slots__ = (
         "_board",
-        "_crashes",
+        "_crash_tracker",
         "_log",
-        "_paces",
         "_searchers",
         "_splitter",
+        "_timings",
     )
 
     def __init__(
         self,
         board: board_module.Board,
-        known: searchers.Searchers,
-        blames: crashes.Crashes,
+        searchers: searchers_module.Searchers,
+        crash_tracker: crashes.Crashes,
     ) -> None:
-        """Makes the entry of a process."""
+        """Creates the entry point of a process.
+
+        Args:
+            board: The process's state.
+            searchers: The searchers to choose from.
+            crash_tracker: Counts the crashes that each request caused.
+        """
         self._board = board
-        self._searchers = known
-        self._crashes = blames
+        self._searchers = searchers
+        self._crash_tracker = crash_tracker
         self._log = request_log.RequestLog(board)
-        self._paces = pacing.Paces()
+        self._timings = pacing.Paces()
         self._splitter = routing.Splitter()
 
     async def handle(
@@ -55,7 +63,8 @@
     ) -> requests.Answer:
         """Answers one request.
 
-        It is cancelled if the caller goes; the calls are then abandoned.
+        The task is cancelled if the caller disconnects, which abandons its
+        calls.
         """
         match request:
             case requests.Malformed(reason=reason):
@@ -69,62 +78,64 @@
                     self._board.running -= 1
 
     async def _route(self, request: requests.Incoming) -> requests.Answer:
-        """Finds the route and follows it."""
+        """Finds the request's route and forwards the request along it."""
         table = self._board.table
         if table is None:
             return self._refuse(request, None, errors.Kind.NO_CONFIGURATION)
         route = table.find(request.host, request.path)
         if route is None:
             return self._refuse(request, None, errors.Kind.NOT_FOUND)
-        until_s = compute_until_s(request, route)
-        if until_s <= asyncio.get_running_loop().time():
+        answer_by_s = compute_answer_by_s(request, route)
+        if answer_by_s <= asyncio.get_running_loop().time():
             return self._refuse(request, route, errors.Kind.DEADLINE_TOO_SHORT)
-        refused_s = self._crashes.get_refused_s(request.message)
-        if refused_s > 0:
+        quarantine_s = self._crash_tracker.get_quarantine_s(request.message)
+        if quarantine_s > 0:
             return self._refuse(
-                request, route, errors.Kind.QUARANTINED, refused_s
+                request, route, errors.Kind.QUARANTINED, quarantine_s
             )
-        run = self._make_run(request, route, until_s)
+        run = self._make_execution(request, route, answer_by_s)
         answer: requests.Answer | None = None
         try:
             answer = await run.run()
             if not isinstance(answer, requests.Refused):
-                self._crashes.take_answer(request.message)
+                self._crash_tracker.record_answer(request.message)
         finally:
-            self._log.note(request, route, run.parts, answer, run.way_s)
+            self._log.write(
+                request, route, run.parts, answer, run.caller_overhead_s
+            )
         return answer
 
-    def _make_run(
+    def _make_execution(
         self,
         request: requests.Incoming,
         route: catalog.Route,
-        until_s: float,
-    ) -> gather.Gather | single.Single:
-        """Makes the request's way to its route's searchers."""
-        pace = self._paces.get(route)
+        answer_by_s: float,
+    ) -> gather.FanOutRequest | single.SingleRequest:
+        """Creates the request's execution for its route's destination."""
+        timings = self._timings.get(route)
         if request.deadline_s is not None:
-            pace.caller_delay.add(request.deadline_s)
+            timings.caller_delay.add(request.deadline_s)
         match route.destination:
             case catalog.AllOf() as destination:
-                return gather.Gather(
+                return gather.FanOutRequest(
                     self._searchers,
-                    self._crashes,
-                    pace,
+                    self._crash_tracker,
+                    timings,
                     request,
                     route,
                     destination,
-                    until_s,
+                    answer_by_s,
                 )
             case catalog.OneOf(choices=choices):
                 service = self._splitter.choose(route.name, choices)
-                return single.Single(
+                return single.SingleRequest(
                     self._searchers,
-                    self._crashes,
-                    pace,
+                    self._crash_tracker,
+                    timings,
                     request,
                     route,
                     service,
-                    until_s,
+                    answer_by_s,
                 )
 
     def _refuse(
@@ -134,19 +145,21 @@
         kind: errors.Kind,
         retry_after_s: float | None = None,
     ) -> requests.Refused:
-        """Makes a refusal of a request that nothing was done for."""
+        """Refuses a request for which no call was made."""
         retry_after_ms = None
         if retry_after_s is not None:
             retry_after_ms = round(retry_after_s * 1000)
         failure = errors.Failure(kind, retry_after_ms=retry_after_ms)
         refused = requests.Refused(failure, request.id)
-        self._log.note(request, route, (), refused)
+        self._log.write(request, route, (), refused)
         return refused
 
 
-def compute_until_s(request: requests.Incoming, route: catalog.Route) -> float:
-    """Returns when the answer must be out, on the loop's clock."""
-    wait_s = route.timeout_s
+def compute_answer_by_s(
+    request: requests.Incoming, route: catalog.Route
+) -> float:
+    """Returns when the answer must be sent, on the loop's clock."""
+    remaining_s = route.timeout_s
     if request.deadline_s is not None:
-        wait_s = min(wait_s, request.deadline_s - WAY_BACK_S)
-    return request.began_s + wait_s
+        remaining_s = min(remaining_s, request.deadline_s - REPLY_TRANSIT_S)
+    return request.began_s + remaining_s
