--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -1,4 +1,4 @@
-"""Finding out which requests crash searchers, and telling the other VMs."""
+"""Attributes searcher crashes to requests and reports them to other VMs."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from azureramp.ports.forwarding import api, pool
 from azureramp.ports.store import api as store_api
 
-LEASE_S = 180.0
-"""How long other VMs are told of a request, in seconds."""
+REPORT_LEASE_S = 180.0
+"""How long a report to the other VMs stays in the store, in seconds."""
 
-MOST_WAITING = 16
-"""Most reports that wait to be written. A zone's crash blames many requests
-once; only those that come again matter."""
+MAX_PENDING_REPORTS = 16
+"""Maximum number of reports that wait to be written. The crash of a whole zone
+is attributed to many requests once; only requests that recur matter."""
 
 Encode = Callable[[catalog.RequestBlamed], tuple[str, bytes]]
-"""Returns the key and the value of a report."""
+"""Returns a report's key and value in the store."""
 
 _logger = logbook.Logger("azureramp.crashes")
 
 
 class Crashes:
-    """Blames requests for crashes, and shares the blame over the store."""
+    """Attributes crashes to requests and reports them through the store."""
 
-    __slots__ = ("_blames", "_board", "_encode", "_reports", "_store")
+    __slots__ = ("_board", "_crash_counts", "_encode", "_reports", "_store")
 
     def __init__(
         self,
@@ -37,88 +37,105 @@
         store: store_api.Store,
         encode: Encode,
     ) -> None:
-        """Makes a controller that has seen no crash."""
+        """Creates a controller that has recorded no crash.
+
+        Args:
+            board: The process's state.
+            store: The store that the reports are written to.
+            encode: Encodes a report as a store entry.
+        """
         self._board = board
         self._store = store
         self._encode = encode
-        self._blames = blame.Blames()
+        self._crash_counts = blame.Blames()
         self._reports: asyncio.Queue[catalog.RequestBlamed] = asyncio.Queue(
-            MOST_WAITING
+            MAX_PENDING_REPORTS
         )
 
-    def get_refused_s(self, message: api.Message) -> float:
-        """Returns how much longer a request is refused, in seconds."""
+    def get_quarantine_s(self, message: api.Message) -> float:
+        """Returns the rest of a request's quarantine, in seconds; 0 if none."""
         fingerprint = blame.make_fingerprint(message)
         now_s = asyncio.get_running_loop().time()
-        return self._blames.get_refused_s(fingerprint, now_s)
+        return self._crash_counts.get_refused_s(fingerprint, now_s)
 
-    def take_answer(self, message: api.Message) -> None:
-        """Takes that a searcher answered a request."""
+    def record_answer(self, message: api.Message) -> None:
+        """Clears a request's crash counts, since a searcher answered it."""
         fingerprint = blame.make_fingerprint(message)
-        if self._blames.knows(fingerprint):
-            self._blames.clear(fingerprint)
+        if self._crash_counts.knows(fingerprint):
+            self._crash_counts.clear(fingerprint)
 
-    def watch(
+    def check_for_crash(
         self,
         target: board_module.Target,
         message: api.Message,
         repeatable: bool,
     ) -> None:
-        """Finds out whether a call broke because its searcher crashed.
+        """Checks whether a call was lost because its searcher crashed.
 
-        An answer that got lost breaks one connection; a crash breaks all of
-        them, and no new one can be opened for some seconds.
+        A lost answer breaks one connection; a crash breaks all of them, and no
+        new one can be opened for some seconds.
+
+        Args:
+            target: The searcher that the call was sent to.
+            message: The request.
+            repeatable: True if the request's route may repeat it.
         """
 
-        def take(found: pool.Found) -> None:
-            if found is pool.Found.REFUSED:
-                self._blame(target, message, repeatable)
+        def handle_probe(result: pool.ProbeResult) -> None:
+            if result is pool.ProbeResult.REFUSED:
+                self._record_crash(target, message, repeatable)
 
-        target.pool.probe(take)
+        target.pool.probe(handle_probe)
 
     def adopt(self, blamed: catalog.RequestBlamed) -> None:
-        """Takes what another VM saw."""
+        """Records the crashes that another VM reports."""
         if blamed.vm == self._board.identity.vm:
             return
         now_s = asyncio.get_running_loop().time()
-        self._blames.adopt(blamed.fingerprint, blamed.vm, blamed.crashes, now_s)
+        self._crash_counts.adopt(
+            blamed.fingerprint, blamed.vm, blamed.crashes, now_s
+        )
 
     async def run(self) -> None:
-        """Writes the reports, forever."""
+        """Writes the reports to the store until cancelled."""
         while True:
             report = await self._reports.get()
-            granted = await self._store.grant_lease(LEASE_S)
-            if granted.is_error():
+            lease = await self._store.grant_lease(REPORT_LEASE_S)
+            if lease.is_error():
                 _logger.warning(
-                    "could not tell of request {}: {}",
+                    "could not report crashes of request {}: {}",
                     report.fingerprint,
-                    granted.error.kind.value,
+                    lease.error.kind.value,
                 )
                 continue
-            await self._write(report, granted.ok)
+            await self._write(report, lease.ok)
 
-    def _blame(
+    def _record_crash(
         self,
         target: board_module.Target,
         message: api.Message,
         repeatable: bool,
     ) -> None:
-        """Blames a request for a crash."""
+        """Attributes a crash to a request."""
         fingerprint = blame.make_fingerprint(message)
         now_s = asyncio.get_running_loop().time()
-        crashes = self._blames.add(fingerprint, now_s)
+        crashes = self._crash_counts.add(fingerprint, now_s)
         self._board.metrics.count("crash.blamed")
         _logger.warning(
             "request {} was running on searcher {} when it crashed; crashes"
-            " seen of {}: {}",
+            " attributed to {} on this VM: {}",
             message.id.decode("latin-1"),
             target.searcher.id,
             fingerprint,
             crashes,
         )
-        # A request that may be repeated is blamed twice by its own retry.
-        least = 2 if repeatable else 1
-        if least <= crashes <= blame.TOLERATED and not self._reports.full():
+        # A repeatable request that crashes searchers is counted twice: its own
+        # retry crashes a second one.
+        min_crashes = 2 if repeatable else 1
+        if (
+            min_crashes <= crashes <= blame.TOLERATED
+            and not self._reports.full()
+        ):
             self._reports.put_nowait(
                 catalog.RequestBlamed(
                     fingerprint, self._board.identity.vm, crashes
@@ -126,7 +143,7 @@
             )
 
     async def _write(self, report: catalog.RequestBlamed, lease: str) -> None:
-        """Writes one report over an earlier one, if there is one."""
+        """Writes a report, replacing an earlier one of this request if any."""
         key, value = self._encode(report)
         result = await self._store.write(key, value, store_api.CREATE, lease)
         if result.is_ok():
@@ -137,7 +154,7 @@
                     )
         if result.is_error():
             _logger.warning(
-                "could not tell of request {}: {}",
+                "could not report crashes of request {}: {}",
                 report.fingerprint,
                 result.error.kind.value,
             )
