--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -1,4 +1,4 @@
-"""The searchers that this VM knows, and the choice among them."""
+"""The known searchers, and the choice of one for each call."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 from azureramp.ports.forwarding import api, pool
 
 COLD_SLOWNESS = 1.6
-"""What a cold searcher's calls are taken to last, in usual times, until its
-own calls show it."""
+"""Assumed duration of a cold searcher's calls, as a multiple of the usual one,
+until its own calls have been measured."""
 
-USED_S = 10.0
-"""How long after its last call a searcher counts as used, in seconds."""
+RECENT_USE_S = 10.0
+"""How long after its last call a searcher counts as in use, in seconds."""
 
 DEFAULT_CONNECTIONS = 8
-"""Connections that a searcher is taken to accept while its service is not
-declared."""
+"""Number of connections that a searcher is assumed to accept while its service
+is not in the configuration."""
 
 _logger = logbook.Logger("azureramp.searchers")
 
 
 class Searchers:
-    """Keeps the searchers on the blackboard and chooses among them.
+    """Maintains the searchers on the blackboard and chooses among them.
 
     Attributes:
-        bounds: Keeps to this VM's parts of what binds all VMs.
+        bounds: This VM's shares of the limits that apply to all VMs together.
         metrics: Counts the calls.
-        rollouts: Tells which versions may be used.
+        rollouts: Determines which versions may be used.
     """
 
     __slots__ = (
@@ -60,10 +60,10 @@
         codec: api.Codec,
         rng: random.Random,
         log: change_log.ChangeLog,
-        known_rollouts: rollouts.Rollouts,
+        rollout_controller: rollouts.Rollouts,
     ) -> None:
-        """Makes a controller that knows no searcher."""
-        self.rollouts = known_rollouts
+        """Creates a controller without searchers."""
+        self.rollouts = rollout_controller
         self._log = log
         self._board = board
         self.metrics = board.metrics
@@ -72,32 +72,32 @@
         self.bounds = shared_bounds.SharedBounds(board)
 
     def put(self, searcher: catalog.Searcher) -> None:
-        """Takes what a searcher says of itself."""
-        known = self._board.targets.get(searcher.id)
-        if known is not None and _is_same_process(known.searcher, searcher):
-            known.searcher = searcher
-            known.record.slots = searcher.slots
-            known.lapsed = False
+        """Adds a searcher, or updates it from its newest entry."""
+        target = self._board.targets.get(searcher.id)
+        if target is not None and _is_same_process(target.searcher, searcher):
+            target.searcher = searcher
+            target.record.slots = searcher.slots
+            target.lapsed = False
         else:
             self.remove(searcher.id)
-            replaced, known = known, self._make_target(searcher)
+            replaced, target = target, self._make_target(searcher)
             if replaced is not None:
-                known.sent_s = replaced.sent_s
-            self._board.targets[searcher.id] = known
+                target.call_times_s = replaced.call_times_s
+            self._board.targets[searcher.id] = target
             by_id = self._board.by_service.setdefault(searcher.service, {})
-            by_id[searcher.id] = known
+            by_id[searcher.id] = target
         now_s = asyncio.get_running_loop().time()
-        known.cold_until_s = now_s + searcher.cold_s
+        target.cold_until_s = now_s + searcher.cold_s
         draining = searcher.state is catalog.SearcherState.DRAINING
-        self._note_change(
-            known,
+        self._log_change(
+            target,
             change_log.Change.SEARCHER_DRAINING
             if draining
             else change_log.Change.SEARCHER_READY,
         )
 
     def remove(self, searcher: str) -> None:
-        """Forgets a searcher; calls that it has still end."""
+        """Removes a searcher; calls that it is still running complete."""
         target = self._board.targets.pop(searcher, None)
         if target is None:
             return
@@ -107,15 +107,18 @@
             del self._board.by_service[target.searcher.service]
         target.gone = True
         target.pool.close()
-        self._note_change(target, change_log.Change.SEARCHER_GONE)
+        self._log_change(target, change_log.Change.SEARCHER_GONE)
 
-    def _note_change(
+    def _log_change(
         self, target: board_module.Target, change: change_log.Change
     ) -> None:
-        """Logs what a searcher says, by itself if requests use it."""
+        """Counts a state change, and logs it if the searcher is in use."""
         self._log.count(change)
         now_s = asyncio.get_running_loop().time()
-        if not target.sent_s or now_s > target.sent_s[-1] + USED_S:
+        if (
+            not target.call_times_s
+            or now_s > target.call_times_s[-1] + RECENT_USE_S
+        ):
             return
         searcher = target.searcher
         gone = change is change_log.Change.SEARCHER_GONE
@@ -126,24 +129,24 @@
         )
 
     def close(self) -> None:
-        """Forgets all searchers, as at the process's end."""
+        """Removes all searchers when the process stops."""
         for searcher in list(self._board.targets):
             self.remove(searcher)
 
     def lapse(self, searcher: str) -> None:
-        """Takes that an entry went while the store was away."""
+        """Marks a searcher whose entry expired during a store outage."""
         target = self._board.targets.get(searcher)
         if target is not None:
             target.lapsed = True
 
     def drop_lapsed(self) -> None:
-        """Forgets the searchers whose entries have not come back."""
+        """Removes the searchers whose entries have not been rewritten."""
         for name, target in list(self._board.targets.items()):
             if target.lapsed:
                 self.remove(name)
 
     def update_limits(self) -> None:
-        """Puts shares of the connections into force, and warms routes up."""
+        """Applies the connection limits and opens connections ahead of need."""
         advertised.update(self._board)
         self.bounds.update(asyncio.get_running_loop().time())
         used: set[str] = set()
@@ -154,23 +157,24 @@
             if target.searcher.service in used and self._is_usable(
                 target, rollout_view.ALL_SIDES
             ):
-                target.pool.prepare(1)
+                target.pool.open_ahead(1)
 
     def choose(
         self,
         service: str,
-        without: Collection[str],
+        excluded: Collection[str],
         now_s: float,
-        faulty: bool = False,
+        allow_faulty: bool = False,
         is_first: bool = False,
     ) -> board_module.Target | None:
         """Chooses a searcher of a service for one call.
 
         Args:
             service: The service's name.
-            without: The ids of those that may not be chosen.
-            now_s: The time.
-            faulty: True if one that fails often is better than none.
+            excluded: The ids of searchers that must not be chosen.
+            now_s: The current time.
+            allow_faulty: True if a searcher that often fails may be chosen as a
+                last resort.
             is_first: True for the first call of a request.
 
         Returns:
@@ -179,9 +183,11 @@
         targets = self._board.by_service.get(service, {})
         for target in targets.values():
             if target.record.needs_proof(now_s):
-                self._prove(target)
+                self._probe(target)
         for side in self.rollouts.list_sides(service, is_first, now_s):
-            chosen = self._choose_from(side, targets, without, now_s, faulty)
+            chosen = self._choose_from(
+                side, targets, excluded, now_s, allow_faulty
+            )
             if chosen is not None:
                 return chosen
         return None
@@ -190,16 +196,16 @@
         self,
         side: rollout_view.Side,
         targets: Mapping[str, board_module.Target],
-        without: Collection[str],
+        excluded: Collection[str],
         now_s: float,
-        faulty: bool,
+        allow_faulty: bool,
     ) -> board_module.Target | None:
         """Chooses among a service's searchers on one side of a roll-out."""
         sides = (side,)
         usable = [
             (name, target.record)
             for name, target in targets.items()
-            if name not in without
+            if name not in excluded
             and self._is_usable(target, sides)
             and self.bounds.is_warm_enough(target, now_s)
         ]
@@ -213,7 +219,7 @@
             chosen = selection.choose(usable, now_s, self._rng)
         if chosen is None:
             chosen = selection.choose_unproven(usable, now_s)
-        if chosen is None and faulty:
+        if chosen is None and allow_faulty:
             chosen = selection.choose_faulty(usable, now_s)
         return None if chosen is None else targets[chosen]
 
@@ -231,27 +237,27 @@
             for target in targets.values()
         )
 
-    def _prove(self, target: board_module.Target) -> None:
-        """Finds out by a new connection whether a searcher lives again."""
+    def _probe(self, target: board_module.Target) -> None:
+        """Checks with a new connection whether a searcher is up again."""
 
-        def take(found: pool.Found) -> None:
-            target.proving = False
-            if found is pool.Found.OPENED:
+        def handle_probe(result: pool.ProbeResult) -> None:
+            target.probing = False
+            if result is pool.ProbeResult.OPENED:
                 target.record.alive = True
 
-        if not target.proving:
-            target.proving = True
-            target.pool.probe(take)
+        if not target.probing:
+            target.probing = True
+            target.pool.probe(handle_probe)
 
-    def note_call(self, target: board_module.Target, now_s: float) -> None:
-        """Counts a call to a searcher."""
-        coldness.note_call(target, now_s)
+    def record_call(self, target: board_module.Target, now_s: float) -> None:
+        """Records a call to a searcher."""
+        coldness.record_call(target, now_s)
         self.rollouts.note_call(target.searcher, now_s)
 
     def _is_usable(
         self, target: board_module.Target, sides: tuple[rollout_view.Side, ...]
     ) -> bool:
-        """Tells whether a searcher may get new work at all."""
+        """Returns True if a searcher may get new work at all."""
         searcher = target.searcher
         return (
             searcher.state is catalog.SearcherState.READY
@@ -261,14 +267,14 @@
         )
 
     def _make_target(self, searcher: catalog.Searcher) -> board_module.Target:
-        """Makes the state of a searcher that has just been seen."""
+        """Creates the state of a newly announced searcher."""
         near = searcher.zone == self._board.identity.zone
         record = selection.Record(searcher.slots, near)
         if searcher.cold_s > 0:
             record.slowness = COLD_SLOWNESS
             record.measured_s = asyncio.get_running_loop().time()
 
-        def take_unreachable() -> None:
+        def handle_unreachable() -> None:
             now_s = asyncio.get_running_loop().time()
             record.add_failure(now_s, sent=False)
 
@@ -279,12 +285,12 @@
                 self._codec,
                 searcher.address,
                 self._get_share(searcher.service),
-                take_unreachable,
+                handle_unreachable,
             ),
         )
 
     def _is_advertised(self) -> bool:
-        """Tells whether this VM is advertised to callers."""
+        """Returns True if this VM is advertised to callers."""
         return self._board.identity.vm in self._board.advertised
 
     def _get_share(self, name: str) -> int:
@@ -297,10 +303,10 @@
 
 
 def _is_same_process(old: catalog.Searcher, new: catalog.Searcher) -> bool:
-    """Tells whether two announcements come from one process.
+    """Returns True if both announcements come from one process.
 
-    A searcher that started again under its id knows nothing of before, so
-    what was measured of the old one says nothing of it.
+    A searcher that restarted under its id has lost its state, so what was
+    measured of the old process doesn't apply to the new one.
     """
     return (
         old.started_ms == new.started_ms
