--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -1,4 +1,4 @@
-"""This VM's parts of what the operators bound for all VMs together."""
+"""This VM's shares of the operators' limits on all VMs together."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from azureramp.controllers.forwarding import coldness
 from azureramp.policy import allowances, shares
 
-PAUSE_S = 1.0
-"""How late a timer must fire to show that the process stood still, in seconds.
-A searcher that was away for less has hardly started anew."""
+MIN_PAUSE_S = 1.0
+"""Minimum delay of a timer that shows that the process was paused, in seconds.
+A searcher that was down for less can hardly have restarted."""
 
-SHARES_S = 0.5
-"""Time between two looks at this VM's part of the common bounds, in seconds; a
-contact that is lost for long enough to matter lasts several times that."""
+UPDATE_INTERVAL_S = 0.5
+"""Interval between two updates of this VM's shares, in seconds; any loss of
+contact to the store that is long enough to matter lasts several times that."""
 
 _logger = logbook.Logger("azureramp.searchers")
 
 
 class SharedBounds:
-    """Keeps to this VM's parts of extra calls and of calls to the cold."""
+    """This VM's shares of extra calls and of calls to cold searchers."""
 
     __slots__ = ("_allowances", "_board", "_cold_share", "_extra_share")
 
     def __init__(self, board: board_module.Board) -> None:
-        """Makes one that has spent nothing."""
+        """Creates limits of which nothing has been spent."""
         self._board = board
         self._allowances: dict[str, allowances.Allowance] = {}
         first = board.identity.first_start
@@ -39,42 +39,45 @@
         )
 
     async def run(self) -> None:
-        """Takes this VM's part of the common bounds again, forever.
+        """Updates this VM's shares periodically until cancelled.
 
-        A part counts by the least that it was in the last window, so a moment
-        in which it was small must be seen also while no call asks for it. A
-        look that comes late shows that the process stood still.
+        A share counts as the lowest value that it had during the last window,
+        so a moment when it was small must be recorded even if no call asks for
+        it then. An update that runs late shows that the process was paused.
         """
         loop = asyncio.get_running_loop()
-        looked_s = loop.time()
+        updated_s = loop.time()
         while True:
             now_s = loop.time()
-            if now_s - looked_s > SHARES_S + PAUSE_S:
-                self._board.pause = board_module.Pause(looked_s, now_s)
-                _logger.info("stood still for {:.1f} s", now_s - looked_s)
-            looked_s = now_s
+            if now_s - updated_s > UPDATE_INTERVAL_S + MIN_PAUSE_S:
+                self._board.pause = board_module.Pause(updated_s, now_s)
+                _logger.info(
+                    "process was paused for {:.1f} s", now_s - updated_s
+                )
+            updated_s = now_s
             self.update(now_s)
-            await asyncio.sleep(SHARES_S)
+            await asyncio.sleep(UPDATE_INTERVAL_S)
 
     def get_allowance(self, service: str) -> allowances.Allowance:
-        """Returns what this VM may spend on extra calls to a service."""
+        """Returns this VM's allowance of extra calls to a service."""
         allowance = self._allowances.get(service)
         if allowance is None:
             allowance = allowances.Allowance(self._board.bounds.extra)
             self._allowances[service] = allowance
         return allowance
 
-    def get_part(self, now_s: float) -> float:
-        """Returns this VM's part of the fixed number of extra calls."""
+    def get_extra_call_share(self, now_s: float) -> float:
+        """Returns this VM's share of the fixed extra calls, 0 to 1."""
         self.update(now_s)
         return self._extra_share.part
 
     def is_warm_enough(self, target: board_module.Target, now_s: float) -> bool:
-        """Tells whether a cold searcher bears one more call this second.
+        """Returns True if a searcher can take one more call this second.
 
-        More than it bears crashes it, and with it all that it runs. All VMs
-        together stay within the operators' bound for any one second, so each
-        keeps to its part of it.
+        A cold searcher that gets more calls than it can take crashes, along
+        with everything that it is running. All VMs together must stay within
+        the operators' limit for any one second, so each VM keeps to its own
+        share.
         """
         if not coldness.is_cold(target, now_s, self._board.pause):
             return True
@@ -88,13 +91,13 @@
         return recent + 1 <= bound * self._cold_share.part
 
     def update(self, now_s: float) -> None:
-        """Takes this VM's part of what is bounded for all together."""
+        """Updates this VM's shares of the limits on all VMs together."""
         board = self._board
-        known = board.members.keys() | {board.identity.vm}
+        members = board.members.keys() | {board.identity.vm}
         stale_s = now_s - board.contact.confirmed_s
         part = shares.compute_part(
             len(board.advertised),
-            len(known - board.advertised.keys()),
+            len(members - board.advertised.keys()),
             board.identity.vm in board.advertised,
             stale_s > shares.STALE_S,
         )
