--- a/src/azureramp/controllers/forwarding/pacing.py
+++ b/src/azureramp/controllers/forwarding/pacing.py
@@ -1,4 +1,4 @@
-"""How long the calls of each route usually last."""
+"""Measured call durations of each route."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 from azureramp.policy import caller_delay, hedging, second_calls
 
 HEDGE_QUANTILE = 0.95
-"""A call later than this quantile of its route is hedged: one in twenty, a
-quarter of what the operators usually allow for extra calls."""
+"""Quantile of a route's call durations after which a call is hedged: one in
+twenty, which is a quarter of the extra calls that operators usually allow."""
 
-MEDIAN = 1
-"""The number of the median among the quantiles that are measured."""
+MEDIAN_INDEX = 1
+"""Index of the median among the measured quantiles."""
 
-MOST_ROUTES = 4096
-"""Most routes that are measured; the one first seen goes first."""
+MAX_ROUTES = 4096
+"""Maximum number of routes that are measured; the oldest is evicted first."""
 
 
 class Pace:
-    """The times of one route's calls and callers.
+    """Call durations and caller delays of one route.
 
     Attributes:
-        caller_delay: What its callers had spent before.
+        caller_delay: Estimates how long its callers have already waited.
     """
 
     __slots__ = ("_first_s", "_sketch", "caller_delay")
 
     def __init__(self) -> None:
-        """Makes one without any time."""
+        """Creates an instance without measurements."""
         self._sketch = hedging.Sketch(HEDGE_QUANTILE, 0.5)
         self._first_s = 0.0
         self.caller_delay = caller_delay.CallerDelay()
 
     def add(self, took_s: float) -> float:
-        """Takes a successful call's time.
+        """Records the duration of a successful call.
 
         Args:
-            took_s: The time, in seconds.
+            took_s: The duration, in seconds.
 
         Returns:
-            The time relative to the usual one before.
+            The duration relative to the usual one before this call.
         """
         usual_s = self.get_usual_s()
         self._sketch.add(took_s * 1000)
@@ -50,16 +50,16 @@
         return took_s / usual_s
 
     def get_usual_s(self) -> float:
-        """Returns a usual call's time in seconds; 0 if none was measured."""
-        median_ms = self._sketch.get(MEDIAN)
+        """Returns the median call duration in seconds; 0 if not measured."""
+        median_ms = self._sketch.get(MEDIAN_INDEX)
         return self._first_s if median_ms is None else median_ms / 1000
 
     def get_hedge_s(self, target_s: float, left_s: float = math.inf) -> float:
-        """Returns after how long a call is hedged, in seconds.
+        """Returns the delay after which a call is hedged, in seconds.
 
         Args:
-            target_s: The route's target.
-            left_s: The time within which an answer is of use, in seconds.
+            target_s: The route's target, in seconds.
+            left_s: The time within which an answer is useful, in seconds.
         """
         late_ms = self._sketch.get()
         late_s = None if late_ms is None else late_ms / 1000
@@ -69,19 +69,19 @@
 
 
 class Paces:
-    """The times of all routes, by name."""
+    """Call durations of all routes, by route name."""
 
     __slots__ = ("_by_route",)
 
     def __init__(self) -> None:
-        """Makes one without any route."""
+        """Creates an instance without routes."""
         self._by_route: dict[str, Pace] = {}
 
     def get(self, route: catalog.Route) -> Pace:
-        """Returns a route's times."""
-        pace = self._by_route.get(route.name)
-        if pace is None:
-            if len(self._by_route) >= MOST_ROUTES:
+        """Returns a route's call durations, adding the route if it is new."""
+        timings = self._by_route.get(route.name)
+        if timings is None:
+            if len(self._by_route) >= MAX_ROUTES:
                 del self._by_route[next(iter(self._by_route))]
-            pace = self._by_route[route.name] = Pace()
-        return pace
+            timings = self._by_route[route.name] = Pace()
+        return timings
