--- a/src/azureramp/controllers/forwarding/requests.py
+++ b/src/azureramp/controllers/forwarding/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request and the answers to it, apart from any wire format."""
+"""A caller's request and the answers to it, independent of the wire format."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Incoming:
-    """A request as it came.
+    """A request as received.
 
     Attributes:
-        id: The id that the caller gave this try.
-        host: The host that it names, lower case, without a port.
+        id: The id that the caller gave this attempt.
+        host: The host that it names, in lower case and without a port.
         path: The path as sent, without the query.
-        deadline_s: How long the caller waits, in seconds; None if not told.
+        deadline_s: How long the caller waits, in seconds; None if not stated.
         began_s: When its first byte was read, on the loop's clock.
-        round_trip_s: The round trip to the caller, in seconds; 0 if that is
-            not known.
-        connection_setup_s: What it spent on opening its connection, in seconds.
-        message: What is forwarded.
+        round_trip_s: The round trip to the caller, in seconds; 0 if unknown.
+        connection_setup_s: The time that the caller spent on opening its
+            connection, in seconds.
+        message: The message to forward.
     """
 
     id: str
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Malformed:
-    """A request that lacks what every request must have.
+    """A request that lacks something that every request must have.
 
     Attributes:
         reason: What is wrong with it.
@@ -47,20 +47,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Whole:
-    """One searcher's answer, as it gave it."""
+    """One searcher's answer, unchanged."""
 
     reply: api.Reply
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Merged:
-    """The answer of several shards together.
+    """The merged answer of several shards.
 
     Attributes:
         request_id: The request's id.
-        signatures: The signatures of the parts that are in it.
-        missing: How many shards are not in it.
-        body: The greatest records of these parts, greatest first.
+        signatures: The signatures of the parts that it includes.
+        missing: Number of shards that it doesn't include.
+        body: The greatest records of the included parts, in descending order.
     """
 
     request_id: str
@@ -71,12 +71,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Refused:
-    """A request that gets no searcher's answer.
+    """The answer to a request for which no searcher's answer is returned.
 
     Attributes:
-        failure: Why; the table of error kinds says whether it ran.
+        failure: The reason; the table of error kinds says whether the request
+            ran.
         request_id: The request's id; empty if it has none.
-        closes: True if the caller's connection closes after it.
+        closes: True if the caller's connection closes after the answer.
     """
 
     failure: errors.Failure
