--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""One log line for each request, with what decided it."""
+"""One log line per request, with the facts that determined its outcome."""
 
 from __future__ import annotations
 
@@ -14,59 +14,60 @@
 from azureramp.policy import sampling
 
 GOOD_LINES_PER_S = 5.0
-"""Lines a second for requests that went well."""
+"""Maximum rate of lines for requests that succeeded in time."""
 
 GOOD_LINES_BURST = 20.0
 
 BAD_LINES_PER_S = 20.0
-"""Lines a second for the other requests. More fail only where all fail alike,
-and their lines would take the processor from those that might not."""
+"""Maximum rate of lines for the other requests. More requests fail only if they
+all fail in the same way, and writing all of their lines would take CPU time
+from requests that could still succeed."""
 
 BAD_LINES_BURST = 200.0
 
-MOST_CALLS = 60
-"""Most calls told in one line; a request to a hundred shards that all fail
-would fill a page."""
+MAX_LISTED_CALLS = 60
+"""Maximum number of calls described in one line; a request to a hundred shards
+that all fail would fill a page."""
 
 _logger = logbook.Logger("azureramp.request")
 
 
 class RequestLog:
-    """Writes the lines."""
+    """Writes the log lines of requests, within rate limits."""
 
     __slots__ = ("_bad_sampler", "_board", "_sampler")
 
     def __init__(self, board: board_module.Board) -> None:
-        """Makes a log for one process."""
+        """Creates the log of one process."""
         self._board = board
         self._sampler = sampling.Sampler(GOOD_LINES_PER_S, GOOD_LINES_BURST)
         self._bad_sampler = sampling.Sampler(BAD_LINES_PER_S, BAD_LINES_BURST)
 
-    def note(
+    def write(
         self,
         request: requests.Incoming,
         route: catalog.Route | None,
         parts: Sequence[part.Part],
         answer: requests.Answer | None,
-        way_s: float = 0.0,
+        caller_overhead_s: float = 0.0,
     ) -> None:
-        """Writes a request's line.
+        """Counts a request and writes its line within the rate limit.
 
         Args:
             request: The request.
             route: Its route; None if it has none.
-            parts: Its parts, as far as any were begun.
-            answer: Its answer; None if the caller went before it.
-            way_s: The time that the caller is taken to spend outside of this
-                VM, in seconds.
+            parts: The parts for which calls were started.
+            answer: Its answer; None if the caller disconnected before it.
+            caller_overhead_s: The time that the caller is estimated to spend
+                outside of this VM, in seconds.
         """
         now_s = asyncio.get_running_loop().time()
         outcome = describe_answer(answer)
         took_ms = (now_s - request.began_s) * 1000
         self._count(answer, took_ms)
-        due_ms = took_ms + way_s * 1000
-        late = route is not None and due_ms > route.target_s * 1000
-        good = outcome in GOOD and not late
+        total_ms = took_ms + caller_overhead_s * 1000
+        late = route is not None and total_ms > route.target_s * 1000
+        good = outcome in GOOD_OUTCOMES and not late
         sampler = self._sampler if good else self._bad_sampler
         if not sampler.take(now_s):
             return
@@ -77,7 +78,7 @@
             "outcome": outcome,
             "took_ms": round(took_ms, 1),
             "round_trip_ms": round(request.round_trip_s * 1000, 1),
-            "way_ms": round(way_s * 1000, 1),
+            "way_ms": round(caller_overhead_s * 1000, 1),
             "advertised": self._is_advertised(),
         }
         if route is not None:
@@ -99,13 +100,13 @@
                 line["not_ready"] = not_ready
         else:
             line["extra_calls"] = sum(each.count_extra() for each in parts)
-        left_out = sampler.take_left_out()
-        if left_out:
-            line["lines_left_out"] = left_out
+        skipped = sampler.take_left_out()
+        if skipped:
+            line["lines_left_out"] = skipped
         _logger.info("request", extra=line)
 
     def _count(self, answer: requests.Answer | None, took_ms: float) -> None:
-        """Counts a request's end."""
+        """Counts a request's outcome in the metrics."""
         counters = self._board.metrics
         counters.count("forward.requests")
         counters.record_ms("forward.took_ms", took_ms)
@@ -127,7 +128,7 @@
                 )
 
     def _is_advertised(self) -> bool:
-        """Tells whether this VM is advertised to callers."""
+        """Returns True if this VM is advertised to callers."""
         return self._board.identity.vm in self._board.advertised
 
     def _get_version(self) -> int:
@@ -136,12 +137,12 @@
         return 0 if configuration is None else configuration.version
 
 
-GOOD = frozenset(("answered", "complete", "not_found"))
+GOOD_OUTCOMES = frozenset(("answered", "complete", "not_found"))
 """Outcomes of requests that need no explanation."""
 
 
 def describe_answer(answer: requests.Answer | None) -> str:
-    """Returns an answer's outcome as a word."""
+    """Returns an answer's outcome as one word."""
     match answer:
         case None:
             return "caller_gone"
@@ -154,25 +155,24 @@
 
 
 def describe_calls(parts: Sequence[part.Part], began_s: float) -> list[str]:
-    """Describes the calls of the parts that are of interest.
+    """Describes the calls of all parts that didn't succeed on the first call.
 
     Returns:
-        For each call `service searcher sent+took outcome`, the times in
-        milliseconds from the request's beginning; parts that ended well with
-        their first call are left out.
+        One text per call, `service searcher start: end outcome`, with times in
+            milliseconds since the request began.
     """
-    told: list[str] = []
+    descriptions: list[str] = []
     for each in parts:
-        told += each.describe(began_s)
-    if len(told) > MOST_CALLS:
-        more = f"and {len(told) - MOST_CALLS} more"
-        told = [*told[:MOST_CALLS], more]
-    return told
+        descriptions += each.describe(began_s)
+    if len(descriptions) > MAX_LISTED_CALLS:
+        rest = f"and {len(descriptions) - MAX_LISTED_CALLS} more"
+        descriptions = [*descriptions[:MAX_LISTED_CALLS], rest]
+    return descriptions
 
 
 def list_not_ready(parts: Sequence[part.Part]) -> list[str]:
-    """Lists `searcher state` of those called that take no new work by now."""
-    told: set[str] = set()
+    """Lists `searcher state` for called searchers that take no new work now."""
+    states: set[str] = set()
     for each in parts:
-        told.update(each.list_not_ready())
-    return sorted(told)
+        states.update(each.list_not_ready())
+    return sorted(states)
