--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -1,7 +1,7 @@
 """The state of a process that forwards requests.
 
-The controllers of this package read and write it; nothing here does I/O or
-decides. Times ending in `_s` are on the event loop's clock.
+The controllers of this package read and write it; this module itself does no
+I/O and makes no decisions. Times ending in `_s` are on the event loop's clock.
 """
 
 from __future__ import annotations
@@ -17,15 +17,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Bounds:
-    """What the operators bound, from the settings.
+    """The operators' limits, from the settings.
 
     Attributes:
-        extra: Calls beyond the first of each request.
-        cold_overage: Factor on the requests a second of a cold searcher.
-        cold_slack: Requests a second added to that.
+        extra: Limit on calls beyond the first of each request.
+        cold_overage: Factor on a cold searcher's permitted requests per second.
+        cold_slack: Requests per second added to that product.
         grace_s: Time from SIGTERM to SIGKILL, in seconds.
-        address_lifetime_s: Most that callers keep an address answer for.
-        exposure: Requests to a version that isn't proved.
+        address_lifetime_s: Maximum time for which callers keep an address
+            answer, in seconds.
+        exposure: Limit on requests to a version that is not proven yet.
     """
 
     extra: allowances.Terms
@@ -38,17 +39,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Identity:
-    """Who this process is.
+    """The identity of this process.
 
     Attributes:
         vm: This VM's name.
         zone: Its availability zone.
         front_address: Where callers connect, `IP:port`.
-        peer_address: Where other VMs connect, `IP:port`; empty for nowhere.
-        cores: Its processor, in cores.
-        first_start: True if the whole tier starts for the first time.
+        peer_address: Where other VMs connect, `IP:port`; empty if they can't.
+        cores: Its number of CPU cores.
+        first_start: True if the whole tier is starting for the first time.
         serves_callers: True if it forwards requests; False for a process that
-            only tells callers where to connect.
+            only advertises addresses to callers.
     """
 
     vm: str
@@ -62,20 +63,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Target:
-    """A searcher with all that this VM knows of it.
+    """A searcher with everything that this VM knows about it.
 
     Attributes:
-        searcher: What it says of itself.
-        record: What this VM's own calls show.
+        searcher: The searcher's newest entry.
+        record: Measurements of this VM's own calls.
         pool: The connections to it.
-        cold_until_s: It is cold until then.
+        cold_until_s: When the searcher's announced cold time ends.
         misdirected: True once another searcher answered at its address.
-        proving: True while a new connection shows whether it lives.
-        gone: True once it is forgotten; calls that it has still end.
-        lapsed: True if its entry went while the store was away; it is used
-            until the store has been back for a while.
-        sent_s: When the newest call, and those of a second before it, were
-            sent to it or to the process that it replaced under its id.
+        probing: True while a new connection checks whether it is up.
+        gone: True once it was removed; calls that it is still running complete.
+        lapsed: True if its entry expired during a store outage; it remains in
+            use until the store has been back for a while.
+        call_times_s: When the newest call, and those of the second before it,
+            were sent to it or to the process that it replaced under its id.
     """
 
     searcher: catalog.Searcher
@@ -83,10 +84,10 @@
     pool: pool.Pool
     cold_until_s: float = -math.inf
     misdirected: bool = False
-    proving: bool = False
+    probing: bool = False
     gone: bool = False
     lapsed: bool = False
-    sent_s: collections.deque[float] = dataclasses.field(
+    call_times_s: collections.deque[float] = dataclasses.field(
         default_factory=collections.deque
     )
 
@@ -96,9 +97,9 @@
     """Whether the platform's store can be reached.
 
     Attributes:
-        reachable: False after a call that failed, until one works.
-        regained_s: When a call first worked after that.
-        confirmed_s: When a call last worked.
+        reachable: False from a failed call until the next successful one.
+        regained_s: When a call first succeeded after that.
+        confirmed_s: When a call last succeeded.
     """
 
     reachable: bool = True
@@ -108,10 +109,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Pause:
-    """The last time that this process stood still.
+    """The last period in which this process was paused.
 
     Attributes:
-        began_s: When at the earliest it began.
+        began_s: The earliest time at which it may have begun.
         ended_s: When it ended.
     """
 
@@ -123,33 +124,34 @@
     """The state of one process.
 
     Attributes:
-        identity: Who this process is.
-        bounds: What the operators bound; changes with the settings.
+        identity: The identity of this process.
+        bounds: The operators' limits; they change with the settings.
         started_s: When the process started.
-        configuration: The newest configuration; None until one is known.
-        table: Its routes. Both by the feed.
-        targets: The searchers by id. By the searchers controller.
+        configuration: The newest configuration; None until one is received.
+            Written by the feed.
+        table: The configuration's routes. Written by the feed.
+        targets: The searchers by id. Written by the searchers controller.
         by_service: The same by service and id.
-        zones_out: The availability zones whose searchers get nothing new.
-        members: The VMs of this tier by name, this one included once it has
-            announced itself. By the members controller.
+        zones_out: The availability zones whose searchers get no new work.
+        members: The VMs of this tier by name, including this one once it has
+            announced itself. Written by the members controller.
         advertised: The VMs among them that are advertised to callers.
-        busy: True while this VM's processor is busy.
-        metrics: Everybody counts here.
+        busy: True while this VM's CPU is overloaded.
+        metrics: Counters that all controllers share.
         contact: Whether the store can be reached.
-        follows_store: True while this VM hears of changes from the store
-            itself, not from another VM. By the feed.
-        is_relay: True if the other VMs of its zone are to ask this one. By
-            the feed.
-        lease: The lease that holds the entries which this VM writes; empty
-            for none. By the members controller.
-        announces_itself: True if no other VM should announce this one. By the
-            members controller.
+        follows_store: True while this VM receives updates from the store itself
+            instead of another VM. Written by the feed.
+        is_relay: True if the other VMs of its zone should request updates from
+            this one. Written by the feed.
+        lease: The lease of the entries that this VM writes; empty if none.
+            Written by the members controller.
+        announces_itself: True if no other VM should announce this one. Written
+            by the members controller.
         announced_s: When another VM last confirmed that it announces this one.
-            By the feed.
-        leaving: True once the process is told to stop.
-        pause: When the process last stood still. By the searchers controller.
-        running: Requests of callers that run now.
+            Written by the feed.
+        leaving: True once the process has been asked to stop.
+        pause: The last pause of the process. Written by the shared bounds.
+        running: Number of callers' requests that are running now.
     """
 
     __slots__ = (
@@ -183,7 +185,7 @@
         counters: metrics.Metrics,
         now_s: float,
     ) -> None:
-        """Makes the state of a process that has just begun."""
+        """Creates the state of a process that has just started."""
         self.identity = identity
         self.bounds = bounds
         self.started_s = now_s
@@ -207,17 +209,17 @@
         self.running = 0
 
     def is_ready(self) -> bool:
-        """Tells whether callers may be sent here."""
+        """Returns True if callers may be sent to this VM."""
         return self.configuration is not None and not self.leaving
 
     def get_service(self, name: str) -> catalog.Service | None:
-        """Returns a declared service."""
+        """Returns a service of the configuration; None if it isn't declared."""
         if self.configuration is None:
             return None
         return self.configuration.services.get(name)
 
     def describe(self) -> catalog.Member:
-        """Describes this VM as it is announced."""
+        """Returns this VM's entry in the roster."""
         return catalog.Member(
             vm=self.identity.vm,
             zone=self.identity.zone,
