--- a/src/azureramp/controllers/forwarding/__init__.py
+++ b/src/azureramp/controllers/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that are forwarded to searchers as they come."""
+"""Forwards callers' requests to searchers unchanged."""
