--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -222,7 +222,7 @@
         while loop.time() < began_s + 1.0:
             await scene.ask("vm-0", "/one/x")
             await asyncio.sleep(0.01)
-        assert target.pool.linked_s > began_s - 3.0
+        assert target.pool.connected_since_s > began_s - 3.0
         seen = scene.searchers["statements-0"].seen
         times = [each.at_s for each in seen if each.at_s >= began_s]
         assert times, "it is tried"
