--- a/tests/forwarding/__init__.py
+++ b/tests/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that are forwarded to searchers, end to end."""
+"""End-to-end tests of requests that are forwarded to searchers."""
--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -1,4 +1,4 @@
-"""Blames what a test leaves open on that test."""
+"""Attributes resource warnings to the test that left the resource open."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @pytest.fixture(autouse=True)
 def _collect_garbage() -> Iterator[None]:
-    """Collects what the test left, before another test is blamed for it.
+    """Collects garbage after each test.
 
-    A connection that is left open warns when it is collected, which may be
-    within any later test: the verdict would depend on chance.
+    A connection that is left open issues a warning when it is collected.
+    Without this, a later test could receive the warning and fail at random.
     """
     yield
     gc.collect()
--- a/tests/forwarding/scenes.py
+++ b/tests/forwarding/scenes.py
@@ -1,4 +1,4 @@
-"""Running a scenario against a whole deployment in virtual time."""
+"""Runs a scenario against a whole deployment in virtual time."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 ) -> None:
     """Runs a scenario.
 
-    There is a route `/all/` over `SHARDS`, of which three must be in, a route
-    `/one/` and a route `/once/` whose requests may run once, both to `PLAIN`.
+    The deployment has a route `/all/` to `SHARDS` that requires three shards, a
+    route `/one/`, and a route `/once/` whose requests may run only once; the
+    last two lead to `PLAIN`.
     """
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         scene = deployment.Deployment(seed)
         await scene.start()
         for service in (*SHARDS, PLAIN):
@@ -41,7 +42,7 @@
         finally:
             await scene.kill()
 
-    virtual.run(whole())
+    virtual.run(run_scenario())
 
 
 def get_headers(response: object) -> dict[str, str]:
