--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -1,4 +1,4 @@
-"""Requests to one searcher: repeated only where that is allowed."""
+"""Requests to one searcher, which are repeated only where that is allowed."""
 
 from __future__ import annotations
 
@@ -53,11 +53,11 @@
 
 
 def test_a_lost_answer_of_a_request_that_runs_once_is_unknown() -> None:
-    """A grant is filed twice: the worst that can happen to a household.
+    """Guards against filing a grant twice, the worst fault for a household.
 
-    The searcher runs it and its connection is reset before the answer. No
-    other searcher may get it, and the caller must not be told that it has
-    not run.
+    The searcher runs the request and its connection is reset before the answer.
+    No other searcher may get the request, and the answer to the caller must not
+    state that it has not run.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -96,7 +96,7 @@
     scenes.run(scenario)
 
 
-def test_a_request_that_nobody_ran_is_refused_as_such() -> None:
+def test_a_request_that_no_searcher_ran_is_refused_as_not_run() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         act = searcher.Act(status=503, not_run=True, signed=False)
         set_script(scene, scenes.PLAIN, act)
@@ -133,14 +133,14 @@
     ],
     ids=["truncated", "garbage", "another-id", "unsigned", "cut-unframed"],
 )
-def test_an_answer_that_is_not_whole_and_ones_own_is_not_used(
+def test_an_incomplete_or_foreign_answer_is_not_used(
     act: searcher.Act,
 ) -> None:
-    """A widow's arrears are shown to somebody else, or half of them.
+    """Guards against showing a caller another caller's data, or partial data.
 
-    A faulty searcher truncates an answer, sends bytes that are none, or gives
-    one request's answer to another. Nothing of it may reach a caller, whether
-    the other searcher answers or none does.
+    A faulty searcher truncates an answer, sends invalid bytes, or returns
+    another request's answer. None of it may reach a caller, whether the other
+    searcher answers or not.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -153,12 +153,12 @@
     scenes.run(scenario)
 
 
-def test_a_second_answer_is_passed_over() -> None:
+def test_a_duplicate_answer_is_skipped() -> None:
     """A faulty searcher answers an earlier request twice.
 
-    The second answer comes where the next caller's is due, and then that
-    caller's own. It is told by its id; a request that may run once is served
-    by its own answer that follows.
+    The second answer arrives in place of the next caller's, which follows it.
+    It is recognized by its id, and a request that may run only once gets its
+    own answer.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -205,10 +205,10 @@
 
 
 def test_a_searcher_that_took_over_an_address_is_not_used() -> None:
-    """A searcher ends, and another service's gets its address.
+    """A searcher stops, and a searcher of another service gets its address.
 
-    The entry still names the old one. The new one rejects the call by the
-    id in it, and the call goes to another searcher of the right service.
+    The entry still names the old searcher. The new one rejects the call because
+    of the id in it, and the call goes to another searcher of the right service.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -242,11 +242,11 @@
 
 
 def test_a_call_that_never_got_a_connection_has_not_run() -> None:
-    """A dispatcher's order is answered as unknown though nobody got it.
+    """Guards against an unknown outcome for an order that was never sent.
 
-    All connections to the only searcher carry calls that hang. The order
-    waits for one until its time is over, and not a byte of it was written:
-    the dispatcher may send it again.
+    All connections to the only searcher are occupied by calls that hang. The
+    order waits for one until its deadline, and no byte of it is written: the
+    dispatcher may send it again.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -270,12 +270,13 @@
     scenes.run(scenario, searchers=1)
 
 
-def test_a_lookup_goes_to_searchers_that_fail_where_all_do() -> None:
-    """A clerk's lookup is refused at once though its searchers run.
+def test_a_lookup_goes_to_failing_searchers_if_all_are_failing() -> None:
+    """Guards against refusing lookups although their searchers are running.
 
-    Both lose some of their answers, and the last two calls to each were among
-    them. A lookup may be repeated, so it is tried; a grant, whose outcome
-    would be unknown if its answer got lost too, is refused unrun.
+    Both searchers lose some of their answers, including those to the last two
+    calls. A lookup may be repeated, so it is sent anyway; a grant, whose
+    outcome would be unknown if its answer got lost too, is refused without
+    running.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
