--- a/tests/forwarding/test_gather.py
+++ b/tests/forwarding/test_gather.py
@@ -1,4 +1,4 @@
-"""Requests to all shards: merged, honestly short, in time."""
+"""Requests to all shards: merged, in time, and marked if shards are missing."""
 
 from __future__ import annotations
 
@@ -36,11 +36,10 @@
 
 
 def test_a_searcher_that_pauses_is_hedged() -> None:
-    """A clerk's lookup waits although the other replica is idle.
+    """Guards against a lookup that waits although another replica is idle.
 
-    One searcher of a shard stands still for a tenth of a second. A second
-    call goes to the other one long before the answer is due, and the answer
-    is complete and in time.
+    One searcher of a shard pauses for half a second. A hedged call goes to the
+    other one long before the target, and the answer is complete and in time.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -62,11 +61,12 @@
     scenes.run(scenario)
 
 
-def test_an_answer_goes_out_short_and_says_so() -> None:
-    """A shard's searchers all hang: the family must not wait for them.
+def test_a_partial_answer_is_returned_and_marked() -> None:
+    """Guards against waiting for a shard whose searchers all hang.
 
-    Three of four shards are in, which is enough. Shortly before the target
-    the answer goes out with one part missing, and its header tells.
+    Three of four shards have answered, which is enough. Shortly before the
+    target a partial answer is returned, and its header states the number of
+    missing parts.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -85,10 +85,10 @@
 
 
 def test_too_few_shards_are_refused_at_once_as_not_run() -> None:
-    """Two of four shards are down for good: nobody can be answered.
+    """Two of four shards are down permanently, so no request can be answered.
 
-    Once that is known, a request is refused before any searcher gets it, with
-    a time to come back, in place of a wait until its deadline.
+    Once that is known, a request is refused before any searcher gets it, with a
+    time after which to retry, instead of waiting until its deadline.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -106,10 +106,10 @@
 
 
 def test_a_refusal_after_a_run_does_not_say_not_run() -> None:
-    """Two shards break every call: the answer would be too short.
+    """Two shards fail every call, so too few shards answer.
 
-    Other shards have run the request by then. A 503 would promise that it
-    has not run, so it is 502.
+    Other shards have run the request by then. A 503 would promise that it has
+    not run, so the status is 502.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -125,11 +125,11 @@
 
 
 def test_all_parts_come_from_one_version_of_the_shards() -> None:
-    """The index is cut anew while a query runs.
+    """The index is resharded while a query runs.
 
-    The query began with the old set of shards. The new version comes into
-    force before its parts are in; it still ends with the old set, and the
-    next one uses the new set alone.
+    The query began with the old set of shards. The new configuration is applied
+    before its parts have arrived; it still completes with the old set, and the
+    next query uses only the new set.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -159,11 +159,11 @@
     scenes.run(scenario)
 
 
-def test_a_caller_that_has_gone_ends_its_calls() -> None:
-    """A director hangs up, and the searchers work on for nobody.
+def test_calls_of_a_disconnected_caller_are_cut() -> None:
+    """Guards against searchers that work for a caller that has disconnected.
 
-    The calls of a request whose caller has gone are cut well within half a
-    second, so that searchers which stop at a close have their slots back.
+    The calls of such a request are cut well within half a second, so that
+    searchers which stop at a closed connection can reuse their slots.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -183,12 +183,12 @@
     scenes.run(scenario)
 
 
-def test_a_shard_that_is_slow_as_a_whole_is_not_asked_twice() -> None:
-    """All searchers of a shard turn many times slower at once.
+def test_a_shard_of_slow_searchers_is_not_hedged() -> None:
+    """All searchers of a shard become many times slower at once.
 
-    Each lookup asked both, twice the work for a shard that could not do it
-    once; its queues grew until nothing came back in time. A hedge is left out
-    where the other searcher holds overdue calls too.
+    Each lookup called both of them, which doubled the load of a shard that was
+    already overloaded; its queues grew until no answer arrived in time. A hedge
+    is skipped if the other searcher has overdue calls too.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -206,12 +206,12 @@
     scenes.run(scenario)
 
 
-def test_a_hedge_that_would_come_too_late_is_left_out() -> None:
-    """All searchers of a shard are slow, and each lookup asks two of them.
+def test_a_hedge_that_would_be_too_late_is_skipped() -> None:
+    """All searchers of a shard are slow, and each lookup calls two of them.
 
-    What they answer comes too late in any case, and the second call takes the
-    place of another lookup's first. A lookup that is due is not hedged to a
-    searcher that takes longer than there is time.
+    Their answers are late in any case, and the hedged call takes the place of
+    another lookup's first call. An overdue lookup is not hedged to a searcher
+    that takes longer than the remaining time.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -233,11 +233,11 @@
     scenes.run(scenario)
 
 
-def test_a_full_searcher_is_freed_of_calls_that_nobody_waits_for() -> None:
-    """A shard turns slow, and its searchers work for lookups long answered.
+def test_calls_no_longer_needed_are_cut_at_a_full_searcher() -> None:
+    """Guards against slow searchers that work for lookups already answered.
 
-    An answer went out short; its call held a slot for a quarter of a second
-    more, while calls of the next lookups waited for it.
+    After a partial answer, the missing shard's call occupied a slot for another
+    quarter of a second, while calls of the next lookups waited for it.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
