--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -1,4 +1,4 @@
-"""Searchers that drain, go, come again, and availability zones that leave."""
+"""Searchers that drain, stop or restart, and evacuated availability zones."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     scenes.run(scenario)
 
 
-def test_a_zone_taken_out_gets_nothing_until_it_is_back() -> None:
+def test_an_evacuated_zone_gets_no_calls_until_it_is_restored() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.store.put("op/evacuate/zone-0", {})
         await deployment.settle()
@@ -55,7 +55,7 @@
     ],
     ids=["bytes", "fields", "state", "type"],
 )
-def test_an_entry_of_another_writer_names_no_searcher(entry: object) -> None:
+def test_an_invalid_entry_removes_its_searcher(entry: object) -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         written: object = entry
         if isinstance(entry, dict) and "Backend" not in entry:
@@ -71,10 +71,10 @@
 
 @pytest.mark.parametrize("name", ["a\r\nX-Forged: 1", "a b", "\u0151", ""])
 def test_a_searcher_whose_name_fits_no_header_is_not_used(name: str) -> None:
-    """Another writer's entry has a line's end in its key.
+    """An entry by another writer has a line break in its key.
 
-    The name goes out with every call. Each would carry a header that nobody
-    sent, or fail where it is encoded, and the caller's request with it.
+    The name is sent with every call. Each call would carry a forged header or
+    fail to encode, and the caller's request would fail with it.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -90,12 +90,13 @@
     scenes.run(scenario)
 
 
-def test_entries_that_lapsed_while_the_store_was_away_stay_in_use() -> None:
-    """The store goes down for a while, and all lookups fail at its return.
+def test_entries_that_expired_in_a_store_outage_stay_in_use() -> None:
+    """Guards against failing all lookups when a store outage ends.
 
-    While it is away every searcher's entry lapses, though the searchers live.
-    They write anew within two seconds of its return. Until then they are
-    used on; one that is still missing afterwards is gone.
+    During the outage every searcher's entry expires, though the searchers are
+    running. They write their entries again within two seconds of its return.
+    Until then they remain in use; one whose entry is still missing afterwards
+    is removed.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -117,7 +118,7 @@
     scenes.run(scenario)
 
 
-def test_an_entry_that_goes_while_the_store_is_well_is_gone_at_once() -> None:
+def test_a_removed_entry_takes_effect_at_once_if_the_store_is_up() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await deployment.settle(5.0)
         scene.store.remove("servers/statements-0")
@@ -128,7 +129,7 @@
     scenes.run(scenario)
 
 
-def test_a_crashed_searcher_is_left_alone_and_found_again() -> None:
+def test_a_crashed_searcher_is_avoided_and_used_again_later() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         crashed = scene.searchers["statements-0"]
         crashed.crash()
@@ -141,11 +142,11 @@
     scenes.run(scenario)
 
 
-def test_what_was_measured_of_a_process_goes_with_it() -> None:
-    """A searcher that was slow starts again, and nobody uses it.
+def test_measurements_are_reset_for_a_restarted_process() -> None:
+    """Guards against avoiding a restarted searcher because it used to be slow.
 
-    It keeps its id; only the time of its start is another. What was measured
-    before says nothing of the new process.
+    It keeps its id; only its start time differs. Measurements of the old
+    process don't apply to the new one.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -159,14 +160,15 @@
     scenes.run(scenario)
 
 
-def test_a_searcher_that_comes_back_is_spared_before_its_entry_says_so() -> (
+def test_a_restarted_searcher_is_treated_as_cold_before_its_entry_says_so() -> (
     None
 ):
-    """A searcher crashes and starts again under its id, and crashes at once.
+    """Guards against crashing a searcher again just after it has restarted.
 
-    It comes back cold and bears a few requests a second. Its entry that says
-    so is read up to a heartbeat later. Until then VMs that found it back sent
-    it their usual share, and calls made while it was away counted for nothing.
+    It restarts cold under its id and can take a few requests per second. The
+    entry that says so arrives up to a heartbeat later. Until then, VMs that
+    detected its return sent it their usual load, and calls made while it was
+    down were not counted.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -189,7 +191,7 @@
             await asyncio.sleep(0.01)
         times = [seen.at_s for seen in crashed.seen]
         bound = 4.0 * 1.5 + 5
-        assert times, "it is tried"
+        assert times, "the searcher gets calls"
         for number, at_s in enumerate(times):
             recent = sum(at_s - 1.0 < each for each in times[: number + 1])
             assert recent <= bound
@@ -197,12 +199,12 @@
     scenes.run(scenario, vms=2)
 
 
-def test_searchers_that_came_back_during_a_pause_are_spared() -> None:
-    """A VM stands still for some seconds and crashes a searcher on waking.
+def test_searchers_restarted_during_a_pause_are_treated_as_cold() -> None:
+    """Guards against a VM that crashes a searcher after its own pause.
 
-    The searcher crashed and came back meanwhile, cold. The VM has missed both,
-    has its callers' requests of all that time before it and sends them, since
-    to its knowledge the searcher is warm.
+    The searcher crashed and restarted cold while the VM was paused for some
+    seconds. The VM has missed both, and sends it all requests that arrived
+    during the pause, since it still treats the searcher as warm.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -225,7 +227,9 @@
         assert target.pool.connected_since_s > began_s - 3.0
         seen = scene.searchers["statements-0"].seen
         times = [each.at_s for each in seen if each.at_s >= began_s]
-        assert times, "it is tried"
-        assert len(times) <= 0.9 * (4.0 * 1.5 + 5), "a VM's part of the bound"
+        assert times, "the searcher gets calls"
+        assert len(times) <= 0.9 * (4.0 * 1.5 + 5), (
+            "one VM's share of the limit"
+        )
 
     scenes.run(scenario)
