--- a/tests/forwarding/test_misdirected.py
+++ b/tests/forwarding/test_misdirected.py
@@ -1,4 +1,4 @@
-"""Addresses that another searcher has got."""
+"""Addresses that were reassigned to another searcher."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from tests.forwarding import scenes
 
 
-def reuse(scene: deployment.Deployment, name: str) -> None:
-    """Lets another searcher live at a searcher's address."""
+def reassign_address(scene: deployment.Deployment, name: str) -> None:
+    """Assigns a searcher's address to another searcher."""
     scene.searchers[name].id = "another"
 
 
-def test_a_reused_address_costs_no_answer_and_is_left_alone() -> None:
+def test_a_reassigned_address_fails_no_request_and_is_avoided() -> None:
     """Guards against requests that a searcher of another service runs."""
 
     async def scenario(scene: deployment.Deployment) -> None:
-        reuse(scene, "statements-0")
+        reassign_address(scene, "statements-0")
         for number in range(12):
             answer = await scene.ask("vm-0", "/once/x", "POST", b"%d" % number)
             assert answer.status == 200
@@ -29,8 +29,8 @@
     scenes.run(scenario)
 
 
-def test_a_refusal_there_is_no_bad_answer_of_the_version_on_trial() -> None:
-    """Guards against a roll-back because of an address used again."""
+def test_a_rejection_there_does_not_count_against_a_new_version() -> None:
+    """Guards against rolling back a version because of a reassigned address."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         scene.order_rollout("statements", "v2", 60.0)
@@ -38,7 +38,7 @@
             await scene.add_searcher(
                 f"new-{index}", "statements", "zone-0", "v2"
             )
-        reuse(scene, "new-0")
+        reassign_address(scene, "new-0")
         for _ in range(60):
             assert (await scene.ask("vm-0", "/one/x")).status == 200
             await asyncio.sleep(0.05)
@@ -52,10 +52,10 @@
     scenes.run(scenario)
 
 
-def test_a_refused_request_is_503_and_true_where_nobody_else_is_left() -> None:
+def test_a_request_that_all_searchers_reject_is_503_and_not_run() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         for name in ("statements-0", "statements-1"):
-            reuse(scene, name)
+            reassign_address(scene, name)
         answer = await scene.ask("vm-0", "/once/x", "POST", b"1")
         assert answer.status == 503
         assert scenes.get_headers(answer)["retry-after"]
@@ -66,6 +66,6 @@
 
 
 def _was_refused(each: searcher.Searcher) -> bool:
-    """Tells whether all that reached a searcher named another one."""
+    """Returns True if all calls that reached a searcher named another one."""
     wanted = "azureramp-target-instance"
     return all(seen.headers[wanted] != each.id for seen in each.seen)
