--- a/tests/forwarding/test_connections.py
+++ b/tests/forwarding/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to searchers that accept only so many."""
+"""Connections to searchers that accept a limited number of them."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 from tests.forwarding import scenes
 
 
-def test_a_searcher_that_is_full_is_not_connected_to_again_and_again() -> None:
-    """New searchers are announced, and a searcher resets each new connection.
+def test_a_full_searcher_is_not_reconnected_to_repeatedly() -> None:
+    """Guards against reconnecting to a full searcher on each announcement.
 
-    It held as many as it accepts. Each announcement made every VM connect to
-    it again, 100,000 times in ten seconds on 64 VMs, which kept the VMs so
-    busy that callers got half of their answers.
+    The searcher held as many connections as it accepts and reset each new one.
+    Each announcement of a searcher made every VM reconnect to it, 100,000 times
+    in ten seconds on 64 VMs, which kept the VMs so busy that callers got half
+    of their answers.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -30,10 +31,10 @@
 
 
 def test_calls_still_open_a_first_connection_to_a_full_searcher() -> None:
-    """A searcher was full for a while, and is the only one of its shard.
+    """The only searcher of a shard was full for a while.
 
-    A VM that waited for the end of its pause would miss that there is room
-    again; a call that has no connection at all opens one at any time.
+    A VM that waited for the end of its backoff would miss that connections are
+    accepted again; a call opens a connection at any time if there is none.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
