--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -13,8 +13,8 @@
     await each.start()
 
 
-def make_fragile(scene: deployment.Deployment) -> list[str]:
-    """Makes all searchers crash on `poison`; returns who did, in order."""
+def crash_on_poison(scene: deployment.Deployment) -> list[str]:
+    """Makes searchers crash on `poison`; returns the crashed ones in order."""
     crashed: list[str] = []
 
     def script(each: searcher.Searcher) -> searcher.Script:
@@ -35,16 +35,16 @@
     return crashed
 
 
-def test_a_request_that_crashes_searchers_stops_on_every_vm() -> None:
-    """One request takes the statements down again and again.
+def test_a_request_that_crashes_searchers_is_refused_on_every_vm() -> None:
+    """Guards against one request that crashes a service's searchers repeatedly.
 
     Each searcher that runs it crashes, and its caller sends it again, to
-    another VM each time. After a few crashes it is refused on every VM, with
-    a time to come back; other requests are served.
+    another VM each time. After a few crashes it is refused on every VM, with a
+    time after which to retry; other requests are served.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        crashed = make_fragile(scene)
+        crashed = crash_on_poison(scene)
         for round_ in range(6):
             vm = f"vm-{round_ % 2}"
             await scene.ask(vm, "/one/poison")
@@ -61,7 +61,7 @@
 
 def test_a_request_that_may_run_once_is_counted_over_all_vms() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        crashed = make_fragile(scene)
+        crashed = crash_on_poison(scene)
         for round_ in range(8):
             await scene.ask(f"vm-{round_ % 4}", "/once/poison", "POST", b"x")
             await deployment.settle(3.0)
@@ -70,11 +70,11 @@
     scenes.run(scenario, vms=4)
 
 
-def test_lost_answers_blame_nobody() -> None:
-    """A searcher's answers get lost; the searcher lives.
+def test_lost_answers_are_not_attributed_as_crashes() -> None:
+    """Guards against quarantining a request because its answers got lost.
 
-    Each loss breaks one connection and a new one can be opened, so the
-    request did not crash it and may come again.
+    Each loss breaks one connection and a new one can be opened, so the request
+    did not crash the searcher and may be sent again.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
