--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -87,13 +87,13 @@
 
         target.pool.probe(handle_probe)
 
-    def adopt(self, blamed: catalog.RequestBlamed) -> None:
+    def adopt(self, report: catalog.RequestBlamed) -> None:
         """Records the crashes that another VM reports."""
-        if blamed.vm == self._board.identity.vm:
+        if report.vm == self._board.identity.vm:
             return
         now_s = asyncio.get_running_loop().time()
         self._crash_counts.adopt(
-            blamed.fingerprint, blamed.vm, blamed.crashes, now_s
+            report.fingerprint, report.vm, report.crashes, now_s
         )
 
     async def run(self) -> None:
