--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -209,12 +209,12 @@
             and self._is_usable(target, sides)
             and self.bounds.is_warm_enough(target, now_s)
         ]
-        prompt = [
+        responsive = [
             (name, record)
             for name, record in usable
             if not targets[name].pool.is_stalled()
         ]
-        chosen = selection.choose(prompt, now_s, self._rng)
+        chosen = selection.choose(responsive, now_s, self._rng)
         if chosen is None:
             chosen = selection.choose(usable, now_s, self._rng)
         if chosen is None:
