--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -150,7 +150,8 @@
         announced_s: When another VM last confirmed that it announces this one.
             Written by the feed.
         leaving: True once the process has been asked to stop.
-        pause: The last pause of the process. Written by the shared bounds.
+        pause: The last pause of the process. Written by the shared bounds
+            controller.
         running: Number of callers' requests that are running now.
     """
 
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -151,7 +151,7 @@
 
         Returns:
             The time spent before the request was sent plus the round trip, in
-                seconds; 0 if unknown.
+            seconds; 0 if unknown.
         """
         request = self._request
         spent_s = CONNECTION_ROUND_TRIPS * request.connection_setup_s
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -159,7 +159,7 @@
 
     Returns:
         One text per call, `service searcher start: end outcome`, with times in
-            milliseconds since the request began.
+        milliseconds since the request began.
     """
     descriptions: list[str] = []
     for each in parts:
