--- a/src/azureramp/controllers/forwarding/advertised.py
+++ b/src/azureramp/controllers/forwarding/advertised.py
@@ -1,4 +1,4 @@
-"""Which VMs this VM advertises to callers, kept on the blackboard."""
+"""Selection of the VMs that this VM advertises to callers."""
 
 from __future__ import annotations
 
@@ -14,27 +14,33 @@
 
 
 def update(board: board_module.Board) -> None:
-    """Chooses anew after a change of the VMs, searchers or routes."""
+    """Selects the advertised VMs after a change of VMs, searchers or routes.
+
+    Args:
+        board: The state whose `advertised` is updated.
+    """
     services = find_used_services(board.configuration)
-    chosen = advertising.choose(
+    selected = advertising.choose(
         board.members.values(),
         measure_nearness(board, services),
         find_fewest_connections(board.configuration, services),
     )
     before = board.advertised
-    board.advertised = {member.vm: member for member in chosen}
+    board.advertised = {member.vm: member for member in selected}
     if board.advertised.keys() != before.keys():
         _log_change(board, before.keys())
 
 
 def _log_change(board: board_module.Board, before: Collection[str]) -> None:
-    """Logs a change of the VMs advertised to callers.
+    """Logs a change of the VMs that are advertised to callers.
 
-    A process that serves callers logs only what concerns itself.
+    A process that serves callers logs only whether it is advertised itself.
     """
     vm = board.identity.vm
     if not board.identity.serves_callers:
-        _logger.info("advertised to callers: {}", ", ".join(board.advertised))
+        _logger.info(
+            "VMs advertised to callers: {}", ", ".join(board.advertised)
+        )
     elif (vm in before) != (vm in board.advertised):
         state = "now" if vm in board.advertised else "no longer"
         _logger.info("this VM is {} advertised to callers", state)
@@ -43,7 +49,11 @@
 def find_used_services(
     configuration: catalog.Configuration | None,
 ) -> set[str]:
-    """Returns the services that routes name."""
+    """Returns the services that are the destination of a route.
+
+    Args:
+        configuration: The configuration; None if there is none yet.
+    """
     used: set[str] = set()
     for route in configuration.routes if configuration else ():
         match route.destination:
@@ -57,10 +67,14 @@
 def measure_nearness(
     board: board_module.Board, services: set[str]
 ) -> dict[str, float]:
-    """Returns the share of the searchers in use that each zone holds.
+    """Returns the share of the used searchers in each availability zone.
 
-    Each service counts the same, however many searchers it has: a request to
-    all shards makes one call to each.
+    All services have the same weight, however many searchers they have, since
+    a request to all shards makes one call to each.
+
+    Args:
+        board: The state.
+        services: The services in use.
     """
     nearness: dict[str, float] = {}
     for service in services:
@@ -70,15 +84,23 @@
             if target.searcher.zone not in board.zones_out
         ]
         for zone in zones:
-            part = 1.0 / (len(zones) * len(services))
-            nearness[zone] = nearness.get(zone, 0.0) + part
+            share = 1.0 / (len(zones) * len(services))
+            nearness[zone] = nearness.get(zone, 0.0) + share
     return nearness
 
 
 def find_fewest_connections(
     configuration: catalog.Configuration | None, services: set[str]
 ) -> int:
-    """Returns the fewest connections that a searcher in use accepts."""
+    """Returns the lowest connection limit of the searchers in use.
+
+    Args:
+        configuration: The configuration; None if there is none yet.
+        services: The services in use.
+
+    Returns:
+        The limit; 0 if there is no configuration or no service in it.
+    """
     if configuration is None:
         return 0
     return min(
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -1,4 +1,4 @@
-"""Bringing the store's entries into force on the blackboard."""
+"""Application of the store's entries to the blackboard."""
 
 from __future__ import annotations
 
@@ -22,17 +22,19 @@
 from azureramp.policy import routing
 from azureramp.ports.store import api as store_api
 
-SETTLE_S = 2.2
-"""How long after the store's return a searcher or VM whose entry lapsed is
-still used, in seconds. Those that live are back within about two."""
+LAPSE_GRACE_S = 2.2
+"""Time after the store's recovery for which searchers and VMs with lapsed
+entries stay in use, in seconds. Those that are alive write their entries again
+within about 2 s."""
 
 Decode = Callable[[store_api.Entry], catalog.Update | None]
+"""Decodes an entry; None if it doesn't concern this process."""
 
 _logger = logbook.Logger("azureramp.applying")
 
 
 class Applying:
-    """Keeps the blackboard at what the entries say.
+    """Updates the blackboard from the store's entries.
 
     Attributes:
         on_configuration: Called after each new configuration.
@@ -62,7 +64,18 @@
         log: change_log.ChangeLog,
         known_rollouts: rollouts.Rollouts,
     ) -> None:
-        """Makes a controller that has taken nothing."""
+        """Makes a controller that has applied no entries.
+
+        Args:
+            board: The state.
+            decode: Decodes entries.
+            known: Handles the entries of searchers.
+            blames: Handles the entries of crashes attributed to requests.
+            others: Handles the entries of VMs.
+            contacts: Tracks the store's reachability.
+            log: Logs the changes.
+            known_rollouts: Handles the orders and records of roll-outs.
+        """
         self._rollouts = known_rollouts
         self._log = log
         self._revision = 0
@@ -76,7 +89,11 @@
         self.on_configuration = None
 
     def apply(self, entries: Sequence[store_api.Entry]) -> None:
-        """Takes entries that are new."""
+        """Applies new entries.
+
+        Args:
+            entries: The entries, ordered by revision.
+        """
         for entry in entries:
             self._apply_one(entry)
             self._revision = max(self._revision, entry.revision)
@@ -84,38 +101,40 @@
         self._flush()
 
     async def run_log(self) -> None:
-        """Writes the counts of changes that had to wait, forever."""
+        """Logs delayed counts of changes periodically. Never returns."""
         while True:
-            await asyncio.sleep(change_log.SPAN_S)
+            await asyncio.sleep(change_log.FLUSH_INTERVAL_S)
             self._flush()
 
     def _flush(self) -> None:
-        """Writes the counts of changes if it is time."""
+        """Logs the counts of changes if the interval has passed."""
         self._log.flush(asyncio.get_running_loop().time(), self._revision)
 
     async def run(self) -> None:
-        """Drops what lapsed once the store has been back, forever."""
+        """Drops lapsed searchers and VMs after each outage. Never returns."""
         while True:
-            await self._contact.wait_settled(SETTLE_S)
+            await self._contact.wait_until_stable(LAPSE_GRACE_S)
             self._searchers.drop_lapsed()
             self._members.drop_lapsed()
             self._searchers.update_limits()
 
     def _apply_one(self, entry: store_api.Entry) -> None:
-        """Takes one entry."""
+        """Applies one entry."""
         match self._decode(entry):
             case catalog.ConfigurationDeclared(configuration=configuration):
                 self._take_configuration(configuration)
             case catalog.SearcherSeen(searcher=searcher):
                 self._searchers.put(searcher)
             case catalog.SearcherGone(id=searcher):
-                self._take_gone(searcher, entry)
+                self._handle_missing_searcher(searcher, entry)
             case catalog.ZoneEvacuated(zone=zone, out=out):
-                self._take_evacuation(zone, out)
+                self._apply_evacuation(zone, out)
             case catalog.MemberSeen(member=member):
                 self._members.put(member)
             case catalog.MemberGone(vm=vm):
-                self._members.remove(vm, self._contact.is_settled(SETTLE_S))
+                self._members.remove(
+                    vm, self._contact.has_been_reachable(LAPSE_GRACE_S)
+                )
             case catalog.RequestBlamed() as blamed:
                 self._crashes.adopt(blamed)
             case catalog.RolloutOrdered(order=order):
@@ -130,7 +149,7 @@
                 pass
 
     def _take_configuration(self, new: catalog.Configuration) -> None:
-        """Puts a configuration into force unless a newer one is."""
+        """Applies a configuration unless it is older than the current one."""
         board = self._board
         if (
             board.configuration is not None
@@ -143,30 +162,38 @@
         if self.on_configuration is not None:
             self.on_configuration(new)
 
-    def _take_gone(self, searcher: str, entry: store_api.Entry) -> None:
-        """Takes that a searcher's entry is gone or can't be used.
+    def _handle_missing_searcher(
+        self, searcher: str, entry: store_api.Entry
+    ) -> None:
+        """Handles a searcher's entry that is deleted or invalid.
 
-        An entry may lapse while the store is away though the searcher lives;
-        it is used until the store has been back for long enough.
+        An entry may lapse during an outage of the store although the searcher
+        is alive. The searcher stays in use until the store has been reachable
+        for `LAPSE_GRACE_S`.
         """
         if entry.value is not None:
-            self._skip(f"the entry of searcher {searcher} can't be used")
+            self._skip(f"the entry of searcher {searcher} is invalid")
             self._searchers.remove(searcher)
-        elif self._contact.is_settled(SETTLE_S):
+        elif self._contact.has_been_reachable(LAPSE_GRACE_S):
             self._searchers.remove(searcher)
         else:
             self._searchers.lapse(searcher)
 
     def _skip(self, reason: str) -> None:
-        """Tells of an entry that is not applied."""
+        """Counts and logs an entry that is not applied."""
         self._log.count(change_log.Change.SKIPPED)
         now_s = asyncio.get_running_loop().time()
         self._log.tell(_logger, f"skipped an entry: {reason}", now_s)
 
-    def _take_evacuation(self, zone: str, out: bool) -> None:
-        """Takes an availability zone out of use, or back."""
+    def _apply_evacuation(self, zone: str, out: bool) -> None:
+        """Evacuates an availability zone, or restores it.
+
+        Args:
+            zone: The zone.
+            out: True to evacuate it.
+        """
         if out:
             self._board.zones_out.add(zone)
         else:
             self._board.zones_out.discard(zone)
-        _logger.info("zone {} is {}", zone, "out" if out else "in")
+        _logger.info("availability zone {} is {}", zone, "out" if out else "in")
--- a/src/azureramp/controllers/forwarding/change_log.py
+++ b/src/azureramp/controllers/forwarding/change_log.py
@@ -1,8 +1,9 @@
-"""Telling of the store's changes in few log lines.
+"""Aggregated logging of the store's changes.
 
-Every VM hears of every searcher and VM. A line for each would grow with their
-product, so a VM counts them in one line, and writes a line of its own only for
-a searcher that its requests use.
+Every VM receives the changes of every searcher and VM. Logging each of them on
+each VM would produce a number of lines that grows with the product of both.
+Therefore, a VM logs counts, and a single line only for a searcher that its
+requests use.
 """
 
 from __future__ import annotations
@@ -14,16 +15,17 @@
 
 from azureramp.policy import sampling
 
-SPAN_S = 5.0
-"""Least time between two lines with counts, in seconds."""
+FLUSH_INTERVAL_S = 5.0
+"""Minimum time between two lines with counts, in seconds."""
 
-SINGLE_PER_S = 5.0
-SINGLE_BURST = 20.0
-"""Lines a second on single searchers in the long run, and at once."""
+LINES_PER_S = 5.0
+LINE_BURST = 20.0
+"""Rate limit of the lines on single searchers: sustained lines per second, and
+the size of a burst in lines."""
 
 
 class Change(enum.Enum):
-    """What is counted; the value is the field's name."""
+    """Kinds of counted changes; the value is the name of the log field."""
 
     SEARCHER_READY = "searchers_ready"
     SEARCHER_DRAINING = "searchers_draining"
@@ -34,23 +36,29 @@
 
 
 class ChangeLog:
-    """Writes the lines of one process."""
+    """Counts and logs the changes that one process receives."""
 
     __slots__ = ("_counts", "_due_s", "_logger", "_sampler")
 
     def __init__(self) -> None:
-        """Makes a log that has counted nothing."""
+        """Makes a log without counted changes."""
         self._counts: collections.Counter[Change] = collections.Counter()
         self._due_s = 0.0
         self._logger = logbook.Logger("azureramp.changes")
-        self._sampler = sampling.Sampler(SINGLE_PER_S, SINGLE_BURST)
+        self._sampler = sampling.Sampler(LINES_PER_S, LINE_BURST)
 
     def count(self, change: Change) -> None:
-        """Counts a change for the next line."""
+        """Counts a change for the next line with counts."""
         self._counts[change] += 1
 
     def tell(self, channel: logbook.Logger, text: str, now_s: float) -> None:
-        """Writes a line on a single searcher, within the bound."""
+        """Logs a line on a single searcher unless the rate limit is reached.
+
+        Args:
+            channel: The logger to use.
+            text: The line.
+            now_s: The current time, in seconds.
+        """
         if not self._sampler.take(now_s):
             return
         left_out = self._sampler.take_left_out()
@@ -59,15 +67,15 @@
         )
 
     def flush(self, now_s: float, revision: int) -> None:
-        """Writes the counts unless the last line was just written.
+        """Logs the counts, at most once per `FLUSH_INTERVAL_S`.
 
         Args:
-            now_s: The time.
-            revision: The store's revision up to which changes were taken.
+            now_s: The current time, in seconds.
+            revision: The store's revision up to which changes are applied.
         """
         if not self._counts or now_s < self._due_s:
             return
-        self._due_s = now_s + SPAN_S
+        self._due_s = now_s + FLUSH_INTERVAL_S
         fields = {change.value: n for change, n in self._counts.items()}
         self._counts.clear()
         self._logger.info("changes", extra={"revision": revision, **fields})
--- a/src/azureramp/controllers/forwarding/contact.py
+++ b/src/azureramp/controllers/forwarding/contact.py
@@ -1,4 +1,4 @@
-"""Whether the platform's store can be reached, as all its users see it."""
+"""Tracks whether the platform's store is reachable, for all its users."""
 
 from __future__ import annotations
 
@@ -13,93 +13,119 @@
 
 
 class Contacts:
-    """Keeps the state of contact on the blackboard."""
+    """Records the outcome of store calls on the blackboard."""
 
-    __slots__ = ("_board", "_changed", "_lost")
+    __slots__ = ("_board", "_failed", "_recovered")
 
     def __init__(self, board: board_module.Board) -> None:
-        """Makes one that has not reached the store yet."""
+        """Makes a tracker without any recorded call.
+
+        Args:
+            board: The state whose `contact` is updated.
+        """
         self._board = board
-        self._changed = asyncio.Event()
-        self._lost = asyncio.Event()
+        self._recovered = asyncio.Event()
+        self._failed = asyncio.Event()
 
-    def note_success(self) -> None:
-        """Takes a call that worked."""
+    def record_success(self) -> None:
+        """Records that a call succeeded."""
         contact = self._board.contact
         contact.confirmed_s = asyncio.get_running_loop().time()
         if contact.reachable:
             return
         contact.reachable = True
         contact.regained_s = contact.confirmed_s
-        self._changed.set()
-        _logger.info("the store can be reached")
+        self._recovered.set()
+        _logger.info("the store is reachable again")
 
-    def note_relayed(self, age_s: float, regained_s: float) -> None:
-        """Takes what another VM told of the store.
+    def record_relayed_contact(self, age_s: float, regained_s: float) -> None:
+        """Records how another VM, the relay, sees the store.
 
-        It shows that the store's news get here. A VM that holds a lease goes by
-        its own renewals.
+        An update from a relay shows that the store's changes reach this VM. It
+        makes the store count as reachable only while this VM holds no lease;
+        with a lease, the VM's own renewals decide.
 
         Args:
-            age_s: How long ago the store answered that VM, in seconds.
-            regained_s: How long ago the store came back to it, in seconds.
+            age_s: Time since the store last answered the relay, in seconds.
+            regained_s: Time since the relay reached the store again, in
+                seconds.
         """
         contact = self._board.contact
         now_s = asyncio.get_running_loop().time()
         before_s = contact.confirmed_s
         if not self._board.lease:
-            self.note_success()
+            self.record_success()
         contact.confirmed_s = max(before_s, now_s - age_s)
         if now_s - regained_s > contact.regained_s:
             contact.regained_s = now_s - regained_s
-            self._changed.set()
+            self._recovered.set()
+
+    def get_time_since_recovery_s(self) -> float:
+        """Returns the time since the store became reachable again.
 
-    def get_regained_s(self) -> float:
-        """Returns how long ago the store came back; infinite if never."""
+        Returns:
+            The time in seconds; infinite if the store never was reached.
+        """
         now_s = asyncio.get_running_loop().time()
         return now_s - self._board.contact.regained_s
 
-    def get_age_s(self) -> float:
-        """Returns how long ago the store was last known to answer."""
+    def get_time_since_answer_s(self) -> float:
+        """Returns the time since the last confirmed answer of the store.
+
+        Returns:
+            The time in seconds; infinite if the store never answered.
+        """
         now_s = asyncio.get_running_loop().time()
         return now_s - self._board.contact.confirmed_s
 
-    def note_failure(self, failure: errors.Failure) -> None:
-        """Takes a call that failed."""
+    def record_failure(self, failure: errors.Failure) -> None:
+        """Records that a call failed.
+
+        Args:
+            failure: The error, which is logged.
+        """
         contact = self._board.contact
         if not contact.reachable:
             return
         contact.reachable = False
-        self._lost.set()
-        self._lost = asyncio.Event()
+        self._failed.set()
+        self._failed = asyncio.Event()
         _logger.warning(
-            "the store can't be reached: {} {}",
+            "the store is unreachable: {} {}",
             failure.kind.value,
             failure.detail,
         )
 
-    async def wait_lost(self) -> None:
-        """Waits until a call fails while the store could be reached."""
-        await self._lost.wait()
+    async def wait_for_failure(self) -> None:
+        """Waits until a call fails while the store counts as reachable."""
+        await self._failed.wait()
 
-    def is_settled(self, after_s: float) -> bool:
-        """Tells whether the store has been reachable for some time."""
+    def has_been_reachable(self, duration_s: float) -> bool:
+        """Returns True if the store has been reachable for a given time.
+
+        Args:
+            duration_s: The time in seconds.
+        """
         contact = self._board.contact
         now_s = asyncio.get_running_loop().time()
-        return contact.reachable and now_s - contact.regained_s >= after_s
+        return contact.reachable and now_s - contact.regained_s >= duration_s
+
+    async def wait_until_stable(self, duration_s: float) -> None:
+        """Waits until the store is back and has stayed reachable for a time.
 
-    async def wait_settled(self, after_s: float) -> None:
-        """Waits until the store has come back and stayed for some time.
+        A store that is lost and back again within that time restarts the wait.
+        Otherwise, entries that lapsed earlier would stay in use until the next
+        outage.
 
-        A store that is lost and back again within that time must not end the
-        wait for good: what lapsed before would be used until the next outage.
+        Args:
+            duration_s: The time in seconds.
         """
         contact = self._board.contact
-        await self._changed.wait()
+        await self._recovered.wait()
         while True:
-            self._changed.clear()
-            await asyncio.sleep(after_s)
-            if self.is_settled(after_s - 0.01):
+            self._recovered.clear()
+            await asyncio.sleep(duration_s)
+            if self.has_been_reachable(duration_s - 0.01):
                 return
             if not contact.reachable:
-                await self._changed.wait()
+                await self._recovered.wait()
--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -1,4 +1,8 @@
-"""What this VM learns of the platform's store, by itself or from another VM."""
+"""Reception of the store's changes, from the store or from another VM.
+
+One VM of each availability zone watches the store and relays its changes to
+the other VMs of the zone.
+"""
 
 from __future__ import annotations
 
@@ -20,68 +24,70 @@
 from azureramp.ports.relays import api as relays_api
 from azureramp.ports.store import api as store_api
 
-WATCH_S = 10.0
-"""Longest wait of one watch, in seconds. Keepalive probes end one on a
-connection that went silent within some 3 s, so a longer wait would save calls
-but not cost any time; it is bounded for stores that count waiting calls."""
+WATCH_TIMEOUT_S = 10.0
+"""Maximum duration of one watch, in seconds. Keepalive probes end a watch
+within about 3 s when its connection goes dead, so a longer limit would save
+calls without delaying detection; it is bounded for stores that limit the
+number of waiting calls."""
 
-SHORT_WATCH_S = 0.3
-"""Longest wait of a watch while the store may be away, in seconds; with the
-time for its answer, a return is noticed within a second and a half."""
+OUTAGE_WATCH_TIMEOUT_S = 0.3
+"""Maximum duration of a watch while the store may be unreachable, in seconds.
+Including the time for the answer, the store's recovery is noticed within
+1.5 s."""
 
-UNKEPT_WATCH_S = 1.0
-"""Longest wait of a watch of a VM that holds no lease, in seconds: no renewal
-that fails would tell it that the store is silent."""
+LEASELESS_WATCH_TIMEOUT_S = 1.0
+"""Maximum duration of a watch of a VM that holds no lease, in seconds. Such a
+VM has no failing renewals that show that the store is unreachable."""
 
-FRESH_S = 1.0
-"""Age of the last changes, and of the store's last word, up to which a VM that
-lost the one that it asked looks for another one before it watches the store, in
-seconds."""
+MAX_RECENT_AGE_S = 1.0
+"""Maximum age of the last received changes and of the store's last answer, in
+seconds, up to which a VM whose relay failed tries another relay before it
+watches the store."""
 
-BATCH_S = 0.4
-"""Pause between two watches, in seconds. A storm of changes is read twice a
-second instead of once a change; it is a small part of the seconds in which a
-change must be in force."""
+WATCH_PAUSE_S = 0.4
+"""Pause between two watches, in seconds. It batches a burst of changes into
+about two reads a second instead of one for each change, and is short compared
+to the few seconds in which a change must be in force."""
 
-RELAY_WAIT_S = 1.0
-"""Longest wait of a question to another VM, in seconds. One that stands still
-is left after this and the answer's time, so that there is still time to hear
-of a change from the store."""
+RELAY_WAIT_TIMEOUT_S = 1.0
+"""Maximum wait of a request to a relay, in seconds. A relay that hangs is
+abandoned after this plus the response timeout, which leaves time to receive a
+change from the store itself."""
 
 RELAY_PAUSE_S = 0.2
-"""Pause between two questions to another VM, in seconds."""
+"""Pause between two requests to a relay, in seconds."""
 
-RELAY_AGE_MS = 2200
-"""Longest time since the store answered a VM for which it is believed, in
-milliseconds: two of its lease's renewals."""
+MAX_RELAY_AGE_MS = 2200
+"""Maximum time since the store answered a relay, in milliseconds, for the
+relay to count as current: two of its lease renewals."""
 
-AVOID_S = 3.0
-"""How long a VM that didn't answer, or is behind, is not asked, in seconds."""
+FAILED_RELAY_AVOID_S = 3.0
+"""Time for which a relay is avoided that timed out or is behind, in seconds."""
 
-REFUSED_S = 0.5
-"""The same for one that refused at once, in seconds: it has just started, or
-is about to follow the store."""
+REFUSING_RELAY_AVOID_S = 0.5
+"""Time for which a relay is avoided that refused a request at once, in seconds.
+It has just started, or is about to follow the store."""
 
-RETRY_LEAST_S = 0.1
-RETRY_MOST_S = 0.5
-"""Pause after a failed call, drawn between these, in seconds: VMs that lost
-the store together don't come back to it together."""
+MIN_RETRY_PAUSE_S = 0.1
+MAX_RETRY_PAUSE_S = 0.5
+"""Bounds of the random pause after a failed call, in seconds. It keeps VMs
+that lost the store at the same time from retrying at the same time."""
 
 STORE = "store"
-"""The source of changes that were heard of from the store itself."""
+"""Name of the source while changes are received from the store itself."""
 
 Run = Callable[[], Coroutine[Any, Any, None]]
 Apply = Callable[[Sequence[store_api.Entry]], None]
-"""Takes entries that are new, in the order of their revisions."""
+"""Applies new entries, ordered by revision."""
 
 _logger = logbook.Logger("azureramp.feed")
 
 
 class Feed:
-    """Follows the store's entries.
+    """Keeps this VM's copy of the store's entries up to date.
 
     Attributes:
-        on_relay: Called when this VM becomes the one that others ask.
+        on_relay: Called when this VM becomes the relay of its zone.
     """
 
     __slots__ = (
@@ -89,8 +95,8 @@
         "_avoided_until_s",
         "_board",
         "_contact",
-        "_heard_s",
         "_is_seed",
+        "_received_s",
         "_relay",
         "_relays",
         "_rng",
@@ -116,12 +122,12 @@
         Args:
             board: The state.
             store: The store.
-            relays: The other VMs.
-            seeds: Addresses of some VMs, which may be down.
-            own: Keeps this VM's copy.
-            contacts: Told of calls that worked or failed.
-            apply: Takes what is new.
-            rng: Draws the pauses.
+            relays: Client of the other VMs.
+            seeds: Peer addresses of some VMs, which may be down.
+            own: This VM's relay, with its copy of the entries.
+            contacts: Records the outcome of store calls.
+            apply: Applies new entries.
+            rng: Source of random pauses and of the order of the seeds.
         """
         self._board = board
         self._store = store
@@ -136,121 +142,138 @@
         self._rng = rng
         self._avoided_until_s: dict[str, float] = {}
         self._source = ""
-        self._heard_s = -math.inf
+        self._received_s = -math.inf
 
     async def run(self) -> None:
-        """Follows the store, forever."""
+        """Follows the store. Never returns."""
         while True:
             await self._read_all()
-            while await self._follow():
+            while await self._receive_once():
                 pass
 
     async def _read_all(self) -> None:
-        """Reads everything from the store.
+        """Reads all entries from the store; retries until it succeeds.
 
-        While the store can't be reached and nothing is known, another VM's
-        copy is better than none, however old.
+        While the store is unreachable and this VM has no entries, it starts
+        with another VM's copy, however old.
         """
         while True:
             result = await self._store.read_prefix("")
             if result.is_ok():
                 break
-            self._contact.note_failure(result.error)
+            self._contact.record_failure(result.error)
             if not self._relay.copy.revision:
-                await self._borrow()
+                await self._copy_from_seed()
             await self._pause()
-        self._contact.note_success()
+        self._contact.record_success()
         listing = result.ok
         present = {entry.key for entry in listing.entries}
-        gone = [
+        deleted = [
             store_api.Entry(key, None, listing.revision)
             for key in self._relay.copy.list_keys()
             if key not in present
         ]
-        self._take((*gone, *listing.entries), listing.revision)
+        self._apply_new((*deleted, *listing.entries), listing.revision)
         _logger.info(
             "read {} entries at revision {}",
             len(listing.entries),
             listing.revision,
         )
 
-    async def _borrow(self) -> None:
-        """Takes another VM's copy, as a start."""
-        question = relays_api.Question(self._board.identity.vm, 0, 0)
+    async def _copy_from_seed(self) -> None:
+        """Copies all entries of the first seed that answers."""
+        request = relays_api.ChangesRequest(self._board.identity.vm, 0, 0)
         for address in self._seeds:
-            result = await self._relays.ask(address, question)
+            result = await self._relays.ask(address, request)
             if result.is_ok():
-                heard = result.ok
+                response = result.ok
                 _logger.info(
-                    "took {} entries from {}, {} ms old",
-                    len(heard.entries),
+                    "copied {} entries from {}, {} ms old",
+                    len(response.entries),
                     address,
-                    heard.age_ms,
+                    response.age_ms,
                 )
-                self._take(heard.entries, heard.revision)
+                self._apply_new(response.entries, response.revision)
                 return
 
-    async def _follow(self) -> bool:
-        """Hears of changes once; False if everything must be read anew."""
+    async def _receive_once(self) -> bool:
+        """Receives changes once, from a relay or from the store.
+
+        Returns:
+            False if all entries must be read again.
+        """
         chosen = self._choose_relay()
         if chosen is not None:
-            if await self._follow_relay(chosen):
+            if await self._receive_from_relay(chosen):
                 return True
-            if self._is_fresh():
+            if self._is_recent():
                 await asyncio.sleep(RELAY_PAUSE_S)
                 return True
-        self._note_source(STORE)
+        self._set_source(STORE)
         result = await self._watch()
         if result.is_error():
             if result.error.kind is errors.Kind.STORE_HISTORY_GONE:
-                _logger.info("the store's history is gone; reading anew")
+                _logger.info(
+                    "the store has compacted its history; reading all entries"
+                )
                 return False
-            self._contact.note_failure(result.error)
+            self._contact.record_failure(result.error)
             await self._pause()
             return True
-        self._contact.note_success()
-        self._take(result.ok.entries, result.ok.revision)
-        await asyncio.sleep(BATCH_S)
+        self._contact.record_success()
+        self._apply_new(result.ok.entries, result.ok.revision)
+        await asyncio.sleep(WATCH_PAUSE_S)
         return True
 
-    def _is_fresh(self) -> bool:
-        """Tells whether changes were heard of just now, and are no older."""
-        heard_s = asyncio.get_running_loop().time() - self._heard_s
-        return max(heard_s, self._contact.get_age_s()) < FRESH_S
+    def _is_recent(self) -> bool:
+        """Returns True if the last update and the store's answer are recent."""
+        age_s = asyncio.get_running_loop().time() - self._received_s
+        return (
+            max(age_s, self._contact.get_time_since_answer_s())
+            < MAX_RECENT_AGE_S
+        )
 
     async def _watch(
         self,
     ) -> expression.Result[store_api.Listing, errors.Failure]:
         """Watches the store once.
 
-        A store that goes silent may never answer a watch that waited then,
-        also after it is back. So one is given up once another call fails, and
-        until one works again, watches are short.
+        A store that stops responding may never answer a pending watch, even
+        after it has recovered. So the watch is cancelled as soon as another
+        call fails, and watches are short until a call succeeds.
         """
         after = self._relay.copy.revision
-        old = self._contact.get_age_s() * 1000 > RELAY_AGE_MS
-        if old or not self._board.contact.reachable:
-            return await self._store.watch("", after, SHORT_WATCH_S)
+        outdated = (
+            self._contact.get_time_since_answer_s() * 1000 > MAX_RELAY_AGE_MS
+        )
+        if outdated or not self._board.contact.reachable:
+            return await self._store.watch("", after, OUTAGE_WATCH_TIMEOUT_S)
         if not self._board.lease:
-            return await self._store.watch("", after, UNKEPT_WATCH_S)
-        watching = asyncio.ensure_future(self._store.watch("", after, WATCH_S))
-        lost = asyncio.ensure_future(self._contact.wait_lost())
+            return await self._store.watch("", after, LEASELESS_WATCH_TIMEOUT_S)
+        watch = asyncio.ensure_future(
+            self._store.watch("", after, WATCH_TIMEOUT_S)
+        )
+        failed = asyncio.ensure_future(self._contact.wait_for_failure())
         try:
             await asyncio.wait(
-                {watching, lost}, return_when=asyncio.FIRST_COMPLETED
+                {watch, failed}, return_when=asyncio.FIRST_COMPLETED
             )
-            if watching.done():
-                return watching.result()
+            if watch.done():
+                return watch.result()
         finally:
-            lost.cancel()
-            watching.cancel()
+            failed.cancel()
+            watch.cancel()
         detail = "another call failed"
         return expression.Error(
             errors.Failure(errors.Kind.STORE_UNAVAILABLE, detail)
         )
 
     def _choose_relay(self) -> str | None:
-        """Chooses the address of the VM to ask; None to watch the store."""
+        """Chooses the relay to use.
+
+        Returns:
+            The relay's peer address; None if this VM should watch the store.
+        """
         now_s = asyncio.get_running_loop().time()
         for address, until_s in list(self._avoided_until_s.items()):
             if until_s <= now_s:
@@ -264,49 +287,61 @@
             self._rng.sample(seeds, len(seeds)),
             self._avoided_until_s,
         )
-        self._note_relay(chosen is None and not self._avoided_until_s)
+        self._set_is_relay(chosen is None and not self._avoided_until_s)
         return chosen
 
-    def _note_relay(self, is_relay: bool) -> None:
-        """Keeps whether this VM is the one that others ask."""
+    def _set_is_relay(self, is_relay: bool) -> None:
+        """Records on the board whether this VM is the relay of its zone."""
         became = is_relay and not self._board.is_relay
         self._board.is_relay = is_relay
         if became and self.on_relay is not None:
             self.on_relay()
 
-    async def _follow_relay(self, address: str) -> bool:
-        """Hears of changes from a VM; False if it is of no use now."""
-        self._note_source(address)
+    async def _receive_from_relay(self, address: str) -> bool:
+        """Requests changes from a relay once.
+
+        Args:
+            address: The relay's peer address.
+
+        Returns:
+            False if the relay failed or is behind and is avoided for a while.
+        """
+        self._set_source(address)
         loop = asyncio.get_running_loop()
         asked_s = loop.time()
-        result = await self._relays.ask(address, self._make_question())
-        if result.is_error() or result.ok.age_ms > RELAY_AGE_MS:
+        result = await self._relays.ask(address, self._make_request())
+        if result.is_error() or result.ok.age_ms > MAX_RELAY_AGE_MS:
             now_s = loop.time()
-            waited = now_s - asked_s > RELAY_WAIT_S
-            avoid_s = AVOID_S if waited or result.is_ok() else REFUSED_S
+            waited = now_s - asked_s > RELAY_WAIT_TIMEOUT_S
+            avoid_s = (
+                FAILED_RELAY_AVOID_S
+                if waited or result.is_ok()
+                else REFUSING_RELAY_AVOID_S
+            )
             self._avoided_until_s[address] = now_s + avoid_s
             reason = "is behind"
             if result.is_error():
                 reason = result.error.detail or result.error.kind.value
-            _logger.info("not following {} for now: {}", address, reason)
+            _logger.info("avoiding the relay {}: {}", address, reason)
             return False
-        heard = result.ok
-        self._contact.note_relayed(
-            heard.age_ms / 1000, heard.regained_ms / 1000
+        response = result.ok
+        self._contact.record_relayed_contact(
+            response.age_ms / 1000, response.regained_ms / 1000
         )
-        if heard.announced:
+        if response.announced:
             self._board.announced_s = loop.time()
-        self._take(heard.entries, heard.revision)
-        # An answer may come at once, and again: changes that the other VM has
-        # only read half, or a wait that it cut short without the store.
+        self._apply_new(response.entries, response.revision)
+        # Limits the rate of requests: responses may follow each other without
+        # a wait, if the relay has read only part of the changes, or ends waits
+        # early because it can't reach the store.
         await asyncio.sleep(RELAY_PAUSE_S)
         return True
 
-    def _make_question(self) -> relays_api.Question:
-        """Makes the question for what is new.
+    def _make_request(self) -> relays_api.ChangesRequest:
+        """Makes a request for the changes after this VM's revision.
 
-        It announces this VM by the one that is asked, unless this VM does that
-        itself.
+        It contains this VM's entry, so that the relay announces it, unless
+        this VM announces itself.
         """
         board = self._board
         announced = (
@@ -314,16 +349,23 @@
             and board.is_ready()
             and not board.announces_itself
         )
-        return relays_api.Question(
+        return relays_api.ChangesRequest(
             board.identity.vm,
             self._relay.copy.revision,
-            round(RELAY_WAIT_S * 1000),
+            round(RELAY_WAIT_TIMEOUT_S * 1000),
             board.describe() if announced else None,
         )
 
-    def _take(self, entries: Sequence[store_api.Entry], revision: int) -> None:
-        """Takes entries, those that are new to be applied."""
-        self._heard_s = asyncio.get_running_loop().time()
+    def _apply_new(
+        self, entries: Sequence[store_api.Entry], revision: int
+    ) -> None:
+        """Updates the copy, and applies the entries that are new to it.
+
+        Args:
+            entries: The received entries.
+            revision: The store's revision up to which they are complete.
+        """
+        self._received_s = asyncio.get_running_loop().time()
         copy = self._relay.copy
         new = [entry for entry in entries if copy.put(entry)]
         copy.revision = max(copy.revision, revision)
@@ -331,14 +373,16 @@
             self._apply(new)
             self._relay.wake()
 
-    def _note_source(self, source: str) -> None:
-        """Keeps from whom changes are heard."""
+    def _set_source(self, source: str) -> None:
+        """Records the source of changes, and logs when it differs."""
         self._board.follows_store = source == STORE
         if source != self._source:
             self._source = source
             self._relay.wake()
-            _logger.info("hearing of changes from {}", source)
+            _logger.info("receiving changes from {}", source)
 
     async def _pause(self) -> None:
-        """Waits a moment after a failed call."""
-        await asyncio.sleep(self._rng.uniform(RETRY_LEAST_S, RETRY_MOST_S))
+        """Waits for a random pause after a failed call."""
+        await asyncio.sleep(
+            self._rng.uniform(MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S)
+        )
--- a/src/azureramp/controllers/forwarding/leaving.py
+++ b/src/azureramp/controllers/forwarding/leaving.py
@@ -1,4 +1,4 @@
-"""The graceful end of a process that forwards requests."""
+"""Graceful shutdown of a process that forwards requests."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from azureramp.controllers.forwarding import members
 from azureramp.ports.web import server as web_server
 
-ADVERTISED_SHARE = 0.4
-"""Share of the time before the kill in which callers still may come: those
-that keep an answer of this tier's directory for its lifetime, and some for
+ACCEPT_SHARE = 0.4
+"""Share of the grace period in which callers may still open connections.
+Callers cache the directory's response for its lifetime, and some of them for
 three times as long."""
 
-END_SHARE = 0.92
-"""Share of that time after which whatever still runs is cut; the rest is for
-closing."""
+CANCEL_SHARE = 0.92
+"""Share of the grace period after which running requests are cancelled. The
+rest is left for closing connections."""
 
 _logger = logbook.Logger("azureramp.leaving")
 
@@ -27,30 +27,31 @@
     others: members.Members,
     front: web_server.Server,
 ) -> int:
-    """Ends the service of callers without cutting a request.
+    """Stops serving callers, and lets running requests finish.
 
-    The directory of every VM stops naming this one at once. Callers that
-    still know it are served for a while; then new connections are refused,
-    so that they go elsewhere, and the requests that run come to their end.
+    The directories of all VMs stop advertising this one at once. Callers that
+    still have its address cached are served for a while. Then new connections
+    are refused, so that callers use another VM, and running requests may
+    finish until `CANCEL_SHARE` of the grace period has passed.
 
     Args:
         board: The state; `leaving` is set.
-        others: Takes this VM's entry away.
-        front: The callers' server.
+        others: Deletes this VM's entry.
+        front: The server for callers.
 
     Returns:
-        How many requests were cut.
+        The number of requests that were cancelled.
     """
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     grace_s = board.bounds.grace_s
     board.leaving = True
-    _logger.info("leaving, {} requests run", board.running)
-    announcing = asyncio.ensure_future(others.leave())
-    await asyncio.sleep(ADVERTISED_SHARE * grace_s / 2)
+    _logger.info("shutting down with {} running requests", board.running)
+    removal = asyncio.ensure_future(others.leave())
+    await asyncio.sleep(ACCEPT_SHARE * grace_s / 2)
     front.closing = True
-    await asyncio.sleep(ADVERTISED_SHARE * grace_s / 2)
-    limit_s = began_s + END_SHARE * grace_s - loop.time()
-    cut = await front.stop(max(0.0, limit_s))
-    announcing.cancel()
-    return cut
+    await asyncio.sleep(ACCEPT_SHARE * grace_s / 2)
+    timeout_s = began_s + CANCEL_SHARE * grace_s - loop.time()
+    cancelled = await front.stop(max(0.0, timeout_s))
+    removal.cancel()
+    return cancelled
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -1,4 +1,4 @@
-"""The VMs of this tier: announcing this one, and knowing the others."""
+"""Announcement of this VM in the store, and the list of the other VMs."""
 
 from __future__ import annotations
 
@@ -16,31 +16,33 @@
 from azureramp.ports.store import api as store_api
 
 LEASE_S = 3.0
-"""Length of the lease on this VM's entry, in seconds. A VM that dies is named
-to callers at most this long, plus the way of the news."""
+"""Length of the lease on this VM's entry, in seconds. A VM that dies is
+advertised to callers for at most this long plus the propagation of the
+change."""
 
-RENEW_S = 1.0
-"""Time between renewals, in seconds: two may be lost."""
+RENEW_INTERVAL_S = 1.0
+"""Time between renewals, in seconds. The lease survives two lost renewals."""
 
-LOOK_S = 0.25
-"""Time between two looks at how late timers fire, in seconds."""
+LAG_CHECK_INTERVAL_S = 0.25
+"""Time between two measurements of the event loop's lag, in seconds."""
 
-WRITES = 2
-"""Writes in one turn: the first may run into an older entry."""
+WRITE_ATTEMPTS = 2
+"""Attempts to write an entry before the next renewal; the first may conflict
+with an older entry."""
 
-UNANNOUNCED_S = 2.0
-"""How long a VM that another one announced waits to be announced again before
-it announces itself, in seconds."""
+ANNOUNCEMENT_TIMEOUT_S = 2.0
+"""Time without an announcement by another VM after which a VM announces
+itself, in seconds."""
 
-START_S = 1.0
-"""How much of that time has passed at the start, in seconds: nobody knows of a
-VM that has just started."""
+START_ELAPSED_S = 1.0
+"""Part of `ANNOUNCEMENT_TIMEOUT_S` that counts as elapsed when the process
+starts, in seconds, since no VM can have announced it yet."""
 
 _logger = logbook.Logger("azureramp.members")
 
 
 class Members:
-    """Announces this VM and keeps the others on the blackboard."""
+    """Announces this VM and maintains the list of VMs on the blackboard."""
 
     __slots__ = (
         "_board",
@@ -54,7 +56,7 @@
         "_rng",
         "_roster",
         "_store",
-        "_wanted",
+        "_wake_event",
         "_written",
     )
 
@@ -65,7 +67,7 @@
         copy: relaying.Copy,
         announced: roster.Roster,
         make_key: roster.MakeKey,
-        encode: roster.Encode,
+        encode: roster.EncodeMember,
         contacts: contact.Contacts,
         rng: random.Random,
         log: change_log.ChangeLog,
@@ -75,19 +77,19 @@
         Args:
             board: The state.
             store: The store.
-            copy: What this VM knows of the store.
+            copy: This VM's copy of the store's entries.
             announced: The VMs that this one announces.
             make_key: Returns the key of a VM's entry.
             encode: Returns the value of a VM's entry.
-            contacts: Told of calls that worked or failed.
-            rng: Draws the pauses.
-            log: Tells of the other VMs.
+            contacts: Records the outcome of store calls.
+            rng: Source of the random renewal intervals.
+            log: Counts changes of the other VMs.
         """
         self._log = log
         self._copy = copy
         self._roster = announced
         self._make_key = make_key
-        self._wanted = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._board = board
         self._store = store
         self._encode = encode
@@ -98,19 +100,24 @@
         self._lapsed: set[str] = set()
 
     def put(self, member: catalog.Member) -> None:
-        """Takes a VM's announcement."""
+        """Adds a VM to the list, or updates its entry.
+
+        Args:
+            member: The VM as it is announced in the store.
+        """
         self._lapsed.discard(member.vm)
         if self._board.members.get(member.vm) != member:
             self._log.count(change_log.Change.VM_SEEN)
         self._board.members[member.vm] = member
 
     def remove(self, vm: str, settled: bool) -> None:
-        """Takes that a VM's entry is gone.
+        """Handles the deletion of a VM's entry.
 
         Args:
             vm: The VM's name.
-            settled: False if the store was away just now: the entry may have
-                lapsed though the VM lives.
+            settled: False if the store was unreachable until a moment ago. The
+                entry may then have lapsed although the VM is alive, so the VM
+                is kept until `drop_lapsed`.
         """
         if vm == self._board.identity.vm:
             self._written = False
@@ -120,63 +127,69 @@
             self._log.count(change_log.Change.VM_GONE)
 
     def drop_lapsed(self) -> None:
-        """Forgets the VMs whose entries have not come back."""
+        """Removes the VMs whose lapsed entries have not been written again."""
         for vm in self._lapsed:
             if self._board.members.pop(vm, None) is not None:
                 self._log.count(change_log.Change.VM_GONE)
         self._lapsed.clear()
 
     async def run(self) -> None:
-        """Announces this VM while it is ready, forever."""
+        """Announces this VM whenever it is ready. Never returns."""
         while True:
-            self._wanted.clear()
+            self._wake_event.clear()
             if self._board.is_ready():
                 await self._announce()
-            pause_s = RENEW_S * self._rng.uniform(0.9, 1.0)
+            pause_s = RENEW_INTERVAL_S * self._rng.uniform(0.9, 1.0)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s):
-                    await self._wanted.wait()
+                    await self._wake_event.wait()
 
     def wake(self) -> None:
-        """Looks at once whether a lease is needed."""
-        self._wanted.set()
+        """Makes `run` check now whether this VM needs a lease."""
+        self._wake_event.set()
 
     async def run_overload(self) -> None:
-        """Tells the other VMs when this one is busy, forever."""
+        """Measures this VM's load and publishes changes. Never returns."""
         overload = overload_module.Overload()
         loop = asyncio.get_running_loop()
         while True:
-            due_s = loop.time() + LOOK_S
-            await asyncio.sleep(LOOK_S)
+            due_s = loop.time() + LAG_CHECK_INTERVAL_S
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             now_s = loop.time()
             busy = overload.add(now_s - due_s, now_s)
             if busy != self._board.busy:
                 self._board.busy = busy
                 self._written = False
-                _logger.info("this VM is {}", "busy" if busy else "not busy")
+                _logger.info(
+                    "this VM is now {}", "busy" if busy else "not busy"
+                )
 
     async def leave(self) -> None:
-        """Takes this VM's entry away, as far as the store can be reached."""
+        """Deletes this VM's entry.
+
+        Does not retry if the store is unreachable; the entry then lapses with
+        its lease.
+        """
         key = self._make_key(self._board.identity.vm)
-        expected = self._get_revision(key)
-        for _ in range(WRITES):
+        expected = self._get_own_revision(key)
+        for _ in range(WRITE_ATTEMPTS):
             result = await self._store.delete(key, expected)
             if result.is_error():
                 kind = result.error.kind.value
-                _logger.warning("could not leave: {}", kind)
+                _logger.warning("could not delete this VM's entry: {}", kind)
                 return
             match result.ok:
                 case store_api.Conflicted(present=present) if present:
                     expected = present.revision
                 case _:
-                    _logger.info("took this VM's entry away")
+                    _logger.info("deleted this VM's entry")
                     return
 
     def _announces_itself(self) -> bool:
-        """Tells whether no other VM should announce this one.
+        """Returns True if no other VM should announce this one.
 
-        An advertised one doesn't depend on another VM's lease, and neither do
-        those that announce others.
+        VMs that are advertised to callers or that announce others must not
+        depend on another VM's lease.
         """
         board = self._board
         return (
@@ -185,67 +198,73 @@
             or self._roster.has_followers()
         )
 
-    def _is_unannounced(self) -> bool:
-        """Tells whether no other VM has announced this one for too long."""
+    def _is_announcement_overdue(self) -> bool:
+        """Returns True if the last announcement by another VM is too old."""
         board = self._board
         now_s = asyncio.get_running_loop().time()
-        last_s = max(board.announced_s, board.started_s - START_S)
-        return now_s - last_s > UNANNOUNCED_S
+        last_s = max(board.announced_s, board.started_s - START_ELAPSED_S)
+        return now_s - last_s > ANNOUNCEMENT_TIMEOUT_S
 
     async def _announce(self) -> None:
-        """Renews the lease, or writes the entry under a new one."""
+        """Renews this VM's lease, and writes its entry if necessary."""
         board = self._board
         board.announces_itself = self._announces_itself()
-        needed = board.announces_itself or self._is_unannounced()
-        if not needed and not self._is_own_entry():
-            # Another VM announces this one; a lease that is left lapses.
+        needed = board.announces_itself or self._is_announcement_overdue()
+        if not needed and not self._has_own_entry():
+            # Another VM announces this one. A lease that is still held is no
+            # longer renewed and expires.
             board.lease = ""
             return
         if board.lease:
             kept = await self._store.keep_lease(board.lease)
             if kept.is_error():
-                self._contact.note_failure(kept.error)
+                self._contact.record_failure(kept.error)
                 return
-            self._contact.note_success()
+            self._contact.record_success()
             if not kept.ok:
                 board.lease = ""
         if not board.lease:
             granted = await self._store.grant_lease(LEASE_S)
             if granted.is_error():
-                self._contact.note_failure(granted.error)
+                self._contact.record_failure(granted.error)
                 return
             board.lease = granted.ok
             self._written = False
-        if needed and not self._is_own_entry():
+        if needed and not self._has_own_entry():
             await self._write_entry()
 
-    def _is_own_entry(self) -> bool:
-        """Tells whether the store holds this VM's entry under its own lease.
+    def _has_own_entry(self) -> bool:
+        """Returns True if the store has this VM's entry under its own lease.
 
-        The copy may show that another VM has written it since.
+        That is no longer so if the copy of the store shows a later write by
+        another VM.
         """
         if not self._written or not self._board.lease:
             return False
         key = self._make_key(self._board.identity.vm)
         return self._copy.get_revision(key) <= self._revision
 
-    def _get_revision(self, key: str) -> int:
-        """Returns the revision of this VM's entry, as far as it is known."""
+    def _get_own_revision(self, key: str) -> int:
+        """Returns the latest known revision of this VM's entry.
+
+        Args:
+            key: The entry's key.
+        """
         if self._copy.revision >= self._revision:
             return self._copy.get_revision(key)
         return self._revision
 
     async def _write_entry(self) -> None:
-        """Writes this VM's entry.
+        """Writes this VM's entry and replaces a conflicting one.
 
-        What stands in its way is an entry of this VM's last process, one by the
-        VM that announced it, or a write whose answer was lost: it is replaced.
+        A conflicting entry comes from this VM's previous process, from the VM
+        that announced this one, or from an own write whose answer was lost.
         """
         board = self._board
         member = board.describe()
         key = self._make_key(member.vm)
-        expected = self._get_revision(key)
-        for _ in range(WRITES):
+        expected = self._get_own_revision(key)
+        for _ in range(WRITE_ATTEMPTS):
             if not board.lease or not board.is_ready():
                 return
             result = await self._store.write(
@@ -254,7 +273,7 @@
             if result.is_error():
                 board.lease = ""
                 if result.error.kind is not errors.Kind.NOT_FOUND:
-                    self._contact.note_failure(result.error)
+                    self._contact.record_failure(result.error)
                 return
             match result.ok:
                 case store_api.Written(revision=revision):
--- a/src/azureramp/controllers/forwarding/relay.py
+++ b/src/azureramp/controllers/forwarding/relay.py
@@ -1,4 +1,4 @@
-"""Passing the store's changes on to other VMs."""
+"""Serving of the store's changes to other VMs."""
 
 from __future__ import annotations
 
@@ -15,32 +15,39 @@
 from azureramp.ports.store import api as store_api
 from azureramp.ports.web import api as web_api
 
-MOST_WAIT_S = 5.0
-"""Longest wait for a change, in seconds."""
+MAX_WAIT_S = 5.0
+"""Maximum time that a request may wait for a change, in seconds."""
 
-READY_S = 0.4
-"""Longest wait until this VM follows the store itself, in seconds. VMs that
-lose the one that they asked come here at the moment in which this one turns to
-the store."""
+READY_TIMEOUT_S = 0.4
+"""Maximum time that a request may wait for this VM to follow the store, in
+seconds. When a zone loses its relay, the requests of the other VMs arrive just
+as this VM begins to watch the store."""
 
-MOST_AGE_S = 3600.0
-"""Longest age in an answer, in seconds."""
+MAX_AGE_S = 3600.0
+"""Maximum age given in a response, in seconds."""
 
-MOST_PACKED = 8
-"""Most encoded sets of changes that are kept. The VMs of a zone ask for the
-same changes at the same time."""
+MAX_CACHED_SETS = 8
+"""Maximum number of cached encoded sets of changes. The VMs of a zone request
+the same changes at the same time."""
 
 _logger = logbook.Logger("azureramp.relay")
 
 
 class Relay:
-    """Answers other VMs from this one's copy of the entries.
+    """Answers other VMs' requests for changes from this VM's copy.
 
     Attributes:
-        copy: The copy.
+        copy: This VM's copy of the store's entries.
     """
 
-    __slots__ = ("_board", "_changed", "_contact", "_packed", "_roster", "copy")
+    __slots__ = (
+        "_board",
+        "_changed",
+        "_contact",
+        "_encoded_sets",
+        "_roster",
+        "copy",
+    )
 
     def __init__(
         self,
@@ -49,95 +56,126 @@
         announced: roster.Roster,
         contacts: contact.Contacts,
     ) -> None:
-        """Makes a relay that has heard nothing."""
+        """Makes a relay without waiting requests.
+
+        Args:
+            board: The state.
+            copy: This VM's copy of the store's entries.
+            announced: The VMs that this one announces.
+            contacts: Tracks the store's reachability.
+        """
         self._board = board
         self._roster = announced
         self._contact = contacts
         self._changed = asyncio.Event()
-        self._packed: dict[tuple[int, int], encoding.Packed] = {}
+        self._encoded_sets: dict[tuple[int, int], encoding.EncodedEntries] = {}
         self.copy = copy
 
     def wake(self) -> None:
-        """Lets those that wait look again."""
-        self._packed.clear()
+        """Makes waiting requests check for changes again."""
+        self._encoded_sets.clear()
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def handle(self, request: web_api.Request) -> web_api.Response:
-        """Answers a VM that asks for changes."""
+        """Handles another VM's request for changes.
+
+        Returns:
+            Status 200 with the changes; 400 for a malformed request; 404 for
+            another path; 410 if this VM no longer has all changes after the
+            requested revision; 503 if it can't answer now.
+        """
         if request.path != api.CHANGES_PATH:
             return web_api.Response(404)
         try:
-            question = encoding.decode_question(request.body)
+            changes_request = encoding.decode_request(request.body)
         except msgspec.DecodeError as error:
-            _logger.warning("could not read a VM's question: {}", error)
+            _logger.warning("could not decode a VM's request: {}", error)
             return web_api.Response(400)
         try:
-            return await self._answer(question)
+            return await self._answer(changes_request)
         except asyncio.CancelledError:
-            self._roster.take_cut(question.vm)
+            self._roster.handle_disconnect(changes_request.vm)
             raise
 
-    async def _answer(self, question: api.Question) -> web_api.Response:
-        """Answers a question."""
+    async def _answer(
+        self, changes_request: api.ChangesRequest
+    ) -> web_api.Response:
+        """Answers a decoded request, after a wait for changes if necessary."""
         loop = asyncio.get_running_loop()
-        wait_s = min(question.wait_ms / 1000, MOST_WAIT_S)
+        wait_s = min(changes_request.wait_ms / 1000, MAX_WAIT_S)
         until_s = loop.time() + wait_s
-        ready_s = loop.time() + min(wait_s, READY_S)
-        while not self._can_answer(question):
+        ready_s = loop.time() + min(wait_s, READY_TIMEOUT_S)
+        while not self._can_answer(changes_request):
             if not await self._wait(ready_s):
                 return web_api.Response(503)
-        if question.after:
-            self._roster.take_question(question.vm, question.member)
-        announced = self._roster.is_announced(question.vm)
-        waits = True
+        if changes_request.after:
+            self._roster.handle_request(
+                changes_request.vm, changes_request.member
+            )
+        announced = self._roster.is_announced(changes_request.vm)
+        may_wait = True
         while True:
-            # Looked up again after the wait's end too: a change may come in
-            # the moment in which it ends, and its revision is answered.
-            changes = self.copy.list_changes(question.after)
+            # Changes are listed again after a timeout too: one may arrive just
+            # as the wait ends, and the response contains its revision.
+            changes = self.copy.list_changes(changes_request.after)
             if changes is None:
                 return web_api.Response(410)
             if (
                 changes
-                or not waits
-                or announced != self._roster.is_announced(question.vm)
-                # Whoever waits here had better watch by itself.
+                or not may_wait
+                or announced != self._roster.is_announced(changes_request.vm)
+                # The VMs that wait should watch the store themselves.
                 or not self._board.contact.reachable
             ):
-                return self._encode(question, changes)
-            waits = await self._wait(until_s)
+                return self._encode(changes_request, changes)
+            may_wait = await self._wait(until_s)
 
-    def _can_answer(self, question: api.Question) -> bool:
-        """Tells whether this VM's copy is good enough for a question.
+    def _can_answer(self, changes_request: api.ChangesRequest) -> bool:
+        """Returns True if this VM's copy is current enough for a request.
 
-        One that follows another VM tells nothing new. As a start for a VM
-        that knows nothing, its copy will do.
+        A VM that follows another VM must not serve updates. Its copy is good
+        enough as the initial state of a VM that has none.
         """
         if not self.copy.revision:
             return False
-        return not question.after or self._board.follows_store
+        return not changes_request.after or self._board.follows_store
 
     def _encode(
-        self, question: api.Question, changes: tuple[store_api.Entry, ...]
+        self,
+        changes_request: api.ChangesRequest,
+        changes: tuple[store_api.Entry, ...],
     ) -> web_api.Response:
-        """Encodes an answer; the changes once for all that ask for them."""
-        span = (question.after, self.copy.revision)
-        packed = self._packed.get(span)
-        if packed is None:
-            if len(self._packed) >= MOST_PACKED:
-                del self._packed[next(iter(self._packed))]
-            packed = self._packed[span] = encoding.pack(changes)
+        """Encodes a response.
+
+        Requests for the same changes share one encoded set.
+        """
+        cache_key = (changes_request.after, self.copy.revision)
+        encoded = self._encoded_sets.get(cache_key)
+        if encoded is None:
+            if len(self._encoded_sets) >= MAX_CACHED_SETS:
+                del self._encoded_sets[next(iter(self._encoded_sets))]
+            encoded = self._encoded_sets[cache_key] = encoding.encode_entries(
+                changes
+            )
         body = encoding.encode_changes(
             self.copy.revision,
-            _to_ms(self._contact.get_age_s()),
-            _to_ms(self._contact.get_regained_s()),
-            self._roster.is_announced(question.vm),
-            packed,
+            _to_ms(self._contact.get_time_since_answer_s()),
+            _to_ms(self._contact.get_time_since_recovery_s()),
+            self._roster.is_announced(changes_request.vm),
+            encoded,
         )
         return web_api.Response(200, body, encoding.CONTENT_TYPE)
 
     async def _wait(self, until_s: float) -> bool:
-        """Waits for a change; False once the time is over."""
+        """Waits for a change.
+
+        Args:
+            until_s: The end of the wait, on the event loop's clock.
+
+        Returns:
+            False if the wait timed out.
+        """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(until_s):
                 await self._changed.wait()
@@ -146,5 +184,5 @@
 
 
 def _to_ms(age_s: float) -> int:
-    """Returns an age in whole milliseconds, an hour at most."""
-    return round(min(age_s, MOST_AGE_S) * 1000)
+    """Converts an age to whole milliseconds, at most `MAX_AGE_S`."""
+    return round(min(age_s, MAX_AGE_S) * 1000)
--- a/src/azureramp/controllers/forwarding/rollout_writer.py
+++ b/src/azureramp/controllers/forwarding/rollout_writer.py
@@ -72,14 +72,14 @@
                 )
             )
             if result.is_error():
-                self._contact.note_failure(result.error)
+                self._contact.record_failure(result.error)
                 _logger.warning(
                     "could not write the roll-out of {}: {}",
                     wanted.order.service,
                     result.error.kind.value,
                 )
                 return None
-            self._contact.note_success()
+            self._contact.record_success()
             match result.ok:
                 case store_api.Written(revision=revision):
                     return revision
--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -1,4 +1,7 @@
-"""Announcing the VMs that hear of the store's changes from this one."""
+"""Announcement of the VMs that receive the store's changes from this one.
+
+These VMs, the followers, are written to the store under this VM's lease.
+"""
 
 from __future__ import annotations
 
@@ -16,21 +19,22 @@
 from azureramp.policy import roster as policy
 from azureramp.ports.store import api as store_api
 
-WRITE_S = 0.25
-"""Time between two looks at what is to be written, in seconds: VMs that start
-or stop together are written together."""
+WRITE_INTERVAL_S = 0.25
+"""Time between two checks for pending writes, in seconds. VMs that start or
+stop within it are written in one batch."""
 
-IDLE_S = 2.0
-"""The same while no VM asks this one, in seconds."""
+IDLE_INTERVAL_S = 2.0
+"""Time between two checks while there are no followers, in seconds."""
 
-UNKNOWN_S = 0.5
-"""Pause after a write without an answer, in seconds: mostly the copy shows by
-then whether it took effect."""
+UNKNOWN_OUTCOME_PAUSE_S = 0.5
+"""Pause after a write without an answer, in seconds. By then the copy of the
+store usually shows whether the write took effect."""
 
-LATE_S = 1.0
-"""How late a look must be to show that the process stood still, in seconds."""
+PAUSE_THRESHOLD_S = 1.0
+"""Delay of a check beyond its due time, in seconds, from which on the process
+counts as having been paused."""
 
-Encode = Callable[[catalog.Member], bytes]
+EncodeMember = Callable[[catalog.Member], bytes]
 """Returns the value of a VM's entry."""
 
 MakeKey = Callable[[str], str]
@@ -40,10 +44,10 @@
 
 
 class Roster:
-    """Keeps the entries of the VMs that ask this one.
+    """Maintains the entries of this VM's followers in the store.
 
     Attributes:
-        on_first: Called when there is something to write and no lease.
+        on_first: Called when a follower is added while this VM has no lease.
     """
 
     __slots__ = (
@@ -51,10 +55,10 @@
         "_contact",
         "_copy",
         "_encode",
+        "_follower_added",
         "_followers",
         "_make_key",
         "_store",
-        "_wanted",
         "on_first",
     )
 
@@ -64,10 +68,19 @@
         store: store_api.BatchStore,
         copy: relaying.Copy,
         make_key: MakeKey,
-        encode: Encode,
+        encode: EncodeMember,
         contacts: contact.Contacts,
     ) -> None:
-        """Makes a roster without followers; see `run`."""
+        """Makes a roster without followers; see `run`.
+
+        Args:
+            board: The state.
+            store: The store.
+            copy: This VM's copy of the store's entries.
+            make_key: Returns the key of a VM's entry.
+            encode: Returns the value of a VM's entry.
+            contacts: Records the outcome of store calls.
+        """
         self._board = board
         self._store = store
         self._copy = copy
@@ -75,20 +88,20 @@
         self._encode = encode
         self._contact = contacts
         self._followers: dict[str, policy.Follower] = {}
-        self._wanted = asyncio.Event()
+        self._follower_added = asyncio.Event()
         self.on_first: Callable[[], None] | None = None
 
     def has_followers(self) -> bool:
-        """Tells whether this VM announces any other."""
+        """Returns True if this VM announces any other VM."""
         return bool(self._followers)
 
-    def take_question(self, vm: str, member: catalog.Member | None) -> None:
-        """Takes that a VM asked for changes.
+    def handle_request(self, vm: str, member: catalog.Member | None) -> None:
+        """Handles a VM's request for changes.
 
         Args:
             vm: The VM.
-            member: What to announce of it; None if it announces itself. An
-                entry of it that this VM keeps stays until it is replaced.
+            member: The entry to announce for it; None if it announces itself.
+                An entry that this VM wrote for it stays until it is replaced.
         """
         until_s = asyncio.get_running_loop().time() + policy.SILENT_S
         follower = self._followers.get(vm)
@@ -96,61 +109,70 @@
             follower.until_s = until_s
         if member is None:
             return
-        kept = dataclasses.replace(member, keeper=self._board.identity.vm)
+        announced = dataclasses.replace(member, keeper=self._board.identity.vm)
         if follower is None:
-            self._followers[vm] = policy.Follower(kept, until_s)
-            self._wanted.set()
+            self._followers[vm] = policy.Follower(announced, until_s)
+            self._follower_added.set()
             if not self._board.lease and self.on_first is not None:
                 self.on_first()
         else:
-            follower.member = kept
+            follower.member = announced
+
+    def handle_disconnect(self, vm: str) -> None:
+        """Shortens a follower's liveness after its connection closed.
 
-    def take_cut(self, vm: str) -> None:
-        """Takes that the connection of a VM's question ended."""
+        Args:
+            vm: The VM whose request was cancelled.
+        """
         follower = self._followers.get(vm)
         if follower is not None:
             until_s = asyncio.get_running_loop().time() + policy.CUT_S
             follower.until_s = min(follower.until_s, until_s)
 
     def is_announced(self, vm: str) -> bool:
-        """Tells whether a VM's entry is in the store by this VM's doing."""
+        """Returns True if this VM has written another VM's entry.
+
+        Args:
+            vm: The other VM.
+        """
         follower = self._followers.get(vm)
         return follower is not None and follower.written is not None
 
     async def run(self) -> None:
-        """Writes what has changed, forever."""
+        """Writes pending changes periodically. Never returns."""
         loop = asyncio.get_running_loop()
         while True:
             if not self._followers:
                 await self._wait_for_work()
-            due_s = loop.time() + WRITE_S
-            await asyncio.sleep(WRITE_S)
-            if loop.time() - due_s > LATE_S:
-                self._forgive_silence()
+            due_s = loop.time() + WRITE_INTERVAL_S
+            await asyncio.sleep(WRITE_INTERVAL_S)
+            if loop.time() - due_s > PAUSE_THRESHOLD_S:
+                self._extend_liveness()
             await self._write()
 
     async def _wait_for_work(self) -> None:
-        """Waits for a follower, or for a while.
+        """Waits until there is a follower, at most `IDLE_INTERVAL_S`.
 
-        An entry that this VM kept and nobody follows any more is rare: a write
-        whose answer was lost took effect late.
+        The timeout lets `run` delete leftover entries of former followers.
+        They are rare: the answer to their write was lost, and the write took
+        effect late.
         """
-        self._wanted.clear()
+        self._follower_added.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(IDLE_S):
-                await self._wanted.wait()
+            async with asyncio.timeout(IDLE_INTERVAL_S):
+                await self._follower_added.wait()
 
-    def _forgive_silence(self) -> None:
-        """Takes all followers to live.
+    def _extend_liveness(self) -> None:
+        """Treats all followers as alive after a pause of this process.
 
-        A process that stood still has not read yet what they asked meanwhile.
+        It has not yet read the requests that arrived during the pause.
         """
         until_s = asyncio.get_running_loop().time() + policy.SILENT_S
         for follower in self._followers.values():
             follower.until_s = until_s
 
     async def _write(self) -> None:
-        """Writes what has changed, in as few calls as it fits."""
+        """Writes all pending changes in as few batches as possible."""
         present = self._list_present()
         if not present and not self._followers:
             return
@@ -170,63 +192,82 @@
     async def _write_batch(
         self, batch: list[policy.Update], lease: str
     ) -> bool:
-        """Writes a batch; False if the rest had better wait."""
+        """Writes a batch.
+
+        Args:
+            batch: The updates.
+            lease: The lease of the entries.
+
+        Returns:
+            False if the remaining batches should wait for the next round.
+        """
         changes = [self._encode_update(update, lease) for update in batch]
         result = await self._store.write_batch(changes)
         if result.is_error():
-            return await self._take_failure(result.error, batch)
-        self._contact.note_success()
+            return await self._handle_failure(result.error, batch)
+        self._contact.record_success()
         match result.ok:
             case store_api.Written(revision=revision):
-                self._note_written(batch, revision)
+                self._record_written(batch, revision)
                 return True
             case store_api.BatchConflicted():
-                # The copy lags behind; what it shows soon decides.
+                # The copy of the store is outdated; the next round plans
+                # with its update.
                 return False
 
-    async def _take_failure(
+    async def _handle_failure(
         self, failure: errors.Failure, batch: list[policy.Update]
     ) -> bool:
-        """Takes a batch that failed; returns False."""
+        """Handles a failed batch.
+
+        Args:
+            failure: The error.
+            batch: The updates that may not be written.
+
+        Returns:
+            False: the remaining batches should wait for the next round.
+        """
         if failure.kind is errors.Kind.NOT_FOUND:
-            _logger.info("the lease of the VMs announced here has ended")
+            _logger.info("the lease of this VM and its followers has expired")
             self._board.lease = ""
             return False
-        self._contact.note_failure(failure)
+        self._contact.record_failure(failure)
         if failure.kind is errors.Kind.STORE_OUTCOME_UNKNOWN:
             for update in batch:
                 follower = self._followers.get(update.vm)
                 if follower is not None:
                     follower.attempted = self._copy.revision
-            await asyncio.sleep(UNKNOWN_S)
+            await asyncio.sleep(UNKNOWN_OUTCOME_PAUSE_S)
         return False
 
     def _encode_update(
         self, update: policy.Update, lease: str
     ) -> store_api.Change:
-        """Makes the store's change of an update."""
+        """Encodes an update as a change of the store."""
         key = self._make_key(update.vm)
         if update.member is None:
             return store_api.Change(key, None, update.expected)
         value = self._encode(update.member)
         return store_api.Change(key, value, update.expected, lease)
 
-    def _note_written(self, batch: list[policy.Update], revision: int) -> None:
-        """Takes that a batch took effect."""
+    def _record_written(
+        self, batch: list[policy.Update], revision: int
+    ) -> None:
+        """Records that a batch was written at a revision."""
         for update in batch:
             follower = self._followers.get(update.vm)
             if follower is not None and update.member is not None:
                 follower.written = revision
         removed = sum(update.member is None for update in batch)
         _logger.info(
-            "announced {} VMs and took back {} at revision {}",
+            "wrote {} and deleted {} entries of VMs at revision {}",
             len(batch) - removed,
             removed,
             revision,
         )
 
     def _list_present(self) -> dict[str, policy.Present]:
-        """Lists the entries of followers, and those that this VM keeps."""
+        """Returns the entries of followers and those written by this VM."""
         present: dict[str, policy.Present] = {}
         keeper = self._board.identity.vm
         for vm, member in self._board.members.items():
--- a/src/azureramp/ports/relays/__init__.py
+++ b/src/azureramp/ports/relays/__init__.py
@@ -1,1 +1,1 @@
-"""Hearing of the store's entries from another VM."""
+"""Receiving the store's entries from another VM."""
--- a/src/azureramp/ports/relays/api.py
+++ b/src/azureramp/ports/relays/api.py
@@ -1,4 +1,4 @@
-"""The interface to another VM that tells what it heard of the store."""
+"""The interface to another VM that relays the store's changes."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from azureramp.ports.store import api as store_api
 
 CHANGES_PATH = "/v1/changes"
-"""Where a VM tells of the changes after a revision, or of everything."""
+"""Path at which a VM serves the changes after a revision, or all entries."""
 
 
-class Question(msgspec.Struct, frozen=True):
-    """What a VM asks another one.
+class ChangesRequest(msgspec.Struct, frozen=True):
+    """A VM's request for changes.
 
     Attributes:
-        vm: The VM that asks.
-        after: Only changes after this revision; 0 for everything.
-        wait_ms: How long to wait for a change, in milliseconds.
-        member: What to announce of the VM that asks; None if it announces
-            itself.
+        vm: The requesting VM.
+        after: Revision after which changes are requested; 0 for all entries.
+        wait_ms: Maximum time to wait for a change, in milliseconds.
+        member: The requesting VM's entry, to be announced by the other VM;
+            None if it announces itself.
     """
 
     vm: str
@@ -32,16 +32,17 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a VM answers: the entries that changed.
+    """The response: the entries that changed.
 
     Attributes:
-        revision: The store's revision that it has followed to.
-        age_ms: How long ago the store last answered it, in milliseconds.
-        regained_ms: How long ago the store came back to it, in milliseconds.
-        entries: The entries that changed, by revision; those that were
-            deleted have no value.
-        announced: True if the store holds the announcement of the VM that
-            asked under the lease of the one that answers.
+        revision: The store's revision up to which the responding VM has read.
+        age_ms: Time since the store last answered that VM, in milliseconds.
+        regained_ms: Time since that VM reached the store again, in
+            milliseconds.
+        entries: The entries that changed, ordered by revision; deleted ones
+            have no value.
+        announced: True if the store has the requesting VM's entry under the
+            responding VM's lease.
     """
 
     revision: int
@@ -52,18 +53,24 @@
 
 
 class Relays(Protocol):
-    """The other VMs.
+    """Client of the other VMs.
 
-    Errors: `STORE_UNAVAILABLE` if the VM doesn't follow the store or can't be
-    reached; `STORE_HISTORY_GONE` if it doesn't know so old changes any more.
+    Errors: `STORE_UNAVAILABLE` if the VM doesn't follow the store or is
+    unreachable; `STORE_HISTORY_GONE` if it no longer has all changes after the
+    requested revision.
     """
 
     async def ask(
-        self, address: str, question: Question
+        self, address: str, request: ChangesRequest
     ) -> expression.Result[Changes, errors.Failure]:
-        """Asks the VM at `IP:port` for changes."""
+        """Requests changes from another VM.
+
+        Args:
+            address: The VM's peer address, `IP:port`.
+            request: The request.
+        """
         ...
 
     async def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
         ...
--- a/src/azureramp/ports/relays/encoding.py
+++ b/src/azureramp/ports/relays/encoding.py
@@ -1,4 +1,4 @@
-"""The wire form of what VMs ask and tell each other."""
+"""Encoding of requests for changes and of the responses."""
 
 from __future__ import annotations
 
@@ -11,19 +11,23 @@
 
 CONTENT_TYPE = "application/msgpack"
 
-COMPRESSED_BYTES = 2048
-"""Entries that take more bytes than this are compressed. A configuration of
-many routes goes to every VM of a zone at once, over one VM's link."""
+MAX_UNCOMPRESSED_BYTES = 2048
+"""Encoded size above which entries are compressed, in bytes. A configuration of
+many routes is sent to every VM of a zone at once, over one VM's link."""
 
 COMPRESSION_LEVEL = 1
 
 
 class ChangesBody(msgspec.Struct, frozen=True):
-    """`api.Changes` on the wire.
+    """Wire format of `api.Changes`.
 
     Attributes:
+        revision: As in `api.Changes`.
+        age_ms: As in `api.Changes`, in milliseconds.
+        regained_ms: As in `api.Changes`, in milliseconds.
+        announced: As in `api.Changes`.
         packed: The encoded entries.
-        compressed: True if `packed` is compressed by zlib.
+        compressed: True if `packed` is compressed with zlib.
     """
 
     revision: int
@@ -34,38 +38,43 @@
     packed: bytes
 
 
-class Packed(msgspec.Struct, frozen=True):
-    """Encoded entries, which may go into many answers."""
+class EncodedEntries(msgspec.Struct, frozen=True):
+    """Encoded entries, which several responses may share.
+
+    Attributes:
+        compressed: True if `data` is compressed with zlib.
+        data: The encoded entries.
+    """
 
     compressed: bool
     data: bytes
 
 
-_question_decoder = msgspec.msgpack.Decoder(api.Question)
+_request_decoder = msgspec.msgpack.Decoder(api.ChangesRequest)
 _body_decoder = msgspec.msgpack.Decoder(ChangesBody)
 _entries_decoder = msgspec.msgpack.Decoder(tuple[store_api.Entry, ...])
 
 
-def encode_question(question: api.Question) -> bytes:
-    """Encodes a question."""
-    return msgspec.msgpack.encode(question)
+def encode_request(request: api.ChangesRequest) -> bytes:
+    """Encodes a request."""
+    return msgspec.msgpack.encode(request)
 
 
-def decode_question(data: bytes) -> api.Question:
-    """Decodes a question.
+def decode_request(data: bytes) -> api.ChangesRequest:
+    """Decodes a request.
 
     Raises:
-        DecodeError: It can't be read.
+        DecodeError: The data is malformed.
     """
-    return _question_decoder.decode(data)
+    return _request_decoder.decode(data)
 
 
-def pack(entries: tuple[store_api.Entry, ...]) -> Packed:
-    """Encodes entries, compressed if they are large."""
+def encode_entries(entries: tuple[store_api.Entry, ...]) -> EncodedEntries:
+    """Encodes entries, and compresses them if they are large."""
     data = msgspec.msgpack.encode(entries)
-    if len(data) <= COMPRESSED_BYTES:
-        return Packed(False, data)
-    return Packed(True, zlib.compress(data, COMPRESSION_LEVEL))
+    if len(data) <= MAX_UNCOMPRESSED_BYTES:
+        return EncodedEntries(False, data)
+    return EncodedEntries(True, zlib.compress(data, COMPRESSION_LEVEL))
 
 
 def encode_changes(
@@ -73,9 +82,9 @@
     age_ms: int,
     regained_ms: int,
     announced: bool,
-    packed: Packed,
+    packed: EncodedEntries,
 ) -> bytes:
-    """Encodes an answer; see `api.Changes`."""
+    """Encodes a response; see `api.Changes` for the arguments."""
     body = ChangesBody(
         revision,
         age_ms,
@@ -88,10 +97,10 @@
 
 
 def decode_changes(data: bytes) -> api.Changes:
-    """Decodes an answer.
+    """Decodes a response.
 
     Raises:
-        DecodeError: It can't be read.
+        DecodeError: The data is malformed.
     """
     body = _body_decoder.decode(data)
     packed = body.packed
--- a/src/azureramp/ports/relays/http.py
+++ b/src/azureramp/ports/relays/http.py
@@ -1,4 +1,4 @@
-"""Asking other VMs over HTTP, by the same client as the store's."""
+"""HTTP client for requests to other VMs; shares the store's client code."""
 
 from __future__ import annotations
 
@@ -9,32 +9,34 @@
 from azureramp.ports.relays import api, encoding
 from azureramp.ports.web import pools
 
-ANSWER_S = 0.4
-"""Longest time that an answer may take beyond the wait, in seconds. A VM that
-stands still must be left soon: a change has some seconds to be in force."""
+RESPONSE_TIMEOUT_S = 0.4
+"""Maximum time for a response beyond the request's wait, in seconds. A VM that
+hangs must be abandoned soon, since a change has to be in force everywhere
+within a few seconds."""
 
-MOST_VMS = 16
-"""Most VMs that connections are kept to; a VM asks one, and tries others."""
+MAX_VMS = 16
+"""Maximum number of VMs with open connections. A VM uses one relay at a time
+and tries others when it fails."""
 
 
 class HttpRelays:
-    """The other VMs over HTTP; see `api.Relays`."""
+    """HTTP client of the other VMs; see `api.Relays`."""
 
     __slots__ = ("_pools",)
 
     def __init__(self) -> None:
-        """Makes it without connections."""
-        self._pools = pools.Pools(MOST_VMS)
+        """Makes a client without connections."""
+        self._pools = pools.Pools(MAX_VMS)
 
     async def ask(
-        self, address: str, question: api.Question
+        self, address: str, request: api.ChangesRequest
     ) -> expression.Result[api.Changes, errors.Failure]:
-        """Asks a VM for changes; see `api.Relays`."""
+        """Requests changes from a VM; see `api.Relays`."""
         result = await self._pools.get(address).exchange(
             "POST",
             api.CHANGES_PATH,
-            encoding.encode_question(question),
-            timeout_s=question.wait_ms / 1000 + ANSWER_S,
+            encoding.encode_request(request),
+            timeout_s=request.wait_ms / 1000 + RESPONSE_TIMEOUT_S,
         )
         kind = errors.Kind.STORE_UNAVAILABLE
         if result.is_error():
@@ -52,5 +54,5 @@
             return expression.Error(errors.Failure(kind, str(error)))
 
     async def close(self) -> None:
-        """Closes every idle connection."""
+        """Closes all idle connections."""
         self._pools.close()
--- a/tests/forwarding/test_change_log.py
+++ b/tests/forwarding/test_change_log.py
@@ -1,4 +1,4 @@
-"""Log lines on the store's changes: few, however many VMs and searchers."""
+"""Tests that the number of log lines on the store's changes stays small."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 @contextlib.contextmanager
 def capture() -> Iterator[logbook.TestHandler]:
-    """Keeps the lines that are written meanwhile."""
+    """Captures the log lines written in the context."""
     with logbook.TestHandler(level=logbook.INFO).applicationbound() as handler:
         yield handler
 
 
 def count_lines(handler: logbook.TestHandler) -> collections.Counter[str]:
-    """Counts the lines by channel."""
+    """Counts the log lines by channel."""
     return collections.Counter(record.channel for record in handler.records)
 
 
-def test_lines_on_new_searchers_don_t_grow_with_vms_times_searchers() -> None:
-    """Guards against a line a searcher on each VM."""
+def test_new_searchers_are_logged_as_counts() -> None:
+    """Guards against a log line for each new searcher on each VM."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         await deployment.settle(4.0)
         with capture() as handler:
             for number in range(SERVICES):
                 await scene.add_searchers(f"more-{number}")
-            await deployment.settle(change_log.SPAN_S + 1.0)
+            await deployment.settle(change_log.FLUSH_INTERVAL_S + 1.0)
         counts = count_lines(handler)
         assert counts["azureramp.searchers"] == 0
         assert 0 < counts["azureramp.changes"] <= 3 * VMS
@@ -44,7 +44,7 @@
     scenes.run(scenario, vms=VMS)
 
 
-def test_a_searcher_that_requests_use_has_a_line_of_its_own() -> None:
+def test_a_change_of_a_searcher_in_use_is_logged_as_a_line() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         assert (await scene.ask("vm-0", "/one/x")).status == 200
         used = next(
@@ -56,41 +56,39 @@
             entry = scene.searchers[used].describe(State="draining")
             scene.store.put(f"servers/{used}", entry)
             await deployment.settle(1.0)
-        told = [
+        messages = [
             record.message
             for record in handler.records
             if record.channel == "azureramp.searchers"
         ]
-        assert len(told) == 1
-        assert used in told[0]
-        assert told[0].endswith("draining")
+        assert len(messages) == 1
+        assert used in messages[0]
+        assert messages[0].endswith("draining")
 
     scenes.run(scenario)
 
 
-def test_lines_on_single_searchers_are_bounded_and_say_what_is_left_out() -> (
-    None
-):
+def test_lines_on_single_searchers_are_rate_limited() -> None:
     log = change_log.ChangeLog()
     channel = logbook.Logger("azureramp.searchers")
     with capture() as handler:
         for _ in range(100):
             log.tell(channel, "searcher a is gone", 1.0)
         log.tell(channel, "searcher b is gone", 2.0)
-    assert len(handler.records) == change_log.SINGLE_BURST + 1
-    left_out = 100 - int(change_log.SINGLE_BURST)
+    assert len(handler.records) == change_log.LINE_BURST + 1
+    left_out = 100 - int(change_log.LINE_BURST)
     assert handler.records[-1].extra["lines_left_out"] == left_out
 
 
-def test_counts_wait_for_their_span() -> None:
+def test_counts_are_logged_once_per_interval() -> None:
     log = change_log.ChangeLog()
     with capture() as handler:
         log.count(change_log.Change.VM_GONE)
         log.flush(1.0, 7)
         log.count(change_log.Change.VM_SEEN)
-        log.flush(1.0 + change_log.SPAN_S / 2, 8)
+        log.flush(1.0 + change_log.FLUSH_INTERVAL_S / 2, 8)
         log.count(change_log.Change.VM_SEEN)
-        log.flush(1.0 + change_log.SPAN_S, 9)
+        log.flush(1.0 + change_log.FLUSH_INTERVAL_S, 9)
         log.flush(9.0, 9)
     first, second = handler.records
     assert first.extra["vms_gone"] == 1
--- a/tests/forwarding/test_contact.py
+++ b/tests/forwarding/test_contact.py
@@ -1,4 +1,4 @@
-"""Whether the store can be reached, and for how long it has been."""
+"""Tests of the tracking of the store's reachability."""
 
 from __future__ import annotations
 
@@ -15,35 +15,36 @@
 
 
 @pytest.mark.parametrize("flickers", [0, 1, 3])
-def test_what_lapsed_is_dropped_also_where_the_store_flickers(
+def test_wait_until_stable_ends_although_the_store_flaps(
     flickers: int,
 ) -> None:
-    """A searcher that left gets requests five seconds later, and for minutes.
+    """Guards against a wait that misses the store's second recovery.
 
-    A VM reaches the store again after a cut, loses it for a moment and reaches
-    it again. The searcher's entry went in between, so it was used until the
-    store would have stayed for two seconds. The wait for that moment forgot
-    the second return, and would have ended at the next outage only.
+    After an outage, a VM reaches the store, loses it for a moment and reaches
+    it again. A searcher whose entry lapsed in between stays in use until the
+    store has been reachable for two seconds. The wait for that missed the
+    second recovery and would have ended only after the next outage, so a
+    searcher that had left received requests for minutes.
     """
 
     async def scenario() -> None:
-        given = deployment.make_settings("vm-0", "zone-0", 30000)
+        settings = deployment.make_settings("vm-0", "zone-0", 30000)
         state = board.Board(
-            given.identity, given.bounds, metrics.Metrics(), 0.0
+            settings.identity, settings.bounds, metrics.Metrics(), 0.0
         )
-        contacts = contact.Contacts(state)
-        contacts.note_failure(LOST)
-        settled = asyncio.ensure_future(contacts.wait_settled(2.2))
+        tracker = contact.Contacts(state)
+        tracker.record_failure(LOST)
+        stable = asyncio.ensure_future(tracker.wait_until_stable(2.2))
         await asyncio.sleep(1.0)
-        contacts.note_success()
+        tracker.record_success()
         for _ in range(flickers):
             await asyncio.sleep(0.5)
-            contacts.note_failure(LOST)
+            tracker.record_failure(LOST)
             await asyncio.sleep(0.3)
-            contacts.note_success()
+            tracker.record_success()
         await asyncio.sleep(2.1)
-        assert not settled.done()
+        assert not stable.done()
         await asyncio.sleep(2.4)
-        assert settled.done()
+        assert stable.done()
 
     virtual.run(scenario())
--- a/tests/forwarding/test_relay_race.py
+++ b/tests/forwarding/test_relay_race.py
@@ -1,4 +1,4 @@
-"""Changes that reach a relay in the moment in which a wait ends."""
+"""Tests of changes that reach a relay at the moment when a wait times out."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 async def ask(
     relay: relay_module.Relay, after: int, vm: str = "asker"
 ) -> api.Changes:
-    question = api.Question(vm, after, WAIT_MS)
+    request = api.ChangesRequest(vm, after, WAIT_MS)
     response = await relay.handle(
         web_api.Request(
-            "POST", api.CHANGES_PATH, {}, {}, encoding.encode_question(question)
+            "POST", api.CHANGES_PATH, {}, {}, encoding.encode_request(request)
         )
     )
     assert response.status == 200
@@ -33,10 +33,12 @@
 
 @pytest.mark.parametrize("turns", [0, 1, 2, 3])
 @pytest.mark.parametrize("ticks", [-2, -1, 0, 1])
-def test_a_change_at_the_wait_s_end_is_not_skipped(
-    turns: int, ticks: int
-) -> None:
-    """Guards against a VM that never hears of a configuration."""
+def test_a_change_at_the_timeout_is_not_skipped(turns: int, ticks: int) -> None:
+    """Guards against a response with a change's revision but not the change.
+
+    This happened when the change arrived just as the wait timed out. The
+    requesting VM then never received that change.
+    """
 
     async def scenario(scene: deployment.Deployment) -> None:
         program: Any = scene.programs["vm-0"]
@@ -45,19 +47,19 @@
         after = relay.copy.revision
         entry = store_api.Entry("op/evacuate/zone-9", b"{}", after + 1000)
 
-        def change(left: int) -> None:
-            if left:
-                loop.call_soon(change, left - 1)
+        def deliver(turns_left: int) -> None:
+            if turns_left:
+                loop.call_soon(deliver, turns_left - 1)
             else:
-                program._feed._take((entry,), entry.revision)
+                program._feed._apply_new((entry,), entry.revision)
 
         at_s = loop.time() + WAIT_MS / 1000 + ticks * virtual.TICK_S
-        loop.call_at(at_s, change, turns)
+        loop.call_at(at_s, deliver, turns)
         first = await ask(relay, after)
-        heard = {each.key for each in first.entries}
+        received = {each.key for each in first.entries}
         second = await ask(relay, first.revision)
-        heard |= {each.key for each in second.entries}
-        assert entry.key in heard
+        received |= {each.key for each in second.entries}
+        assert entry.key in received
         again = await ask(relay, after, "another")
         assert entry.key in {each.key for each in again.entries}
 
--- a/tests/forwarding/test_roster.py
+++ b/tests/forwarding/test_roster.py
@@ -289,7 +289,7 @@
     """Other VMs that never answer."""
 
     async def ask(
-        self, address: str, question: relays_api.Question
+        self, address: str, request: relays_api.ChangesRequest
     ) -> expression.Result[relays_api.Changes, errors.Failure]:
         """Answers nothing within the time that a VM waits."""
         await asyncio.sleep(1.4)
--- a/tests/ports/relays/test_encoding.py
+++ b/tests/ports/relays/test_encoding.py
@@ -1,4 +1,4 @@
-"""The wire form of what VMs ask and tell each other."""
+"""Tests of the encoding of requests for changes and of the responses."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 )
 
 
-def test_a_question_comes_back_as_it_was() -> None:
+def test_a_request_is_decoded_as_it_was_encoded() -> None:
     member = catalog.Member("vm-1", "a", "f:1", "p:1", 2.15, leaving=False)
-    question = api.Question("vm-1", 7, 1000, member)
-    data = encoding.encode_question(question)
-    assert encoding.decode_question(data) == question
+    request = api.ChangesRequest("vm-1", 7, 1000, member)
+    data = encoding.encode_request(request)
+    assert encoding.decode_request(data) == request
 
 
 @pytest.mark.parametrize("size", [10, 100_000])
-def test_changes_come_back_as_they_were(size: int) -> None:
+def test_changes_are_decoded_as_they_were_encoded(size: int) -> None:
     entries = (*ENTRIES, store_api.Entry("servers/b", b"route " * size, 9))
-    packed = encoding.pack(entries)
+    packed = encoding.encode_entries(entries)
     data = encoding.encode_changes(9, 40, 3_600_000, True, packed)
     assert encoding.decode_changes(data) == api.Changes(
         9, 40, 3_600_000, entries, announced=True
@@ -35,15 +35,15 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"not an answer"])
-def test_bytes_that_are_no_answer_are_refused(data: bytes) -> None:
+def test_malformed_data_is_rejected(data: bytes) -> None:
     with pytest.raises(msgspec.DecodeError):
         encoding.decode_changes(data)
     with pytest.raises(msgspec.DecodeError):
-        encoding.decode_question(data)
+        encoding.decode_request(data)
 
 
-def test_a_broken_compression_is_refused() -> None:
-    packed = encoding.Packed(True, b"no zlib")
+def test_malformed_compressed_data_is_rejected() -> None:
+    packed = encoding.EncodedEntries(True, b"no zlib")
     data = encoding.encode_changes(9, 40, 0, False, packed)
     with pytest.raises(msgspec.DecodeError):
         encoding.decode_changes(data)
