--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -112,7 +112,7 @@
         store: store_api.Store,
         relays: relays_api.Relays,
         seeds: Sequence[str],
-        own: relay.Relay,
+        own_relay: relay.Relay,
         contacts: contact.Contacts,
         apply: Apply,
         rng: random.Random,
@@ -124,7 +124,7 @@
             store: The store.
             relays: Client of the other VMs.
             seeds: Peer addresses of some VMs, which may be down.
-            own: This VM's relay, with its copy of the entries.
+            own_relay: This VM's relay, with its copy of the entries.
             contacts: Records the outcome of store calls.
             apply: Applies new entries.
             rng: Source of random pauses and of the order of the seeds.
@@ -136,7 +136,7 @@
         self._is_seed = own_address in seeds
         self._seeds = [seed for seed in seeds if seed != own_address]
         self.on_relay: Callable[[], None] | None = None
-        self._relay = own
+        self._relay = own_relay
         self._contact = contacts
         self._apply = apply
         self._rng = rng
--- a/src/azureramp/controllers/forwarding/leaving.py
+++ b/src/azureramp/controllers/forwarding/leaving.py
@@ -24,7 +24,7 @@
 
 async def leave(
     board: board_module.Board,
-    others: members.Members,
+    member_registry: members.Members,
     front: web_server.Server,
 ) -> int:
     """Stops serving callers, and lets running requests finish.
@@ -36,7 +36,7 @@
 
     Args:
         board: The state; `leaving` is set.
-        others: Deletes this VM's entry.
+        member_registry: Deletes this VM's entry.
         front: The server for callers.
 
     Returns:
@@ -47,7 +47,7 @@
     grace_s = board.bounds.grace_s
     board.leaving = True
     _logger.info("shutting down with {} running requests", board.running)
-    removal = asyncio.ensure_future(others.leave())
+    removal = asyncio.ensure_future(member_registry.leave())
     await asyncio.sleep(ACCEPT_SHARE * grace_s / 2)
     front.closing = True
     await asyncio.sleep(ACCEPT_SHARE * grace_s / 2)
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -65,7 +65,7 @@
         board: board_module.Board,
         store: store_api.Store,
         copy: relaying.Copy,
-        announced: roster.Roster,
+        vm_roster: roster.Roster,
         make_key: roster.MakeKey,
         encode: roster.EncodeMember,
         contacts: contact.Contacts,
@@ -78,7 +78,7 @@
             board: The state.
             store: The store.
             copy: This VM's copy of the store's entries.
-            announced: The VMs that this one announces.
+            vm_roster: The VMs that this one announces.
             make_key: Returns the key of a VM's entry.
             encode: Returns the value of a VM's entry.
             contacts: Records the outcome of store calls.
@@ -87,7 +87,7 @@
         """
         self._log = log
         self._copy = copy
-        self._roster = announced
+        self._roster = vm_roster
         self._make_key = make_key
         self._wake_event = asyncio.Event()
         self._board = board
@@ -110,18 +110,18 @@
             self._log.count(change_log.Change.VM_SEEN)
         self._board.members[member.vm] = member
 
-    def remove(self, vm: str, settled: bool) -> None:
+    def remove(self, vm: str, store_stable: bool) -> None:
         """Handles the deletion of a VM's entry.
 
         Args:
             vm: The VM's name.
-            settled: False if the store was unreachable until a moment ago. The
-                entry may then have lapsed although the VM is alive, so the VM
-                is kept until `drop_lapsed`.
+            store_stable: False if the store was unreachable until a moment
+                ago. The entry may then have lapsed although the VM is alive,
+                so the VM is kept until `drop_lapsed`.
         """
         if vm == self._board.identity.vm:
             self._written = False
-        if not settled:
+        if not store_stable:
             self._lapsed.add(vm)
         elif self._board.members.pop(vm, None) is not None:
             self._log.count(change_log.Change.VM_GONE)
@@ -145,7 +145,7 @@
                     await self._wake_event.wait()
 
     def wake(self) -> None:
-        """Makes `run` check now whether this VM needs a lease."""
+        """Makes `run` check immediately whether this VM needs a lease."""
         self._wake_event.set()
 
     async def run_overload(self) -> None:
--- a/src/azureramp/controllers/forwarding/relay.py
+++ b/src/azureramp/controllers/forwarding/relay.py
@@ -53,7 +53,7 @@
         self,
         board: board_module.Board,
         copy: relaying.Copy,
-        announced: roster.Roster,
+        vm_roster: roster.Roster,
         contacts: contact.Contacts,
     ) -> None:
         """Makes a relay without waiting requests.
@@ -61,11 +61,11 @@
         Args:
             board: The state.
             copy: This VM's copy of the store's entries.
-            announced: The VMs that this one announces.
+            vm_roster: The VMs that this one announces.
             contacts: Tracks the store's reachability.
         """
         self._board = board
-        self._roster = announced
+        self._roster = vm_roster
         self._contact = contacts
         self._changed = asyncio.Event()
         self._encoded_sets: dict[tuple[int, int], encoding.EncodedEntries] = {}
--- a/tests/forwarding/test_members.py
+++ b/tests/forwarding/test_members.py
@@ -1,4 +1,4 @@
-"""Which VMs are advertised to callers, and how one leaves."""
+"""Tests of the advertisement of VMs to callers, and of a VM's shutdown."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 def test_all_ready_vms_are_advertised() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await deployment.settle(2.0)
-        wanted = sorted(scene.get_address(vm) for vm in scene.programs)
+        expected = sorted(scene.get_address(vm) for vm in scene.programs)
         for vm in scene.programs:
-            assert await resolve(scene, vm) == wanted
+            assert await resolve(scene, vm) == expected
 
     scenes.run(scenario, vms=3)
 
 
-def test_a_dead_vm_is_advertised_for_a_few_seconds_at_most() -> None:
+def test_a_killed_vm_is_advertised_for_a_few_seconds_at_most() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await deployment.settle(2.0)
         await scene.programs["vm-1"].kill()
@@ -45,11 +45,11 @@
     scenes.run(scenario, vms=2)
 
 
-def test_vms_whose_entries_lapsed_with_the_store_stay_advertised() -> None:
-    """The store is away for long, and no VM is advertised.
+def test_vms_stay_advertised_while_the_store_is_unreachable() -> None:
+    """Guards against an outage of the store in which no VM is advertised.
 
-    The VMs' entries lapse with their leases though the VMs serve. They are
-    told of until the store has been back for a while.
+    The VMs' entries lapse with their leases although the VMs serve requests.
+    The VMs stay advertised until the store has been reachable for a while.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -66,12 +66,12 @@
     scenes.run(scenario, vms=2)
 
 
-def test_a_stopping_vm_is_not_advertised_and_ends_what_runs() -> None:
-    """A VM is replaced by plan, and a lookup that it had taken is cut.
+def test_a_stopping_vm_is_not_advertised_and_finishes_requests() -> None:
+    """Guards against requests that are cancelled when a VM is replaced.
 
-    It goes out of the answers at once, serves those that come all the same,
-    and closes its port only then; what runs gets its answer before the VM
-    would be killed.
+    The VM stops being advertised at once, but still serves callers that have
+    its address cached. Only then it closes its port, and running requests
+    finish before the end of the grace period.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -1,4 +1,4 @@
-"""Hearing of changes from another VM instead of the store."""
+"""Tests of receiving changes from another VM instead of the store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def settle_sources(scene: deployment.Deployment) -> str:
-    """Checks that one VM a zone watches; returns that of zone-0."""
+    """Checks that one VM per zone watches the store; returns zone-0's."""
     await deployment.settle(3.0)
     watching = {
         program.board.identity.zone: vm
@@ -32,18 +32,18 @@
 
 
 async def check_change(scene: deployment.Deployment, within_s: float) -> None:
-    """Checks that a change is in force on all running VMs in time."""
+    """Checks that a change is in force on all running VMs within a time."""
     scene.configuration["Version"] += 1
-    wanted = scene.configuration["Version"]
+    expected = scene.configuration["Version"]
     scene.store.put("op/config", scene.configuration)
     await deployment.settle(within_s)
     for vm, program in scene.programs.items():
         configuration = program.board.configuration
         assert configuration is not None
-        assert configuration.version == wanted, vm
+        assert configuration.version == expected, vm
 
 
-def test_one_vm_a_zone_watches_and_all_hear_of_a_change() -> None:
+def test_one_vm_per_zone_watches_and_all_vms_receive_a_change() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle_sources(scene)
         before = scene.store.calls["/kv-watch"]
@@ -53,7 +53,7 @@
     scenes.run(scenario, vms=VMS)
 
 
-def test_a_relay_that_is_killed_is_replaced_in_time() -> None:
+def test_a_killed_relay_is_replaced_in_time() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
         await scene.programs.pop(relay).kill()
@@ -62,47 +62,47 @@
     scenes.run(scenario, vms=VMS)
 
 
-def test_a_relay_that_lost_the_store_is_left_in_time() -> None:
-    """One VM is cut off from the store, and its zone misses a change.
+def test_a_relay_without_the_store_is_abandoned_in_time() -> None:
+    """Guards against a zone that misses a change if its relay loses the store.
 
-    It goes on answering the other VMs of its zone, but nothing new reaches
-    it. They see that the store has not answered it for too long, and watch
-    the store themselves.
+    The relay continues to answer the other VMs of its zone but receives no
+    changes. The other VMs detect by the age in its responses that the store
+    has not answered it for too long, and watch the store themselves.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
-        cut = scene.programs.pop(relay)
-        nowhere = store.PlatformStore("127.0.0.1:1")
-        await cut._store.close()
-        cut._feed._store = cut._members._store = nowhere
-        cut._roster._store = nowhere
+        isolated = scene.programs.pop(relay)
+        unreachable = store.PlatformStore("127.0.0.1:1")
+        await isolated._store.close()
+        isolated._feed._store = isolated._members._store = unreachable
+        isolated._roster._store = unreachable
         await check_change(scene, 2.9)
-        await cut.kill()
+        await isolated.kill()
 
     scenes.run(scenario, vms=VMS)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_relay_that_stands_still_is_left_in_time(seed: int) -> None:
+def test_a_hanging_relay_is_abandoned_in_time(seed: int) -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
-        still = scene.programs.pop(relay)
+        hanging = scene.programs.pop(relay)
 
         async def hang(request: object) -> None:
             await asyncio.sleep(3600)
 
-        for server in still._servers:
+        for server in hanging._servers:
             server._handler = hang  # type: ignore[assignment]
         await asyncio.sleep(1.0)
         await check_change(scene, 2.0)
-        await still.kill()
+        await hanging.kill()
 
     scenes.run(scenario, vms=VMS, seed=seed)
 
 
 @pytest.mark.parametrize("fault", ["busy", "silent"])
-def test_all_hear_of_a_change_after_an_outage(fault: str) -> None:
+def test_all_vms_receive_a_change_after_an_outage(fault: str) -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle_sources(scene)
         setattr(scene.store.faults, fault, True)
