--- a/tests/forwarding/test_roster.py
+++ b/tests/forwarding/test_roster.py
@@ -1,4 +1,4 @@
-"""VMs that stand by are announced by the VM that tells them of changes."""
+"""Tests that standby VMs are announced by the relay of their zone."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 from tests.forwarding.test_members import resolve
 
 VMS = 24
-"""More than are advertised, so that most stand by."""
+"""More VMs than are advertised, so that most are standbys."""
 
-GONE_S = 7.0
-"""How long after its end a VM may be known, in seconds."""
+REMOVAL_S = 7.0
+"""Maximum time for which a stopped VM stays in the list of VMs, in seconds."""
 
-BACK_S = 4.0
-"""How long after the loss of a zone's relay a VM may be unknown, in seconds."""
+RECOVERY_S = 4.0
+"""Maximum time for which a VM may be missing from the list of VMs after the
+loss of its zone's relay, in seconds."""
 
 
 def find_relays(scene: deployment.Deployment) -> dict[str, str]:
-    """Returns the VM of each zone that announces others."""
+    """Returns the VM of each zone that announces other VMs."""
     return {
         program.board.identity.zone: vm
         for vm, program in scene.programs.items()
@@ -34,24 +35,24 @@
     }
 
 
-def check_known(
+def check_members(
     scene: deployment.Deployment, without: Collection[str] = ()
 ) -> None:
-    """Checks that every running VM knows the running ones and no other."""
-    wanted = sorted(set(scene.programs) - set(without))
-    for vm in wanted:
-        assert sorted(scene.programs[vm].board.members) == wanted, vm
+    """Checks that every running VM lists exactly the running VMs."""
+    expected = sorted(set(scene.programs) - set(without))
+    for vm in expected:
+        assert sorted(scene.programs[vm].board.members) == expected, vm
 
 
 def pick_standby(scene: deployment.Deployment) -> str:
-    """Returns a VM that is not advertised and that announces no other."""
+    """Returns a VM that is not advertised and announces no other VM."""
     board = scene.programs["vm-0"].board
-    taken = {*board.advertised, *find_relays(scene).values()}
-    return next(vm for vm in scene.programs if vm not in taken)
+    excluded = {*board.advertised, *find_relays(scene).values()}
+    return next(vm for vm in scene.programs if vm not in excluded)
 
 
 def hang_servers(scene: deployment.Deployment, vm: str) -> None:
-    """Lets a VM answer nobody any more."""
+    """Makes a VM's servers hang."""
 
     async def hang(request: object) -> None:
         await asyncio.sleep(3600)
@@ -61,34 +62,34 @@
 
 
 def cut_from_store(scene: deployment.Deployment, vm: str) -> None:
-    """Cuts a VM off from the store."""
+    """Makes the store unreachable for a VM."""
     program = scene.programs[vm]
-    nowhere = store.PlatformStore("127.0.0.1:1")
-    program._feed._store = nowhere
-    program._members._store = program._roster._store = nowhere
+    unreachable = store.PlatformStore("127.0.0.1:1")
+    program._feed._store = unreachable
+    program._members._store = program._roster._store = unreachable
 
 
 async def settle(scene: deployment.Deployment) -> dict[str, str]:
     """Waits until every VM is announced; returns the relays by zone."""
     await deployment.settle(6.0)
-    check_known(scene)
+    check_members(scene)
     relays = find_relays(scene)
     assert sorted(relays) == ["zone-0", "zone-1"]
     return relays
 
 
-def test_standing_by_costs_no_calls() -> None:
+def test_standbys_cause_no_store_calls() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         scene.store.calls.clear()
         await deployment.settle(20.0)
-        told = len(scene.programs["vm-0"].board.advertised)
-        writers = told + 2
+        advertised = len(scene.programs["vm-0"].board.advertised)
+        writers = advertised + 2
         assert scene.store.calls["/kv-keep"] <= writers * 25
         assert scene.store.calls["/kv-txn"] == 0
         assert scene.store.calls["/kv-lease"] == 0
         assert scene.store.calls["/kv-watch"] <= 8
-        check_known(scene)
+        check_members(scene)
 
     scenes.run(scenario, vms=VMS)
 
@@ -104,39 +105,39 @@
     scenes.run(scenario, vms=VMS)
 
 
-def test_a_killed_standby_is_soon_unknown() -> None:
+def test_a_killed_standby_is_soon_removed() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         await scene.programs.pop(pick_standby(scene)).kill()
         await deployment.settle(2.0)
-        check_known(scene)
+        check_members(scene)
 
     scenes.run(scenario, vms=VMS)
 
 
-def test_a_standby_that_stands_still_is_unknown_until_it_wakes() -> None:
+def test_a_paused_standby_is_removed_until_it_resumes() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        still = pick_standby(scene)
-        program = scene.programs[still]
+        paused = pick_standby(scene)
+        program = scene.programs[paused]
         relays = program._feed._relays
-        program._feed._relays = _Silent()
+        program._feed._relays = _TimingOutRelays()
         stores = program._feed._store, program._members._store
-        cut_from_store(scene, still)
-        await deployment.settle(GONE_S)
+        cut_from_store(scene, paused)
+        await deployment.settle(REMOVAL_S)
         for vm, other in scene.programs.items():
-            if vm != still:
-                assert still not in other.board.members
+            if vm != paused:
+                assert paused not in other.board.members
         program._feed._relays = relays
         program._feed._store, program._members._store = stores
-        await deployment.settle(BACK_S)
-        check_known(scene)
+        await deployment.settle(RECOVERY_S)
+        check_members(scene)
 
     scenes.run(scenario, vms=VMS)
 
 
-def test_a_leaving_standby_doesn_t_come_back() -> None:
-    """Guards against a relay that announces a VM after it took itself out."""
+def test_a_stopped_standby_is_not_announced_again() -> None:
+    """Guards against a relay that announces a VM after it deleted its entry."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
@@ -150,15 +151,17 @@
             await deployment.settle(0.5)
         await stopping
         scene.programs.pop(leaving)
-        check_known(scene)
+        check_members(scene)
 
     scenes.run(scenario, vms=VMS)
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("how", ["kill", "still", "cut"])
-def test_the_vms_of_a_lost_relay_are_known_again(how: str, seed: int) -> None:
-    """Guards against VMs that nobody announces once their relay is lost."""
+def test_the_vms_of_a_lost_relay_are_announced_again(
+    how: str, seed: int
+) -> None:
+    """Guards against VMs that no VM announces after the loss of their relay."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         relays = await settle(scene)
@@ -171,7 +174,7 @@
                 cut_from_store(scene, lost)
             case "cut":
                 cut_from_store(scene, lost)
-        await deployment.settle(GONE_S)
+        await deployment.settle(REMOVAL_S)
         for vm, program in scene.programs.items():
             if vm == lost:
                 continue
@@ -191,7 +194,7 @@
     [("silent", 0), *(("busy", n) for n in (0, 1, 2, 7, 8, 11, 16, 20))],
 )
 def test_standbys_stay_known_through_an_outage(fault: str, seed: int) -> None:
-    """Guards against a VM that only renews its lease and hears no changes."""
+    """Guards against a VM that renews its lease but receives no changes."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
@@ -200,13 +203,13 @@
         setattr(scene.store.faults, fault, False)
         for _ in range(12):
             await deployment.settle(0.5)
-            check_known(scene)
+            check_members(scene)
 
     scenes.run(scenario, vms=VMS, seed=seed)
 
 
-def test_writes_whose_answers_are_lost_leave_no_dead_vm() -> None:
-    """Guards against an entry, written unseen, of a VM that has ended."""
+def test_writes_without_answers_leave_no_entry_of_a_stopped_vm() -> None:
+    """Guards against an entry of a stopped VM after a write without answer."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
@@ -215,13 +218,13 @@
         await deployment.settle(0.4)
         await back.kill()
         scene.programs.pop("vm-new")
-        await deployment.settle(GONE_S)
-        check_known(scene)
+        await deployment.settle(REMOVAL_S)
+        check_members(scene)
 
     scenes.run(scenario, vms=VMS)
 
 
-def test_all_vms_killed_at_once_are_known_again() -> None:
+def test_all_vms_are_announced_again_after_a_restart() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         killed = list(scene.programs)
@@ -239,13 +242,13 @@
         assert (await scene.ask("vm-0", "/one/x")).status == 200
         assert await resolve(scene, "vm-0")
         await deployment.settle(3.0)
-        check_known(scene)
+        check_members(scene)
 
     scenes.run(scenario, vms=VMS)
 
 
-def test_a_relay_that_restarts_takes_no_announcement_back() -> None:
-    """Guards against standbys that are unknown after a quick restart."""
+def test_a_restarted_relay_deletes_no_entries() -> None:
+    """Guards against missing standbys after a quick restart of their relay."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         relays = await settle(scene)
@@ -267,10 +270,13 @@
     scenes.run(scenario, vms=VMS)
 
 
-def test_an_advertised_vm_without_the_store_knows_it_from_its_own_calls() -> (
+def test_an_advertised_vm_detects_an_unreachable_store_by_its_own_calls() -> (
     None
 ):
-    """Guards against a contact that flips with each word of a relay."""
+    """Guards against a reachability that flips with each relay response.
+
+    A VM that holds a lease judges the store by its own renewals only.
+    """
 
     async def scenario(scene: deployment.Deployment) -> None:
         relays = await settle(scene)
@@ -285,16 +291,16 @@
     scenes.run(scenario, vms=VMS)
 
 
-class _Silent:
-    """Other VMs that never answer."""
+class _TimingOutRelays:
+    """Client of other VMs whose requests always time out."""
 
     async def ask(
         self, address: str, request: relays_api.ChangesRequest
     ) -> expression.Result[relays_api.Changes, errors.Failure]:
-        """Answers nothing within the time that a VM waits."""
+        """Returns a timeout after the time that a VM waits."""
         await asyncio.sleep(1.4)
         kind = errors.Kind.STORE_UNAVAILABLE
         return expression.Error(errors.Failure(kind, "timeout"))
 
     async def close(self) -> None:
-        """Closes nothing."""
+        """Does nothing."""
