--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations: in force soon, never back, through every trouble."""
+"""Tests that configurations are applied soon and never revert under faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.forwarding import scenes
 
 
-def test_a_new_route_serves_and_a_dropped_one_is_not_found() -> None:
+def test_an_added_route_is_served_and_a_removed_one_is_not_found() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.add_route("/one/deep/", Backend="shard-a")
         del scene.configuration["Routes"][2]
@@ -24,7 +24,7 @@
     scenes.run(scenario)
 
 
-def test_an_older_version_never_comes_back() -> None:
+def test_an_older_version_is_not_applied() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         old = msgspec.json.decode(msgspec.json.encode(scene.configuration))
         scene.add_route("/new/", Backend=scenes.PLAIN)
@@ -37,11 +37,12 @@
     scenes.run(scenario)
 
 
-def test_a_forgotten_history_is_read_anew() -> None:
-    """The store forgets its history while a searcher leaves.
+def test_all_entries_are_read_again_after_a_compaction() -> None:
+    """Guards against a removal that is missed when the history is compacted.
 
-    The watch can't tell what happened in between. Everything is read again,
-    and what is no longer there is taken for gone.
+    The store compacts its history while a searcher's entry is deleted, so the
+    watch does not return the deletion. All entries are read again, and missing
+    ones are treated as deleted.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -60,14 +61,14 @@
 
 
 @pytest.mark.parametrize("fault", ["busy", "silent"])
-def test_a_vm_without_a_configuration_refuses_and_knows_no_404(
+def test_a_vm_without_a_configuration_responds_with_503(
     fault: str,
 ) -> None:
-    """A VM starts while the store is away, and every lookup is `not found`.
+    """Guards against 404 responses of a VM that has no configuration yet.
 
-    Not knowing any route is no reason to say that there is none: the caller
-    would not ask again. It is told to come back, and served once the store
-    is there.
+    The VM starts while the store is unreachable. Callers do not retry after a
+    404, so the VM responds with 503 and `Retry-After` until it has read the
+    configuration.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
@@ -85,7 +86,7 @@
     scenes.run(scenario)
 
 
-def test_a_change_is_in_force_while_the_store_is_slow() -> None:
+def test_a_change_is_applied_while_the_store_is_slow() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.store.faults.slow_s = 0.3
         scene.add_route("/new/", Backend=scenes.PLAIN)
@@ -96,7 +97,7 @@
     scenes.run(scenario)
 
 
-def test_requests_are_split_by_the_weights() -> None:
+def test_requests_are_split_by_weight() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         split = [
             {"Backend": "shard-a", "Weight": 3},
@@ -108,17 +109,17 @@
         for _ in range(40):
             answer = await scene.ask("vm-0", "/split/x")
             assert answer.status == 200
-        for service, wanted in (("shard-a", 30), ("shard-b", 10)):
-            got = sum(
+        for service, expected in (("shard-a", 30), ("shard-b", 10)):
+            actual = sum(
                 len(scene.searchers[f"{service}-{index}"].seen)
                 for index in range(2)
             )
-            assert got == wanted
+            assert actual == expected
 
     scenes.run(scenario)
 
 
-def test_a_storm_of_versions_costs_a_few_calls() -> None:
+def test_a_burst_of_versions_causes_few_store_calls() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         before = scene.store.calls["/kv-watch"]
         for _ in range(50):
@@ -130,13 +131,14 @@
 
 
 @pytest.mark.parametrize("fault", ["busy", "silent"])
-def test_a_vm_that_starts_in_an_outage_takes_its_start_from_another(
+def test_a_vm_that_starts_in_an_outage_copies_another_vm(
     fault: str,
 ) -> None:
-    """A VM is replaced while the store is away, and refuses every lookup.
+    """Guards against a VM that refuses requests when it starts in an outage.
 
-    The others know the configuration and the searchers. It takes their copy,
-    serves, and takes on what the store says once it is back.
+    The other VMs have the configuration and the searchers. The new VM copies
+    their entries, serves requests, and applies the store's changes once the
+    store is reachable again.
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -1,4 +1,4 @@
-"""The process of a zone that only tells callers where to connect."""
+"""Tests of the directory process, which only advertises VMs to callers."""
 
 from __future__ import annotations
 
@@ -16,21 +16,24 @@
 
 
 async def start_directory() -> program.Program:
-    """Starts the second process of a VM."""
-    given = deployment.make_settings("vm-0/directory", "zone-0", 39000)
+    """Starts a directory as the second process of a VM."""
+    settings = deployment.make_settings("vm-0/directory", "zone-0", 39000)
     identity = dataclasses.replace(
-        given.identity, front_address="", peer_address="", serves_callers=False
+        settings.identity,
+        front_address="",
+        peer_address="",
+        serves_callers=False,
     )
-    given = msgspec.structs.replace(
-        given, identity=identity, front_address="", ready_address=""
+    settings = msgspec.structs.replace(
+        settings, identity=identity, front_address="", ready_address=""
     )
-    started = program.Program(given, seed=0)
+    started = program.Program(settings, seed=0)
     await started.start()
     return started
 
 
 async def look_up() -> list[str] | None:
-    """Returns the addresses that are told; None without any."""
+    """Returns the advertised addresses; None if the response is an error."""
     directory = pool.Pool(ADDRESS)
     target = f"/resolve?Name={deployment.HOST}&Region=r&Zone=zone-0"
     result = await directory.exchange("GET", target)
@@ -40,7 +43,7 @@
     return sorted(msgspec.json.decode(result.ok.body)["addrs"])
 
 
-def test_it_tells_the_advertised_vms_and_is_none_itself() -> None:
+def test_it_returns_the_advertised_vms_but_not_itself() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
         await deployment.settle(4.0)
@@ -56,8 +59,8 @@
     scenes.run(scenario, vms=VMS)
 
 
-def test_it_names_no_address_of_its_own_while_it_knows_no_vm() -> None:
-    """Guards against an answer that names a port where nobody listens."""
+def test_it_returns_no_address_without_vms() -> None:
+    """Guards against a response with a port on which no process listens."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
@@ -68,7 +71,7 @@
     scenes.run(scenario, vms=0)
 
 
-def test_a_vm_that_died_is_not_told_for_long() -> None:
+def test_a_killed_vm_is_soon_removed() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
         await deployment.settle(4.0)
