--- a/src/azureramp/ports/rollouts/__init__.py
+++ b/src/azureramp/ports/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Reports to the VM that drives a roll-out."""
+"""Sending reports to the driver of a roll-out."""
--- a/src/azureramp/ports/rollouts/api.py
+++ b/src/azureramp/ports/rollouts/api.py
@@ -1,4 +1,4 @@
-"""The interface to the VM that drives a roll-out."""
+"""The interface to the driver of a roll-out."""
 
 from __future__ import annotations
 
@@ -10,21 +10,23 @@
 from azureramp import errors, rollout_types
 
 REPORTS_PATH = "/v1/rollouts/reports"
-"""Where the driver takes reports."""
+"""Path at which a driver accepts reports."""
 
 CONTENT_TYPE = "application/msgpack"
 
 
 class Count(msgspec.Struct, frozen=True):
-    """How calls ended, as a running total since the order.
+    """Numbers of finished calls, as running totals since the order.
 
     Attributes:
         route: The route's name.
-        searcher: The searcher of the new version; empty for all of the old.
-        answers: How many ended.
-        bad: Of these, how many failed or took several times as long as usual.
-        usual_ms: How long the old version's calls usually last, in
-            milliseconds; 0 if that isn't known.
+        searcher: The searcher of the new version; empty for all searchers of
+            the old version.
+        answers: Calls that finished.
+        bad: Of these, calls that failed or took several times as long as
+            usual.
+        usual_ms: Usual duration of calls to the old version, in milliseconds;
+            0 if unknown.
     """
 
     route: str
@@ -35,18 +37,18 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What a process saw of a roll-out, in running totals since the order.
+    """A process's report on a roll-out, in running totals since the order.
 
     Attributes:
-        process: The process, which is another one after each start.
+        process: The process's name, which changes at each start.
         vm: Its VM.
         service: The service.
         order: The order's revision.
-        requests: Calls to the service, whatever the version.
+        requests: Calls to the service, of any version.
         spent: Of these, calls to the new version.
-        counts: How they ended.
-        has_moved: True if all its requests go to the new version now and no
-            call is left at an old searcher.
+        counts: Numbers of finished calls.
+        has_moved: True if all the process's requests now use the new version
+            and none of its calls to old searchers is still running.
     """
 
     process: str
@@ -60,15 +62,15 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """What the driver answers.
+    """The driver's answer to a report.
 
     Attributes:
         order: The order's revision.
-        phase: How far the roll-out is.
-        limit: Calls to the new version that the process may make since the
-            order, while the roll-out is on trial.
-        good_ms: How long this holds from the sending of the report, in
-            milliseconds.
+        phase: The phase of the roll-out.
+        limit: Total number of calls to the new version since the order that
+            the process may make in the canary phase.
+        good_ms: Validity of the grant, counted from the sending of the report,
+            in milliseconds.
     """
 
     order: int
@@ -78,20 +80,25 @@
 
 
 class Drivers(Protocol):
-    """The VMs that drive roll-outs.
+    """Client of the VMs that drive roll-outs.
 
-    Errors: `NOT_OWNER` if the VM doesn't drive this roll-out, or may not
-    decide now; `CONNECTION_LOST` if it can't be reached.
+    Errors: `NOT_OWNER` if the VM doesn't drive this roll-out or may not decide
+    now; `CONNECTION_LOST` if it is unreachable.
     """
 
     async def report(
         self, address: str, report: Report
     ) -> expression.Result[Grant, errors.Failure]:
-        """Reports to the VM at `IP:port`."""
+        """Sends a report to a driver.
+
+        Args:
+            address: The VM's peer address, `IP:port`.
+            report: The report.
+        """
         ...
 
     async def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
         ...
 
 
@@ -108,7 +115,7 @@
     """Decodes a report.
 
     Raises:
-        DecodeError: It can't be read.
+        DecodeError: The data is malformed.
     """
     return _report_decoder.decode(data)
 
@@ -117,6 +124,6 @@
     """Decodes a grant.
 
     Raises:
-        DecodeError: It can't be read.
+        DecodeError: The data is malformed.
     """
     return _grant_decoder.decode(data)
--- a/src/azureramp/ports/rollouts/http.py
+++ b/src/azureramp/ports/rollouts/http.py
@@ -1,4 +1,4 @@
-"""Reporting to drivers over HTTP, by the same client as the store's."""
+"""HTTP client for reports to drivers; shares the store's client code."""
 
 from __future__ import annotations
 
@@ -9,32 +9,33 @@
 from azureramp.ports.rollouts import api
 from azureramp.ports.web import pools
 
-ANSWER_S = 0.4
-"""Longest wait for an answer, in seconds. A driver that stands still must be
-replaced soon."""
+RESPONSE_TIMEOUT_S = 0.4
+"""Maximum time for a response, in seconds. A driver that hangs must be replaced
+soon."""
 
-MOST_VMS = 4
-"""Most VMs that connections are kept to; few drive roll-outs at once."""
+MAX_VMS = 4
+"""Maximum number of VMs with open connections. Few VMs drive roll-outs at the
+same time."""
 
 
 class HttpDrivers:
-    """The drivers over HTTP; see `api.Drivers`."""
+    """HTTP client of the drivers; see `api.Drivers`."""
 
     __slots__ = ("_pools",)
 
     def __init__(self) -> None:
-        """Makes it without connections."""
-        self._pools = pools.Pools(MOST_VMS)
+        """Makes a client without connections."""
+        self._pools = pools.Pools(MAX_VMS)
 
     async def report(
         self, address: str, report: api.Report
     ) -> expression.Result[api.Grant, errors.Failure]:
-        """Reports to a VM; see `api.Drivers`."""
+        """Sends a report to a driver; see `api.Drivers`."""
         result = await self._pools.get(address).exchange(
             "POST",
             api.REPORTS_PATH,
             api.encode(report),
-            timeout_s=ANSWER_S,
+            timeout_s=RESPONSE_TIMEOUT_S,
         )
         lost = errors.Kind.CONNECTION_LOST
         if result.is_error():
@@ -51,5 +52,5 @@
             return expression.Error(errors.Failure(lost, str(error)))
 
     async def close(self) -> None:
-        """Closes every idle connection."""
+        """Closes all idle connections."""
         self._pools.close()
