--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -57,33 +57,34 @@
         self,
         board: board_module.Board,
         decode: Decode,
-        known: searchers.Searchers,
-        blames: crashes.Crashes,
-        others: members.Members,
+        searcher_registry: searchers.Searchers,
+        crash_registry: crashes.Crashes,
+        member_registry: members.Members,
         contacts: contact.Contacts,
         log: change_log.ChangeLog,
-        known_rollouts: rollouts.Rollouts,
+        rollout_registry: rollouts.Rollouts,
     ) -> None:
         """Makes a controller that has applied no entries.
 
         Args:
             board: The state.
             decode: Decodes entries.
-            known: Handles the entries of searchers.
-            blames: Handles the entries of crashes attributed to requests.
-            others: Handles the entries of VMs.
+            searcher_registry: Handles the entries of searchers.
+            crash_registry: Handles the entries of crashes that are attributed
+                to requests.
+            member_registry: Handles the entries of VMs.
             contacts: Tracks the store's reachability.
             log: Logs the changes.
-            known_rollouts: Handles the orders and records of roll-outs.
+            rollout_registry: Handles the orders and records of roll-outs.
         """
-        self._rollouts = known_rollouts
+        self._rollouts = rollout_registry
         self._log = log
         self._revision = 0
         self._board = board
         self._decode = decode
-        self._searchers = known
-        self._crashes = blames
-        self._members = others
+        self._searchers = searcher_registry
+        self._crashes = crash_registry
+        self._members = member_registry
         self._contact = contacts
         self.on_configuration: Callable[[catalog.Configuration], None] | None
         self.on_configuration = None
@@ -138,18 +139,18 @@
             case catalog.RequestBlamed() as blamed:
                 self._crashes.adopt(blamed)
             case catalog.RolloutOrdered(order=order):
-                self._rollouts.take_order(order)
+                self._rollouts.apply_order(order)
             case catalog.RolloutWithdrawn(service=service):
                 self._rollouts.withdraw(service)
             case catalog.RolloutRecorded(record=record, revision=revision):
-                self._rollouts.take_record(record, revision)
+                self._rollouts.apply_record(record, revision)
             case catalog.Unreadable(reason=reason):
                 self._skip(reason)
             case _:
                 pass
 
     def _take_configuration(self, new: catalog.Configuration) -> None:
-        """Applies a configuration unless it is older than the current one."""
+        """Applies a configuration if it is newer than the current one."""
         board = self._board
         if (
             board.configuration is not None
--- a/src/azureramp/controllers/forwarding/rollout_claims.py
+++ b/src/azureramp/controllers/forwarding/rollout_claims.py
@@ -1,4 +1,4 @@
-"""Taking over the roll-outs that nobody drives."""
+"""Takeover of roll-outs that have no active driver."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 )
 from azureramp.policy import rollouts as policy
 
-CLAIM_STEP_S = 0.5
-"""How much longer each further VM waits to drive a roll-out that nobody drives,
-in seconds."""
+CLAIM_STAGGER_S = 0.5
+"""Additional wait of each next-ranked VM before it claims a roll-out without a
+driver, in seconds."""
 
-SILENT_S = 1.5
-"""How long a driver must be silent before it is replaced, in seconds."""
+DRIVER_TIMEOUT_S = 1.5
+"""Time without an answer after which a driver is replaced, in seconds."""
 
-Claimed = Callable[[rollout_types.Record, int], None]
-"""Takes a record that names this process as the driver, and its revision."""
+OnClaimed = Callable[[rollout_types.Record, int], None]
+"""Handles a record that names this process as the driver, with its revision."""
 
 _logger = logbook.Logger("azureramp.rollout_driver")
 
@@ -37,65 +37,70 @@
 
     __slots__ = (
         "_board",
-        "_claiming",
+        "_claim_queued",
         "_drives",
         "_on_claimed",
         "_process",
+        "_queued",
         "_rollouts",
         "_situations",
-        "_wanted",
         "_writer",
     )
 
     def __init__(
         self,
         board: board_module.Board,
-        known: rollouts.Rollouts,
+        rollout_registry: rollouts.Rollouts,
         reports: rollout_reports.Reports,
         situations: rollout_situations.Situations,
         writer: rollout_writer.Writer,
         drives: Container[str],
-        on_claimed: Claimed,
+        on_claimed: OnClaimed,
     ) -> None:
-        """Makes one that has claimed nothing; see `run`.
+        """Makes a controller that has claimed nothing; see `run`.
 
         Args:
             board: The state.
-            known: The roll-outs.
-            reports: Tells of those without a driver.
-            situations: Describes them.
-            writer: Writes how far they are.
+            rollout_registry: The roll-outs.
+            reports: Reports roll-outs without a driver.
+            situations: Makes the records to write.
+            writer: Writes the records.
             drives: The services whose roll-outs this process drives.
-            on_claimed: Takes a roll-out that is this process's now.
+            on_claimed: Called with each roll-out that this process has
+                claimed.
         """
         self._board = board
-        self._rollouts = known
+        self._rollouts = rollout_registry
         self._situations = situations
         self._writer = writer
         self._drives = drives
         self._on_claimed = on_claimed
         self._process = reports.process
-        self._claiming: dict[str, rollout_view.Running] = {}
-        self._wanted = asyncio.Event()
-        reports.on_silent = self.consider
+        self._queued: dict[str, rollout_view.ActiveRollout] = {}
+        self._claim_queued = asyncio.Event()
+        reports.on_driver_missing = self.queue_claim
 
-    def consider(self, running: rollout_view.Running) -> None:
-        """Notes a roll-out that nobody seems to drive."""
-        self._claiming[running.order.service] = running
-        self._wanted.set()
+    def queue_claim(self, running: rollout_view.ActiveRollout) -> None:
+        """Queues a roll-out whose driver does not answer.
+
+        Args:
+            running: The roll-out.
+        """
+        self._queued[running.order.service] = running
+        self._claim_queued.set()
 
     async def run(self) -> None:
-        """Takes over roll-outs that nobody drives, forever."""
+        """Claims the queued roll-outs. Never returns."""
         while True:
-            self._wanted.clear()
-            if not self._claiming:
-                await self._wanted.wait()
-            claiming = list(self._claiming.values())
-            self._claiming.clear()
-            await asyncio.gather(*(self._claim(each) for each in claiming))
-
-    async def _claim(self, running: rollout_view.Running) -> None:
-        """Takes a roll-out over if it is this VM's turn."""
+            self._claim_queued.clear()
+            if not self._queued:
+                await self._claim_queued.wait()
+            queued = list(self._queued.values())
+            self._queued.clear()
+            await asyncio.gather(*(self._claim(each) for each in queued))
+
+    async def _claim(self, running: rollout_view.ActiveRollout) -> None:
+        """Claims a roll-out if it is this VM's turn."""
         order = running.order
         if order.service in self._drives:
             return
@@ -105,61 +110,76 @@
         if not self._is_turn(running, None if is_new else record, now_s):
             return
         if is_new:
-            wanted = self._situations.begin(order, record, now_s)
+            new_record = self._situations.make_first_record(
+                order, record, now_s
+            )
         else:
             assert record is not None
-            wanted = self._situations.stamp(record, now_s, reason=record.reason)
-        wanted = dataclasses.replace(
-            wanted,
+            new_record = self._situations.with_current_age(
+                record, now_s, reason=record.reason
+            )
+        new_record = dataclasses.replace(
+            new_record,
             driver=self._process,
             driver_address=self._board.identity.peer_address,
         )
         written = await self._writer.write(
-            wanted, self._writer.get_revision(order.service)
+            new_record, self._writer.get_revision(order.service)
         )
         if written is not None:
             _logger.info(
-                "driving the roll-out of {} to {}",
+                "this process now drives the roll-out of {} to {}",
                 order.service,
                 order.target,
                 extra={
                     "service": order.service,
                     "target": order.target,
                     "order": order.revision,
-                    "phase": wanted.phase.value,
-                    "reason": wanted.reason,
-                    "age_s": wanted.age_s,
+                    "phase": new_record.phase.value,
+                    "reason": new_record.reason,
+                    "age_s": new_record.age_s,
                 },
             )
-            self._on_claimed(wanted, written)
+            self._on_claimed(new_record, written)
 
     def _is_turn(
         self,
-        running: rollout_view.Running,
+        running: rollout_view.ActiveRollout,
         record: rollout_types.Record | None,
         now_s: float,
     ) -> bool:
-        """Tells whether this VM should take a roll-out over now."""
+        """Returns True if this VM should claim a roll-out now.
+
+        Args:
+            running: The roll-out.
+            record: Its record; None if it has none yet.
+            now_s: The current time, in seconds.
+        """
         board = self._board
         if board.leaving or not board.contact.reachable:
             return False
-        silent = ""
+        silent_vm = ""
         wait_s = 0.0
         if record is not None:
-            silent = get_vm(record.driver)
-            wait_s = SILENT_S
+            silent_vm = get_vm(record.driver)
+            wait_s = DRIVER_TIMEOUT_S
             if record.driver == self._process:
-                # Its own claim, whose answer was lost.
-                known = self._rollouts.records[running.order.service]
-                self._on_claimed(known.record, known.revision)
+                # An earlier claim by this process, whose answer was lost.
+                stored = self._rollouts.records[running.order.service]
+                self._on_claimed(stored.record, stored.revision)
                 return False
         vm = board.identity.vm
-        ranked = policy.rank_drivers(board.members.values(), silent)
+        ranked = policy.rank_drivers(board.members.values(), silent_vm)
         rank = ranked.index(vm) if vm in ranked else len(ranked)
-        wait_s += rank * CLAIM_STEP_S
-        return now_s - running.silent_s >= wait_s
+        wait_s += rank * CLAIM_STAGGER_S
+        return now_s - running.driver_seen_s >= wait_s
 
 
 def get_vm(process: str) -> str:
-    """Returns the VM of a process by its name in reports."""
+    """Returns the VM of a process.
+
+    Args:
+        process: The process's name in reports; see
+            `rollout_driver.make_process_name`.
+    """
     return process.rpartition("#")[0]
--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -1,9 +1,9 @@
-"""Driving roll-outs: one VM collects reports, grants calls, takes the steps.
+"""The driver of roll-outs, which collects reports and decides on each step.
 
-The store's record of a roll-out names its driver. Each step is a write under
-the condition that the record is as this process knows it, so of two drivers
-only one goes on. A driver that can't write stops granting calls, and another
-VM takes its place.
+The record of a roll-out in the store names its driver. Each step is a write on
+the condition that the record still has the revision known to this process, so
+of two concurrent drivers only one continues. A driver that can't write stops
+granting calls, and another VM replaces it.
 """
 
 from __future__ import annotations
@@ -25,20 +25,21 @@
 )
 from azureramp.policy import rollouts as policy
 
-LOOK_S = 0.1
-"""Time between two looks at what is to be done, in seconds."""
+CHECK_INTERVAL_S = 0.1
+"""Time between two checks of a roll-out, in seconds."""
 
-RETRY_S = 0.3
-"""Pause after a write that failed, in seconds."""
+WRITE_RETRY_PAUSE_S = 0.3
+"""Pause after a failed write, in seconds."""
 
-ENDED_S = 5.0
-"""How long the driver still answers once the roll-out has ended, in seconds."""
+ANSWER_AFTER_END_S = 5.0
+"""Time for which the driver answers reports after a roll-out's end, in
+seconds."""
 
 _logger = logbook.Logger("azureramp.rollout_driver")
 
 
 class Driver:
-    """Drives the roll-outs that fall to this process."""
+    """Drives the roll-outs that this process has claimed."""
 
     __slots__ = (
         "_board",
@@ -53,135 +54,160 @@
     def __init__(
         self,
         board: board_module.Board,
-        known: rollouts.Rollouts,
+        rollout_registry: rollouts.Rollouts,
         reports: rollout_reports.Reports,
         grants: rollout_grants.Grants,
         situations: rollout_situations.Situations,
         writer: rollout_writer.Writer,
     ) -> None:
-        """Makes one that drives nothing; see `adopt`.
+        """Makes a driver without roll-outs; see `adopt`.
 
         Args:
             board: The state.
-            known: The roll-outs.
-            reports: Tells of those without a driver.
-            grants: Answers the reports on those that this process drives.
-            situations: Describes them.
-            writer: Writes how far they are.
+            rollout_registry: The roll-outs.
+            reports: Sends this process's own reports.
+            grants: Answers the reports on roll-outs that this process drives.
+            situations: Describes the roll-outs and makes their records.
+            writer: Writes the records.
         """
         self._board = board
-        self._rollouts = known
+        self._rollouts = rollout_registry
         self._grants = grants
         self._situations = situations
         self._writer = writer
         self._tasks: set[asyncio.Task[None]] = set()
         self._process = reports.process
-        reports.drive = grants.take
+        reports.handle_locally = grants.handle_report
 
     def adopt(self, record: rollout_types.Record, revision: int) -> None:
-        """Begins to drive a roll-out that names this process."""
+        """Begins to drive a roll-out whose record names this process.
+
+        Args:
+            record: The record.
+            revision: Its revision.
+        """
         if record.has_ended() or record.order.service in self._grants.drives:
             return
         now_s = asyncio.get_running_loop().time()
-        self._rollouts.take_record(record, revision)
-        drive = rollout_drive.Drive(
+        self._rollouts.apply_record(record, revision)
+        drive = rollout_drive.DrivenRollout(
             record, revision, self._board.bounds.exposure, now_s
         )
         self._grants.drives[record.order.service] = drive
         self._count_driven()
-        task = asyncio.create_task(self._follow(record.order.service, drive))
+        task = asyncio.create_task(self._drive(record.order.service, drive))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Ends driving."""
+        """Stops driving all roll-outs."""
         for task in self._tasks:
             task.cancel()
 
-    async def _follow(self, service: str, drive: rollout_drive.Drive) -> None:
-        """Drives a roll-out until it has ended or another VM drives it."""
+    async def _drive(
+        self, service: str, drive: rollout_drive.DrivenRollout
+    ) -> None:
+        """Drives a roll-out until it has ended or another VM takes over."""
         try:
-            going = True
-            while going:
-                going = await self._advance(service, drive)
-                await asyncio.sleep(LOOK_S)
+            driving = True
+            while driving:
+                driving = await self._advance(service, drive)
+                await asyncio.sleep(CHECK_INTERVAL_S)
         except Exception:
-            _logger.exception("driving the roll-out of {} failed", service)
+            _logger.exception(
+                "unexpected error while driving the roll-out of {}", service
+            )
         finally:
             del self._grants.drives[service]
             self._count_driven()
 
     def _count_driven(self) -> None:
-        """Sets the gauge of the roll-outs that this process drives."""
+        """Updates the gauge of the roll-outs that this process drives."""
         driven = len(self._grants.drives)
         self._board.metrics.set_gauge("rollout.driven", driven)
 
-    async def _advance(self, service: str, drive: rollout_drive.Drive) -> bool:
-        """Takes the next step of a roll-out, if it is time.
+    async def _advance(
+        self, service: str, drive: rollout_drive.DrivenRollout
+    ) -> bool:
+        """Performs the next step of a roll-out if one is due.
 
         Returns:
-            False once there is nothing more to be done for it.
+            False once the roll-out needs no further steps by this process.
         """
         now_s = asyncio.get_running_loop().time()
         if drive.ended_s is not None:
-            return now_s - drive.ended_s <= ENDED_S
+            return now_s - drive.ended_s <= ANSWER_AFTER_END_S
         if not self._still_drives(service, drive):
             _logger.info("no longer driving the roll-out of {}", service)
             return False
         situation = self._situations.describe(drive, now_s)
         step = policy.decide(situation)
         if step is not None:
-            await self._take_step(drive, step, situation)
+            await self._perform_step(drive, step, situation)
         elif (
-            self._situations.needs_reserve(drive, now_s)
+            self._situations.needs_larger_reservation(drive, now_s)
             or drive.phase is not drive.record.phase
         ):
-            await self._put(drive, self._situations.stamp_drive(drive, now_s))
+            await self._write_record(
+                drive, self._situations.make_current_record(drive, now_s)
+            )
         return True
 
-    def _still_drives(self, service: str, drive: rollout_drive.Drive) -> bool:
-        """Tells whether the store still names this process, as far as known."""
-        known = self._rollouts.records[service]
-        if known.revision > drive.revision:
-            if known.record.driver != self._process:
+    def _still_drives(
+        self, service: str, drive: rollout_drive.DrivenRollout
+    ) -> bool:
+        """Returns True if this process is still the driver of the newest order.
+
+        This is judged by the latest known record and order.
+        """
+        stored = self._rollouts.records[service]
+        if stored.revision > drive.revision:
+            if stored.record.driver != self._process:
                 return False
-            # A write whose answer was lost.
-            self._take_written(drive, known.record, known.revision)
+            # The record is an own write whose answer was lost.
+            self._handle_written(drive, stored.record, stored.revision)
         order = self._rollouts.orders.get(service)
         return order is None or order.revision <= drive.record.order.revision
 
-    async def _take_step(
+    async def _perform_step(
         self,
-        drive: rollout_drive.Drive,
+        drive: rollout_drive.DrivenRollout,
         step: policy.Step,
         situation: policy.Situation,
     ) -> None:
-        """Writes a step and goes on from there."""
-        takes_away = (
+        """Writes a step and applies it.
+
+        Args:
+            drive: The roll-out.
+            step: The step.
+            situation: The situation on which the step was decided.
+        """
+        reducing_phases = (
             rollout_types.Phase.ROLLED_BACK,
             rollout_drive.TRIAL,
         )
-        if step.phase in takes_away and drive.phase is not step.phase:
-            # Calls to the new version end at once, whatever the store does.
+        if step.phase in reducing_phases and drive.phase is not step.phase:
+            # Calls to the new version are reduced at once, even if the write
+            # fails.
             drive.phase = step.phase
         now_s = asyncio.get_running_loop().time()
-        wanted = dataclasses.replace(
-            self._situations.stamp_drive(drive, now_s),
+        new_record = dataclasses.replace(
+            self._situations.make_current_record(drive, now_s),
             phase=step.phase,
             reason=step.reason,
         )
         if step.phase is rollout_drive.MOVING:
-            # What is sent from now on isn't granted call by call.
-            reserved = max(wanted.reserved, situation.allowed)
-            wanted = dataclasses.replace(wanted, reserved=reserved)
+            # From now on, calls are no longer granted individually.
+            reserved = max(new_record.reserved, situation.allowed)
+            new_record = dataclasses.replace(new_record, reserved=reserved)
         if step.phase is rollout_types.Phase.COMPLETED:
-            wanted = dataclasses.replace(
-                wanted, old=self._list_left(wanted.order)
+            new_record = dataclasses.replace(
+                new_record, old=self._list_replaced_versions(new_record.order)
             )
-        if not await self._put(drive, wanted):
+        if not await self._write_record(drive, new_record):
             return
         _logger.info(
-            "the roll-out of {} to {} is {} now: {}",
+            "the roll-out of {} to {} is now {}: {}",
             situation.order.service,
             situation.order.target,
             step.phase.value,
@@ -204,45 +230,65 @@
             },
         )
 
-    def _list_left(self, order: rollout_types.Order) -> tuple[str, ...]:
-        """Lists the versions that a service leaves behind."""
+    def _list_replaced_versions(
+        self, order: rollout_types.Order
+    ) -> tuple[str, ...]:
+        """Returns the versions that the completed roll-out replaces."""
         versions = self._rollouts.list_versions(order.service)
         return tuple(sorted(versions - {order.target}))
 
-    async def _put(
-        self, drive: rollout_drive.Drive, wanted: rollout_types.Record
+    async def _write_record(
+        self,
+        drive: rollout_drive.DrivenRollout,
+        new_record: rollout_types.Record,
     ) -> bool:
-        """Writes a record over the one that this process knows."""
+        """Replaces the record in the store if it has the known revision.
+
+        Args:
+            drive: The roll-out.
+            new_record: The new record.
+
+        Returns:
+            True if the record was written.
+        """
         now_s = asyncio.get_running_loop().time()
-        written = await self._writer.write(wanted, drive.revision)
+        written = await self._writer.write(new_record, drive.revision)
         if written is None:
-            if drive.failing_s is None:
-                drive.failing_s = now_s
-            await asyncio.sleep(RETRY_S)
+            if drive.writes_failing_since_s is None:
+                drive.writes_failing_since_s = now_s
+            await asyncio.sleep(WRITE_RETRY_PAUSE_S)
             return False
-        self._take_written(drive, wanted, written)
-        self._rollouts.take_record(wanted, written)
+        self._handle_written(drive, new_record, written)
+        self._rollouts.apply_record(new_record, written)
         return True
 
-    def _take_written(
+    def _handle_written(
         self,
-        drive: rollout_drive.Drive,
+        drive: rollout_drive.DrivenRollout,
         record: rollout_types.Record,
         revision: int,
     ) -> None:
-        """Takes a record that was written, also one whose answer was lost."""
+        """Updates the state from a written record.
+
+        The write's answer may have been lost.
+        """
         now_s = asyncio.get_running_loop().time()
         if record.phase is not drive.record.phase:
-            drive.phase_s = now_s
-            drive.answers_before = drive.count_answers()
+            drive.phase_began_s = now_s
+            drive.answers_before_phase = drive.count_answers()
             drive.moved.clear()
         drive.record, drive.revision = record, revision
-        drive.failing_s = None
+        drive.writes_failing_since_s = None
         drive.phase = record.phase
         if record.has_ended():
             drive.ended_s = now_s
 
 
 def make_process_name(vm: str, start: int) -> str:
-    """Makes a process's name in reports, another one at each start."""
+    """Makes the name of a process in reports, unique to each start.
+
+    Args:
+        vm: The VM's name.
+        start: A number that differs at each start.
+    """
     return f"{vm}#{start:x}"
--- a/src/azureramp/controllers/forwarding/rollout_grants.py
+++ b/src/azureramp/controllers/forwarding/rollout_grants.py
@@ -1,4 +1,8 @@
-"""Reports on the roll-outs that this process drives, and grants of calls."""
+"""Handling of reports on the roll-outs that this process drives.
+
+A driver answers each report with a grant: how many calls to the new version
+the reporting process may make.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +19,15 @@
 from azureramp.ports.rollouts import api
 from azureramp.ports.web import api as web_api
 
-UNWRITABLE_S = 1.5
-"""How long a driver that can't write goes on granting calls, in seconds."""
+MAX_UNWRITABLE_S = 1.5
+"""Time for which a driver that can't write continues to grant calls, in
+seconds."""
 
 _logger = logbook.Logger("azureramp.rollout_grants")
 
 
 class Grants:
-    """Answers reports.
+    """Answers reports with grants.
 
     Attributes:
         drives: The roll-outs that this process drives, by service.
@@ -35,19 +40,29 @@
         board: board_module.Board,
         situations: rollout_situations.Situations,
     ) -> None:
-        """Makes one that drives nothing."""
+        """Makes a controller without driven roll-outs.
+
+        Args:
+            board: The state.
+            situations: Describes the roll-outs.
+        """
         self._board = board
         self._situations = situations
-        self.drives: dict[str, rollout_drive.Drive] = {}
+        self.drives: dict[str, rollout_drive.DrivenRollout] = {}
 
     async def handle(self, request: web_api.Request) -> web_api.Response:
-        """Answers another VM's report."""
+        """Handles another VM's report.
+
+        Returns:
+            Status 200 with a grant; 400 for a malformed report; 404 if this
+            process doesn't drive the roll-out; 503 if it can't decide now.
+        """
         try:
             report = api.decode_report(request.body)
         except msgspec.DecodeError as error:
-            _logger.warning("could not read a VM's report: {}", error)
+            _logger.warning("could not decode a VM's report: {}", error)
             return web_api.Response(400)
-        result = self.take(report)
+        result = self.handle_report(report)
         if result is None:
             return web_api.Response(404)
         if result.is_error():
@@ -55,10 +70,18 @@
         body = api.encode(result.ok)
         return web_api.Response(200, body, api.CONTENT_TYPE)
 
-    def take(
+    def handle_report(
         self, report: api.Report
     ) -> expression.Result[api.Grant, errors.Failure] | None:
-        """Takes a report; None if this process doesn't drive the roll-out."""
+        """Applies a report and grants calls to the reporting process.
+
+        Args:
+            report: The report.
+
+        Returns:
+            The grant; `NOT_OWNER` if this process can't decide now; None if it
+            doesn't drive the roll-out.
+        """
         drive = self.drives.get(report.service)
         if drive is None or drive.record.order.revision != report.order:
             return None
@@ -70,7 +93,7 @@
                 errors.Failure(errors.Kind.NOT_OWNER, detail)
             )
         drive.ledger.take(report.process, report.requests, report.spent, now_s)
-        drive.take_counts(report, now_s)
+        drive.apply_counts(report, now_s)
         if report.requests:
             drive.senders.add(report.vm)
         if report.has_moved:
@@ -78,31 +101,33 @@
         else:
             drive.moved.pop(report.vm, None)
         grant_s = self._board.bounds.exposure.get_grant_s()
-        wanted = 0
+        additional_calls = 0
         if drive.phase is rollout_drive.TRIAL:
-            wanted = exposure.divide(
+            additional_calls = exposure.divide(
                 drive.ledger,
                 report.process,
-                self._situations.count_left(drive, now_s),
+                self._situations.count_grantable_calls(drive, now_s),
                 grant_s,
             )
         return expression.Ok(
             api.Grant(
                 report.order,
                 drive.phase,
-                drive.ledger.grant(report.process, wanted, now_s),
+                drive.ledger.grant(report.process, additional_calls, now_s),
                 round(grant_s * 1000),
             )
         )
 
-    def _may_grant(self, drive: rollout_drive.Drive, now_s: float) -> bool:
-        """Tells whether this process may still decide on a roll-out."""
+    def _may_grant(
+        self, drive: rollout_drive.DrivenRollout, now_s: float
+    ) -> bool:
+        """Returns True if this process may still decide on a roll-out."""
         contact_lost = (
             not self._board.contact.reachable
-            and now_s - self._board.contact.confirmed_s > UNWRITABLE_S
+            and now_s - self._board.contact.confirmed_s > MAX_UNWRITABLE_S
         )
         failing = (
-            drive.failing_s is not None
-            and now_s - drive.failing_s > UNWRITABLE_S
+            drive.writes_failing_since_s is not None
+            and now_s - drive.writes_failing_since_s > MAX_UNWRITABLE_S
         )
         return not (self._board.leaving or contact_lost or failing)
--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -1,4 +1,4 @@
-"""What is known of a roll-out when its next step is decided."""
+"""The situation of a roll-out, and the records that describe it."""
 
 from __future__ import annotations
 
@@ -12,53 +12,59 @@
 from azureramp.policy import exposure
 from azureramp.policy import rollouts as policy
 
-REPORTED_S = 0.8
-"""How long a VM's word that it has moved counts, in seconds; less than a grant
-lasts, since without one it goes back to the old searchers."""
+MOVED_REPORT_VALID_S = 0.8
+"""Time for which a VM's report that it has moved is valid, in seconds. It is
+shorter than a grant's validity, since a VM whose grant expires returns to the
+old searchers."""
 
-START_S = 2.0
-"""An order that is seen within this time of this process's start may be older
-than that, in seconds."""
+START_WINDOW_S = 2.0
+"""Time after this process's start, in seconds, within which a received order
+may be older than the process."""
 
-MOST_DOWN_S = 10.0
-"""Most time that the time of day may add to a roll-out's age, in seconds. It
-counts while all VMs were down, and may be wrong."""
+MAX_DOWNTIME_S = 10.0
+"""Maximum time that the wall clock may add to a roll-out's age, in seconds. The
+wall clock accounts for a time in which all VMs were down, and may be wrong."""
 
 RESERVE_SHARE = 0.2
-LEAST_RESERVE = 10
-"""Calls to the new version that are recorded ahead of their grants, as a share
-of those allowed so far, and at least."""
+MIN_RESERVED_CALLS = 10
+"""Calls to the new version that are reserved in the record ahead of their
+grants: as a share of the calls allowed so far, and the minimum number."""
 
 Clock = Callable[[], float]
-"""Returns the time of day, in seconds since 1970."""
+"""Returns the wall-clock time, in seconds since 1970."""
 
 
 class Situations:
-    """Describes roll-outs by what this process knows."""
+    """Describes roll-outs, and makes their records."""
 
     __slots__ = ("_board", "_clock", "_rollouts")
 
     def __init__(
         self,
         board: board_module.Board,
-        known: rollouts.Rollouts,
+        rollout_registry: rollouts.Rollouts,
         clock: Clock,
     ) -> None:
-        """Makes one.
+        """Makes the controller.
 
         Args:
             board: The state.
-            known: The roll-outs.
-            clock: Returns the time of day.
+            rollout_registry: The roll-outs.
+            clock: Returns the wall-clock time.
         """
         self._board = board
-        self._rollouts = known
+        self._rollouts = rollout_registry
         self._clock = clock
 
     def describe(
-        self, drive: rollout_drive.Drive, now_s: float
+        self, drive: rollout_drive.DrivenRollout, now_s: float
     ) -> policy.Situation:
-        """Describes a roll-out for the decision on its next step."""
+        """Describes a roll-out for the decision on its next step.
+
+        Args:
+            drive: The roll-out.
+            now_s: The current time, in seconds.
+        """
         order = drive.record.order
         targets = self._board.by_service.get(order.service, {}).values()
         age_s = self._get_age_s(drive.record, now_s)
@@ -76,10 +82,10 @@
             order=order,
             phase=drive.phase,
             age_s=age_s,
-            phase_s=now_s - drive.phase_s,
+            phase_s=now_s - drive.phase_began_s,
             withdrawn=order.service not in self._rollouts.orders,
             verdict=drive.evidence.get_verdict(),
-            answers=drive.count_answers() - drive.answers_before,
+            answers=drive.count_answers() - drive.answers_before_phase,
             requests=drive.ledger.requests,
             used=drive.ledger.count_used(),
             allowed=policy.count_allowed(
@@ -94,18 +100,24 @@
             all_moved=self._have_all_moved(drive, now_s),
         )
 
-    def begin(
+    def make_first_record(
         self,
         order: rollout_types.Order,
         before: rollout_types.Record | None,
         now_s: float,
     ) -> rollout_types.Record:
-        """Makes the record of a roll-out that begins."""
-        present = self._rollouts.get_present(order.service)
-        old, barred = policy.start(order, before, present)
+        """Makes the first record of a roll-out, without a driver.
+
+        Args:
+            order: The order.
+            before: The service's previous record; None if there is none.
+            now_s: The current time, in seconds.
+        """
+        versions = self._rollouts.get_versions_at_order(order.service)
+        old, barred = policy.start(order, before, versions)
         phase = rollout_drive.TRIAL
         reason = "it begins"
-        if policy.is_present(order, before, present):
+        if policy.is_present(order, before, versions):
             phase = rollout_types.Phase.COMPLETED
             reason = "the service runs this version already"
         record = rollout_types.Record(
@@ -122,12 +134,18 @@
             usual={},
             reason=reason,
         )
-        return self.stamp(record, now_s, reason)
+        return self.with_current_age(record, now_s, reason)
 
-    def stamp(
+    def with_current_age(
         self, record: rollout_types.Record, now_s: float, reason: str
     ) -> rollout_types.Record:
-        """Returns a record with its age as of now."""
+        """Returns a copy of a record with its current age.
+
+        Args:
+            record: The record.
+            now_s: The current time, in seconds.
+            reason: The reason to record.
+        """
         return dataclasses.replace(
             record,
             age_s=round(self._get_age_s(record, now_s), 3),
@@ -135,18 +153,25 @@
             reason=reason,
         )
 
-    def stamp_drive(
-        self, drive: rollout_drive.Drive, now_s: float
+    def make_current_record(
+        self, drive: rollout_drive.DrivenRollout, now_s: float
     ) -> rollout_types.Record:
-        """Returns the record with what is known now."""
-        record = self.stamp(drive.record, now_s, drive.record.reason)
+        """Returns a driven roll-out's record with the current state.
+
+        In the canary phase, calls are reserved ahead of their grants.
+
+        Args:
+            drive: The roll-out.
+            now_s: The current time, in seconds.
+        """
+        record = self.with_current_age(drive.record, now_s, drive.record.reason)
         allowed = exposure.count_allowed(
             self._board.bounds.exposure, drive.ledger.requests
         )
         used = drive.ledger.count_used()
         reserved = record.reserved
         if drive.phase is rollout_drive.TRIAL:
-            ahead = max(LEAST_RESERVE, round(RESERVE_SHARE * allowed))
+            ahead = max(MIN_RESERVED_CALLS, round(RESERVE_SHARE * allowed))
             reserved = max(reserved, min(allowed, used + ahead))
         return dataclasses.replace(
             record,
@@ -156,8 +181,15 @@
             usual=drive.compute_usual(),
         )
 
-    def count_trial(self, drive: rollout_drive.Drive, now_s: float) -> int:
-        """Counts the calls that the trial may have made so far."""
+    def count_canary_calls(
+        self, drive: rollout_drive.DrivenRollout, now_s: float
+    ) -> int:
+        """Returns the calls that the canary phase may have made by now.
+
+        Args:
+            drive: The roll-out.
+            now_s: The current time, in seconds.
+        """
         situation = self.describe(drive, now_s)
         return policy.count_trial_calls(
             self._board.bounds.exposure,
@@ -166,40 +198,60 @@
             min(policy.get_move_s(situation), drive.record.order.duration_s),
         )
 
-    def count_left(self, drive: rollout_drive.Drive, now_s: float) -> int:
-        """Counts the calls that can be granted now, all VMs together."""
-        most = min(self.count_trial(drive, now_s), drive.record.reserved)
-        return max(0, most - drive.ledger.count_used())
+    def count_grantable_calls(
+        self, drive: rollout_drive.DrivenRollout, now_s: float
+    ) -> int:
+        """Returns the calls that can be granted now to all VMs together.
 
-    def needs_reserve(self, drive: rollout_drive.Drive, now_s: float) -> bool:
-        """Tells whether more calls must be recorded before they are granted."""
+        Args:
+            drive: The roll-out.
+            now_s: The current time, in seconds.
+        """
+        limit = min(
+            self.count_canary_calls(drive, now_s), drive.record.reserved
+        )
+        return max(0, limit - drive.ledger.count_used())
+
+    def needs_larger_reservation(
+        self, drive: rollout_drive.DrivenRollout, now_s: float
+    ) -> bool:
+        """Returns True if more calls must be reserved before they are granted.
+
+        Args:
+            drive: The roll-out.
+            now_s: The current time, in seconds.
+        """
         if drive.phase is not rollout_drive.TRIAL:
             return False
-        return self.count_trial(drive, now_s) > drive.record.reserved
+        return self.count_canary_calls(drive, now_s) > drive.record.reserved
 
     def _get_age_s(self, record: rollout_types.Record, now_s: float) -> float:
-        """Returns how long ago a roll-out was ordered, in seconds.
+        """Returns the time since a roll-out was ordered, in seconds.
 
-        A VM that saw the order goes by its own clock. One that started since
-        goes by the record, and carefully by the time of day.
+        A VM that received the order while it was running uses its own clock.
+        A VM that started later uses the age in the record and, up to
+        `MAX_DOWNTIME_S`, the wall clock.
         """
         service = record.order.service
-        seen_s = self._rollouts.get_seen_s(service)
-        age_s = now_s - seen_s
-        known = self._rollouts.records.get(service)
-        if known is None or known.record.order != record.order:
+        order_seen_s = self._rollouts.get_order_seen_s(service)
+        age_s = now_s - order_seen_s
+        stored = self._rollouts.records.get(service)
+        if stored is None or stored.record.order != record.order:
             return age_s
-        age_s = max(age_s, known.record.age_s + now_s - known.seen_s)
-        if seen_s - self._board.started_s > START_S:
+        age_s = max(age_s, stored.record.age_s + now_s - stored.seen_s)
+        if order_seen_s - self._board.started_s > START_WINDOW_S:
             return age_s
-        since_s = self._clock() - known.record.written_ms / 1000
-        by_clock_s = known.record.age_s + max(0.0, since_s)
-        return max(age_s, min(by_clock_s, age_s + MOST_DOWN_S))
+        since_s = self._clock() - stored.record.written_ms / 1000
+        wall_clock_age_s = stored.record.age_s + max(0.0, since_s)
+        return max(age_s, min(wall_clock_age_s, age_s + MAX_DOWNTIME_S))
 
-    def _have_all_moved(self, drive: rollout_drive.Drive, now_s: float) -> bool:
-        """Tells whether no VM has a call at an old searcher any more.
+    def _have_all_moved(
+        self, drive: rollout_drive.DrivenRollout, now_s: float
+    ) -> bool:
+        """Returns True if no VM has running calls to old searchers.
 
-        Those that are not advertised and sent nothing need not confirm it.
+        VMs that are not advertised and have sent no requests need not confirm
+        it.
         """
         board = self._board
         vms = {
@@ -209,5 +261,6 @@
         }
         vms.add(board.identity.vm)
         return all(
-            now_s - drive.moved.get(vm, -math.inf) < REPORTED_S for vm in vms
+            now_s - drive.moved.get(vm, -math.inf) < MOVED_REPORT_VALID_S
+            for vm in vms
         )
--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -1,7 +1,7 @@
-"""One roll-out as a VM that sends requests sees it.
+"""One active roll-out as known to a VM that sends requests.
 
-Tells which searchers a call may go to, and counts how calls of both versions
-end.
+Decides which searchers a call may use, and counts the results of calls to the
+old and new versions.
 """
 
 from __future__ import annotations
@@ -17,20 +17,22 @@
 from azureramp.ports.rollouts import api
 
 SLOW_FACTOR = 2.5
-"""A call that lasts so many usual times counts as bad."""
+"""Multiple of the usual duration above which a call counts as bad."""
 
 USUAL_SMOOTHING = 0.05
-"""Weight of the newest time in what is usual for the old version."""
+"""Weight of the newest duration in the old version's usual duration."""
 
-FEWEST_CALLS = 5
-"""Calls to the old version after which this VM knows what is usual."""
+MIN_CALLS_FOR_USUAL = 5
+"""Minimum number of calls to the old version from which a usual duration is
+derived."""
 
-MOST_FACTOR = 4.0
-"""Most usual times that one call adds to what is usual."""
+MAX_SAMPLE_FACTOR = 4.0
+"""Multiple of the usual duration to which the duration of a single call is
+capped when it is added to the mean."""
 
 
 class Side(enum.Enum):
-    """Which searchers of a service a call may go to."""
+    """Groups of a service's searchers by version."""
 
     OLD = "old"
     NEW = "new"
@@ -40,7 +42,7 @@
 
 
 class End(enum.Enum):
-    """How a call ended, for the judgement of its searcher's version."""
+    """Result of a call, for the evaluation of its searcher's version."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -48,12 +50,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
-    """How calls ended.
+class CallCounts:
+    """Numbers of finished calls.
 
     Attributes:
-        answers: How many ended.
-        bad: Of these, how many failed or lasted several usual times.
+        answers: Calls that finished.
+        bad: Of these, calls that failed or took more than `SLOW_FACTOR` times
+            the usual duration.
     """
 
     answers: int = 0
@@ -61,58 +64,59 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Usual:
-    """How long calls of a route to the old version last.
+class UsualDuration:
+    """Usual duration of a route's calls to the old version.
 
     Attributes:
-        mean_s: Their mean, in seconds.
-        calls: How many there were.
+        mean_s: The mean duration, in seconds.
+        calls: The number of calls.
     """
 
     mean_s: float = 0.0
     calls: int = 0
 
     def add(self, took_s: float) -> None:
-        """Takes a call's time."""
+        """Adds a call's duration, in seconds."""
         self.calls += 1
         if self.calls > 1:
-            took_s = min(took_s, MOST_FACTOR * self.mean_s)
+            took_s = min(took_s, MAX_SAMPLE_FACTOR * self.mean_s)
         weight = max(USUAL_SMOOTHING, 1.0 / self.calls)
         self.mean_s += weight * (took_s - self.mean_s)
 
     def is_known(self) -> bool:
-        """Tells whether there were enough calls."""
-        return self.calls >= FEWEST_CALLS
+        """Returns True if there were enough calls."""
+        return self.calls >= MIN_CALLS_FOR_USUAL
 
 
-class Running:
+class ActiveRollout:
     """A roll-out that has not ended.
 
     Attributes:
         order: The order.
-        versions: Which versions may be used.
+        versions: The versions that may be used.
         requests: Calls to the service since the order.
         spent: Of these, calls to the new version.
-        tallies: How they ended, by route and searcher; the old version's
-            searchers together, under an empty name.
-        silent_s: When a driver last answered, or the roll-out was seen.
+        tallies: Numbers of finished calls, by route and searcher; those of the
+            old version's searchers together, under an empty name.
+        driver_seen_s: Time at which a driver last answered, in seconds;
+            initially the time at which the roll-out was received.
         has_moved: True if the last report said that all calls have moved.
-        wanted: Wakes the reports.
+        report_due: Set when a report should be sent now.
     """
 
     __slots__ = (
-        "_good_until_s",
         "_grant",
-        "_own_usual",
-        "_usual_s",
+        "_grant_valid_until_s",
+        "_measured_usual",
+        "_recorded_usual_s",
+        "driver_seen_s",
         "has_moved",
         "order",
+        "report_due",
         "requests",
-        "silent_s",
         "spent",
         "tallies",
         "versions",
-        "wanted",
     )
 
     def __init__(
@@ -121,38 +125,49 @@
         versions: policy.Versions,
         now_s: float,
     ) -> None:
-        """Makes one without any grant."""
+        """Makes a roll-out without a grant.
+
+        Args:
+            order: The order.
+            versions: The versions that may be used.
+            now_s: The current time, in seconds.
+        """
         self.order = order
         self.versions = versions
         self.requests = 0
         self.spent = 0
-        self.tallies: dict[tuple[str, str], Tally] = {}
-        self.silent_s = now_s
+        self.tallies: dict[tuple[str, str], CallCounts] = {}
+        self.driver_seen_s = now_s
         self.has_moved = False
-        self.wanted = asyncio.Event()
-        self._own_usual: dict[str, Usual] = {}
-        self._usual_s: Mapping[str, float] = {}
+        self.report_due = asyncio.Event()
+        self._measured_usual: dict[str, UsualDuration] = {}
+        self._recorded_usual_s: Mapping[str, float] = {}
         self._grant: api.Grant | None = None
-        self._good_until_s = -math.inf
+        self._grant_valid_until_s = -math.inf
 
-    def take_grant(self, grant: api.Grant, asked_s: float) -> None:
-        """Takes the answer to a report that was sent at a time."""
+    def apply_grant(self, grant: api.Grant, sent_s: float) -> None:
+        """Applies the grant that answers a report.
+
+        Args:
+            grant: The grant.
+            sent_s: Time at which the report was sent, in seconds.
+        """
         self._grant = grant
-        self._good_until_s = asked_s + grant.good_ms / 1000
+        self._grant_valid_until_s = sent_s + grant.good_ms / 1000
 
     def get_phase(self, now_s: float) -> rollout_types.Phase | None:
-        """Returns the phase by the last grant; None if that has run out."""
-        if self._grant is None or now_s >= self._good_until_s:
+        """Returns the phase of the last grant; None if it has expired."""
+        if self._grant is None or now_s >= self._grant_valid_until_s:
             return None
         return self._grant.phase
 
     def list_sides(self, is_first: bool, now_s: float) -> tuple[Side, ...]:
-        """Lists the sides that a call may go to, best first.
+        """Lists the version groups that a call may use, preferred one first.
 
         Args:
-            is_first: True for a request's first call. What fails or is late
-                on trial is made good at the old searchers.
-            now_s: The time.
+            is_first: True for a request's first call. In the canary phase,
+                retries and hedged requests use the old searchers.
+            now_s: The current time, in seconds.
         """
         match self.get_phase(now_s):
             case rollout_types.Phase.TRIAL:
@@ -167,18 +182,23 @@
                 return (Side.OLD,)
 
     def is_new(self, searcher: catalog.Searcher) -> bool:
-        """Tells whether a searcher is of the new version."""
+        """Returns True if a searcher runs the new version."""
         return searcher.version == self.order.target
 
     def note_call(self, searcher: catalog.Searcher, now_s: float) -> None:
-        """Counts a call."""
+        """Counts a call.
+
+        Args:
+            searcher: The searcher that is called.
+            now_s: The current time, in seconds.
+        """
         self.requests += 1
         if not self.is_new(searcher):
             return
         self.spent += 1
         trial = rollout_types.Phase.TRIAL
         if self.get_phase(now_s) is trial and not self._has_grant_left():
-            self.wanted.set()
+            self.report_due.set()
 
     def note_end(
         self,
@@ -188,19 +208,19 @@
         took_s: float,
         usual_s: float,
     ) -> bool:
-        """Takes how a call ended.
+        """Records the result of a call.
 
         Args:
             searcher: The searcher.
             route: The route's name.
-            end: How.
-            took_s: How long it lasted, in seconds.
-            usual_s: How long calls of the route usually last, in seconds, if
-                nothing of the old version was measured yet.
+            end: The result.
+            took_s: The call's duration, in seconds.
+            usual_s: The usual duration of the route's calls, in seconds; used
+                while none of the old version has been measured.
 
         Returns:
-            True if it was counted; one without an answer says nothing before
-            it has lasted long.
+            True if the call was counted. A call without an answer is not
+            counted until it is slow.
         """
         is_new = self.is_new(searcher)
         usual_s = self._get_usual_s(route, usual_s)
@@ -208,30 +228,42 @@
         if end is End.UNANSWERED and not slow:
             return False
         key = (route, searcher.id if is_new else "")
-        tally = self.tallies.setdefault(key, Tally())
+        tally = self.tallies.setdefault(key, CallCounts())
         tally.answers += 1
         tally.bad += end is End.FAILED or slow
         if end is End.ANSWERED and not is_new:
-            self._own_usual.setdefault(route, Usual()).add(took_s)
+            self._measured_usual.setdefault(route, UsualDuration()).add(took_s)
         return True
 
-    def take_usual(self, usual_s: Mapping[str, float]) -> None:
-        """Takes how long the old version's calls usually last, by route."""
-        self._usual_s = usual_s
+    def set_usual_durations(self, usual_s: Mapping[str, float]) -> None:
+        """Sets the usual durations of calls to the old version.
 
-    def get_own_usual_s(self, route: str) -> float:
-        """Returns how long they last by this VM's calls; 0 if not known."""
-        own = self._own_usual.get(route)
+        Args:
+            usual_s: The durations by route, in seconds, from the record.
+        """
+        self._recorded_usual_s = usual_s
+
+    def get_measured_usual_s(self, route: str) -> float:
+        """Returns the usual duration that this VM has measured.
+
+        Args:
+            route: The route's name.
+
+        Returns:
+            The duration of calls to the old version, in seconds; 0 if there
+            were too few calls.
+        """
+        own = self._measured_usual.get(route)
         return own.mean_s if own is not None and own.is_known() else 0.0
 
-    def _get_usual_s(self, route: str, otherwise_s: float) -> float:
-        """Returns how long the old version's calls usually last."""
+    def _get_usual_s(self, route: str, fallback_s: float) -> float:
+        """Returns the usual duration of calls to the old version."""
         return (
-            self.get_own_usual_s(route)
-            or self._usual_s.get(route, 0.0)
-            or otherwise_s
+            self.get_measured_usual_s(route)
+            or self._recorded_usual_s.get(route, 0.0)
+            or fallback_s
         )
 
     def _has_grant_left(self) -> bool:
-        """Tells whether one more call to the new version is granted."""
+        """Returns True if another call to the new version is granted."""
         return self._grant is not None and self.spent < self._grant.limit
--- a/src/azureramp/controllers/forwarding/rollout_writer.py
+++ b/src/azureramp/controllers/forwarding/rollout_writer.py
@@ -1,4 +1,4 @@
-"""Writing how far roll-outs are, for VMs and for operators."""
+"""Writing of roll-out records for VMs, and of their statuses for operators."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from azureramp.policy import relaying
 from azureramp.ports.store import api as store_api
 
-Keys = Callable[[str], tuple[str, str]]
+MakeKeys = Callable[[str], tuple[str, str]]
 """Returns the keys of the record and of the status of a service's roll-out."""
 
-Encode = Callable[[rollout_types.Record], tuple[bytes, bytes]]
+EncodeRecord = Callable[[rollout_types.Record], tuple[bytes, bytes]]
 """Returns the values of a record and of its status."""
 
 _logger = logbook.Logger("azureramp.rollout_writer")
@@ -29,18 +29,18 @@
         self,
         store: store_api.BatchStore,
         copy: relaying.Copy,
-        make_keys: Keys,
-        encode: Encode,
+        make_keys: MakeKeys,
+        encode: EncodeRecord,
         contacts: contact.Contacts,
     ) -> None:
         """Makes a writer.
 
         Args:
             store: The store.
-            copy: What this VM knows of the store.
-            make_keys: Returns the keys of a roll-out.
-            encode: Returns the values of a roll-out.
-            contacts: Told of calls that worked or failed.
+            copy: This VM's copy of the store's entries.
+            make_keys: Returns the keys of a roll-out's record and status.
+            encode: Returns the values of a roll-out's record and status.
+            contacts: Records the outcome of store calls.
         """
         self._store = store
         self._copy = copy
@@ -49,20 +49,29 @@
         self._contact = contacts
 
     def get_revision(self, service: str) -> int:
-        """Returns the revision of a service's record, as far as known."""
+        """Returns the latest known revision of a service's record.
+
+        Args:
+            service: The service's name.
+        """
         key, _ = self._make_keys(service)
         return self._copy.get_revision(key)
 
     async def write(
-        self, wanted: rollout_types.Record, expected: int
+        self, record: rollout_types.Record, expected: int
     ) -> int | None:
-        """Writes a record and its status if the record is as expected.
+        """Writes a record and its status on condition of the record's revision.
+
+        Args:
+            record: The record to write.
+            expected: The revision that the record must have in the store.
 
         Returns:
-            The new revision; None if nothing is known to be written.
+            The new revision; None if the write failed or its outcome is
+            unknown.
         """
-        key, status_key = self._make_keys(wanted.order.service)
-        value, status = self._encode(wanted)
+        key, status_key = self._make_keys(record.order.service)
+        value, status = self._encode(record)
         status_expected = self._copy.get_revision(status_key)
         for _ in range(2):
             result = await self._store.write_batch(
@@ -74,8 +83,8 @@
             if result.is_error():
                 self._contact.record_failure(result.error)
                 _logger.warning(
-                    "could not write the roll-out of {}: {}",
-                    wanted.order.service,
+                    "could not write the record of the roll-out of {}: {}",
+                    record.order.service,
                     result.error.kind.value,
                 )
                 return None
@@ -86,8 +95,9 @@
                 case store_api.BatchConflicted(present=present):
                     if present[key] != expected:
                         _logger.info(
-                            "the roll-out of {} was written by another VM",
-                            wanted.order.service,
+                            "another VM has written the record of the "
+                            "roll-out of {}",
+                            record.order.service,
                         )
                         return None
                     status_expected = present[status_key]
--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -1,8 +1,8 @@
-"""Roll-outs as a VM that sends requests sees them.
+"""The roll-outs of all services as known to a VM that sends requests.
 
-Keeps the orders and records, tells which searchers a call may go to, counts
-how calls of both versions end, and reports that to the VM that drives the
-roll-out, which answers with the right to a few more calls.
+Maintains the orders and records, decides which searchers a call may use, and
+counts the results of calls to the old and new versions. They are reported to
+the driver of the roll-out, which grants further calls to the new version.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Known:
-    """A record as it stands in the store.
+class StoredRecord:
+    """A roll-out's record as the store holds it.
 
     Attributes:
         record: The record.
         revision: Its revision.
-        seen_s: When this process heard of it.
+        seen_s: Time at which this process received it, in seconds.
     """
 
     record: rollout_types.Record
@@ -37,21 +37,21 @@
 
 
 class Rollouts:
-    """Keeps the roll-outs of all services.
+    """Maintains the roll-outs of all services.
 
     Attributes:
         orders: The newest order of each service.
-        records: The newest record of each.
-        running: Those that have not ended.
-        on_begin: Called when one begins that this process takes part in.
-        on_end: Called with the service when one has ended.
+        records: The newest record of each service.
+        running: The roll-outs that have not ended, by service.
+        on_begin: Called when a roll-out begins, if this process serves callers.
+        on_end: Called with the service's name when a roll-out has ended.
     """
 
     __slots__ = (
         "_board",
         "_ended",
-        "_present",
-        "_seen_s",
+        "_order_seen_s",
+        "_versions_at_order",
         "on_begin",
         "on_end",
         "orders",
@@ -60,51 +60,72 @@
     )
 
     def __init__(self, board: board_module.Board) -> None:
-        """Makes one that knows of no roll-out."""
+        """Makes a controller without roll-outs.
+
+        Args:
+            board: The state.
+        """
         self._board = board
         self.orders: dict[str, rollout_types.Order] = {}
-        self.records: dict[str, Known] = {}
-        self.running: dict[str, rollout_view.Running] = {}
-        self.on_begin: Callable[[rollout_view.Running], None] | None = None
+        self.records: dict[str, StoredRecord] = {}
+        self.running: dict[str, rollout_view.ActiveRollout] = {}
+        self.on_begin: Callable[[rollout_view.ActiveRollout], None] | None = (
+            None
+        )
         self.on_end: Callable[[str], None] | None = None
         self._ended: dict[str, policy.Versions] = {}
-        self._present: dict[str, frozenset[str]] = {}
-        self._seen_s: dict[str, float] = {}
+        self._versions_at_order: dict[str, frozenset[str]] = {}
+        self._order_seen_s: dict[str, float] = {}
 
-    def take_order(self, order: rollout_types.Order) -> None:
-        """Takes an order of the operators, which may have been read before."""
+    def apply_order(self, order: rollout_types.Order) -> None:
+        """Applies an operator's order; ignores one that is already known.
+
+        Args:
+            order: The order.
+        """
         if self.orders.get(order.service) == order:
             return
         self.orders[order.service] = order
-        self._present[order.service] = self.list_versions(order.service)
-        self._seen_s[order.service] = asyncio.get_running_loop().time()
+        self._versions_at_order[order.service] = self.list_versions(
+            order.service
+        )
+        self._order_seen_s[order.service] = asyncio.get_running_loop().time()
         _logger.info(
-            "operators want service {} moved to version {}",
+            "received the order to roll out service {} to version {}",
             order.service,
             order.target,
             extra={
                 "order": order.revision,
                 "duration_s": order.duration_s,
-                "present": sorted(self._present[order.service]),
+                "present": sorted(self._versions_at_order[order.service]),
             },
         )
         self._update(order.service)
 
     def withdraw(self, service: str) -> None:
-        """Takes that the operators took their order back."""
+        """Handles the withdrawal of an order by the operators.
+
+        Args:
+            service: The service's name.
+        """
         if self.orders.pop(service, None) is not None:
-            _logger.info("operators took back the roll-out of {}", service)
+            _logger.info("the order to roll out {} was withdrawn", service)
         self._update(service)
 
-    def take_record(self, record: rollout_types.Record, revision: int) -> None:
-        """Takes how far a roll-out is."""
+    def apply_record(self, record: rollout_types.Record, revision: int) -> None:
+        """Applies a roll-out's record unless a newer one is known.
+
+        Args:
+            record: The record.
+            revision: Its revision.
+        """
         service = record.order.service
-        known = self.records.get(service)
-        if known is not None and revision <= known.revision:
+        stored = self.records.get(service)
+        if stored is not None and revision <= stored.revision:
             return
         now_s = asyncio.get_running_loop().time()
-        self.records[service] = Known(record, revision, now_s)
-        if known is None or _is_news(known.record, record):
+        self.records[service] = StoredRecord(record, revision, now_s)
+        if stored is None or _is_significant(stored.record, record):
             _logger.info(
                 "the roll-out of {} to {} is {}: {}",
                 service,
@@ -120,28 +141,45 @@
         self._update(service)
 
     def get_record(self, service: str) -> rollout_types.Record | None:
-        """Returns the newest record of a service's roll-outs."""
-        known = self.records.get(service)
-        return None if known is None else known.record
+        """Returns the newest record of a service, None if there is none."""
+        stored = self.records.get(service)
+        return None if stored is None else stored.record
 
-    def get_present(self, service: str) -> frozenset[str]:
+    def get_versions_at_order(self, service: str) -> frozenset[str]:
         """Returns the versions of a service's searchers at its last order.
 
-        A process that started since knew no searcher when it read the order;
-        the versions that there are now stand for those.
+        A process that started after the order knew no searchers when it read
+        the order; the current versions are returned instead.
+
+        Args:
+            service: The service's name.
         """
-        return self._present.get(service) or self.list_versions(service)
+        return self._versions_at_order.get(service) or self.list_versions(
+            service
+        )
+
+    def get_order_seen_s(self, service: str) -> float:
+        """Returns when this process received a service's newest order.
+
+        Args:
+            service: The service's name.
 
-    def get_seen_s(self, service: str) -> float:
-        """Returns when the newest order of a service was seen."""
-        return self._seen_s.get(service, self._board.started_s)
+        Returns:
+            The time in seconds; the process's start if there is no order.
+        """
+        return self._order_seen_s.get(service, self._board.started_s)
 
     def list_sides(
         self, service: str, is_first: bool, now_s: float
     ) -> tuple[rollout_view.Side, ...]:
-        """Lists the sides that a call to a service may go to, best first.
+        """Lists the version groups that a call may use, preferred one first.
+
+        Without a roll-out all searchers count as old.
 
-        Without a roll-out all searchers are old.
+        Args:
+            service: The service's name.
+            is_first: True for a request's first call to the service.
+            now_s: The current time, in seconds.
         """
         running = self.running.get(service)
         if running is None:
@@ -151,7 +189,12 @@
     def allows(
         self, searcher: catalog.Searcher, sides: tuple[rollout_view.Side, ...]
     ) -> bool:
-        """Tells whether a searcher is on one of these sides."""
+        """Returns True if a searcher belongs to one of the version groups.
+
+        Args:
+            searcher: The searcher.
+            sides: The version groups.
+        """
         running = self.running.get(searcher.service)
         if running is not None:
             versions = running.versions
@@ -167,7 +210,12 @@
         )
 
     def note_call(self, searcher: catalog.Searcher, now_s: float) -> None:
-        """Counts a call to a searcher."""
+        """Counts a call to a searcher.
+
+        Args:
+            searcher: The searcher.
+            now_s: The current time, in seconds.
+        """
         running = self.running.get(searcher.service)
         if running is None:
             return
@@ -183,23 +231,27 @@
         took_s: float,
         usual_s: float,
     ) -> bool:
-        """Takes how a call ended; see `Running.note_end`."""
+        """Records the result of a call; see `ActiveRollout.note_end`."""
         running = self.running.get(searcher.service)
         if running is None:
             return True
         return running.note_end(searcher, route, end, took_s, usual_s)
 
     def list_versions(self, service: str) -> frozenset[str]:
-        """Lists the versions of the searchers that a service has."""
+        """Returns the versions of a service's searchers.
+
+        Args:
+            service: The service's name.
+        """
         targets = self._board.by_service.get(service, {})
         return frozenset(each.searcher.version for each in targets.values())
 
     def _update(self, service: str) -> None:
-        """Follows an order or a record."""
+        """Updates a service's state after a change of its order or record."""
         order = self.orders.get(service)
         record = self.get_record(service)
         versions = policy.find_versions(
-            order, record, self.get_present(service)
+            order, record, self.get_versions_at_order(service)
         )
         pending = self._find_pending(order, record)
         if pending is None:
@@ -219,15 +271,15 @@
         if versions is not None:
             running.versions = versions
         if record is not None and record.order == pending:
-            running.take_usual(record.usual)
-        running.wanted.set()
+            running.set_usual_durations(record.usual)
+        running.report_due.set()
 
     def _find_pending(
         self,
         order: rollout_types.Order | None,
         record: rollout_types.Record | None,
     ) -> rollout_types.Order | None:
-        """Returns the order that has not ended, if there is one."""
+        """Returns the order whose roll-out has not ended, None if none."""
         if record is not None and (
             order is None or order.revision <= record.order.revision
         ):
@@ -239,11 +291,11 @@
         order: rollout_types.Order,
         versions: policy.Versions | None,
     ) -> None:
-        """Begins to follow a roll-out."""
-        # Where the service runs the version already, all its searchers serve.
+        """Begins to track a roll-out."""
+        # If the service already runs the version, all its searchers are used.
         versions = versions or policy.Versions("", frozenset())
         now_s = asyncio.get_running_loop().time()
-        running = rollout_view.Running(order, versions, now_s)
+        running = rollout_view.ActiveRollout(order, versions, now_s)
         if not versions.target:
             self._ended[order.service] = versions
         else:
@@ -254,15 +306,17 @@
             self.on_begin(running)
 
     def _end(self, service: str) -> None:
-        """Ends following a roll-out."""
+        """Stops tracking a service's roll-out."""
         self.running.pop(service, None)
         self._board.metrics.set_gauge("rollout.running", len(self.running))
         if self.on_end is not None:
             self.on_end(service)
 
 
-def _is_news(old: rollout_types.Record, new: rollout_types.Record) -> bool:
-    """Tells whether a record says more than that some calls were granted."""
+def _is_significant(
+    old: rollout_types.Record, new: rollout_types.Record
+) -> bool:
+    """Returns True if a record's order, phase or driver has changed."""
     return (old.order, old.phase, old.driver) != (
         new.order,
         new.phase,
