--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs on whole VMs: bad versions, faults beside them, odd orders."""
+"""Tests of roll-outs on whole VMs: bad versions, faults and unusual orders."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 KIND = versions.Kind
 FAULT = play.Fault
-BAD = [kind for kind in KIND if kind is not KIND.GOOD]
+BAD_KINDS = [kind for kind in KIND if kind is not KIND.GOOD]
 
 
 def check(plan: play.Plan, state: str) -> play.Outcome:
@@ -25,36 +25,39 @@
 
 
 @pytest.mark.parametrize("vms", [1, 3, 12])
-def test_a_good_version_is_completed_and_no_caller_notices(vms: int) -> None:
+def test_a_good_version_is_completed_without_failures(vms: int) -> None:
     outcome = check(play.Plan(vms, 1, KIND.GOOD), "completed")
     assert outcome.served == 1.0
     assert outcome.cut == 0
 
 
-@pytest.mark.parametrize("kind", BAD)
-def test_a_bad_version_is_rolled_back_within_its_exposure(kind: KIND) -> None:
+@pytest.mark.parametrize("kind", BAD_KINDS)
+def test_a_bad_version_is_rolled_back_within_its_exposure_bound(
+    kind: KIND,
+) -> None:
     check(play.Plan(3, 2, kind), "rolled_back")
 
 
 @pytest.mark.parametrize(
     "fault", [each for each in FAULT if each.value != "none"]
 )
-def test_a_failing_version_is_rolled_back_beside_a_fault(fault: FAULT) -> None:
-    """Guards against a fault that lets the new version get more requests."""
+def test_a_failing_version_is_rolled_back_during_a_fault(fault: FAULT) -> None:
+    """Guards against faults that raise the requests to the new version."""
     check(play.Plan(3, 3, KIND.FAILING, fault), "rolled_back")
 
 
 @pytest.mark.parametrize(
     "fault", [FAULT.DRIVER_KILLED, FAULT.STORE_SLOW, FAULT.OLD_SLOW]
 )
-def test_a_good_version_is_completed_beside_a_fault(fault: FAULT) -> None:
+def test_a_good_version_is_completed_during_a_fault(fault: FAULT) -> None:
     check(play.Plan(3, 4, KIND.GOOD, fault), "completed")
 
 
-def test_all_vms_killed_leave_no_bad_version_in_use() -> None:
-    """Guards against evidence that is lost with all VMs.
+def test_a_slow_version_is_rolled_back_although_all_vms_are_killed() -> None:
+    """Guards against the completion of a slow version after a restart.
 
-    Without it a slow version was completed at the end of its time.
+    When all VMs were killed, the evidence against the version was lost with
+    them, and the roll-out was completed at its deadline.
     """
     check(play.Plan(3, 2012, KIND.SLOW, FAULT.ALL_KILLED), "rolled_back")
 
@@ -62,7 +65,7 @@
 async def send(
     scene: deployment.Deployment, target: str, seconds: float
 ) -> int:
-    """Sends 20 requests a second; returns how many were not served."""
+    """Sends about 20 requests per second; returns the number of failures."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + seconds
     failed = 0
@@ -74,7 +77,7 @@
 
 
 def count_calls(scene: deployment.Deployment) -> collections.Counter[str]:
-    """Counts the requests that reached searchers, by version."""
+    """Counts the requests that searchers received, by version."""
     return collections.Counter(
         {
             version: sum(
@@ -98,8 +101,8 @@
     ]
 
 
-def test_a_second_order_takes_the_first_one_s_place() -> None:
-    """Guards against a version on trial that goes on getting requests."""
+def test_a_second_order_replaces_the_first() -> None:
+    """Guards against requests to a version whose order has been replaced."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         scene.order_rollout(scenes.PLAIN, "v2", 30.0)
@@ -108,17 +111,17 @@
         scene.order_rollout(scenes.PLAIN, "v3", 8.0)
         await add_new(scene, "v3")
         await send(scene, "/one/x", 1.0)
-        tried = count_calls(scene)
-        assert tried["v2"] > 0
+        counts_before = count_calls(scene)
+        assert counts_before["v2"] > 0
         await send(scene, "/one/x", 7.5)
         assert scene.read_rollout(scenes.PLAIN) == "completed"
-        assert count_calls(scene)["v2"] == tried["v2"]
+        assert count_calls(scene)["v2"] == counts_before["v2"]
         assert count_calls(scene)["v3"] > 20
 
     scenes.run(scenario)
 
 
-def test_an_order_that_is_taken_back_is_rolled_back() -> None:
+def test_a_withdrawn_order_is_rolled_back() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.order_rollout(scenes.PLAIN, "v2", 30.0)
         await add_new(scene, "v2")
@@ -126,14 +129,14 @@
         scene.store.remove(f"op/rollout/{scenes.PLAIN}")
         await send(scene, "/one/x", 1.0)
         assert scene.read_rollout(scenes.PLAIN) == "rolled_back"
-        tried = count_calls(scene)["v2"]
+        counts_before = count_calls(scene)["v2"]
         assert await send(scene, "/one/x", 1.0) == 0
-        assert count_calls(scene)["v2"] == tried
+        assert count_calls(scene)["v2"] == counts_before
 
     scenes.run(scenario)
 
 
-def test_an_order_of_the_present_version_is_completed_at_once() -> None:
+def test_an_order_of_the_current_version_is_completed_at_once() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.order_rollout(scenes.PLAIN, "v1", 12.0)
         assert await send(scene, "/one/x", 2.0) == 0
@@ -143,7 +146,7 @@
     scenes.run(scenario)
 
 
-def test_new_searchers_that_never_come_are_waited_for_no_longer() -> None:
+def test_a_roll_out_without_new_searchers_is_rolled_back() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.order_rollout(scenes.PLAIN, "v2", 4.0)
         assert await send(scene, "/one/x", 4.0) == 0
@@ -170,8 +173,8 @@
     scenes.run(scenario, vms=2)
 
 
-def test_a_vm_without_its_driver_sends_nothing_to_the_new_version() -> None:
-    """Guards against a VM out of touch that goes by an old grant."""
+def test_a_vm_without_its_driver_calls_only_the_old_version() -> None:
+    """Guards against the use of an expired grant by a VM without its driver."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         scene.order_rollout(scenes.PLAIN, "v2", 60.0)
@@ -187,8 +190,8 @@
     scenes.run(scenario)
 
 
-def test_a_store_that_is_read_anew_does_not_start_a_roll_out_again() -> None:
-    """Guards against a roll-out whose time begins anew with each reading."""
+def test_a_full_read_of_the_store_does_not_restart_a_roll_out() -> None:
+    """Guards against a roll-out's age that restarts with each full read."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         scene.order_rollout(scenes.PLAIN, "v2", 6.0)
@@ -202,8 +205,8 @@
     scenes.run(scenario)
 
 
-def test_vms_that_restart_before_the_first_record_bar_the_old_version() -> None:
-    """Guards against requests to old searchers that end without draining."""
+def test_a_vm_restarted_before_the_first_record_bars_the_old_version() -> None:
+    """Guards against requests to old searchers that stop without draining."""
 
     async def scenario(scene: deployment.Deployment) -> None:
         await scene.programs.pop("vm-0").kill()
@@ -220,7 +223,7 @@
     scenes.run(scenario)
 
 
-def test_without_orders_roll_outs_cost_no_call() -> None:
+def test_roll_outs_cause_no_store_calls_without_orders() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         before = scene.store.calls["/kv-txn"]
         await send(scene, "/one/x", 5.0)
