--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -28,7 +28,7 @@
 within about 2 s."""
 
 Decode = Callable[[store_api.Entry], catalog.Update | None]
-"""Decodes an entry; None if it doesn't concern this process."""
+"""Decodes an entry; None for a key that this process doesn't use."""
 
 _logger = logbook.Logger("azureramp.applying")
 
--- a/src/azureramp/controllers/forwarding/contact.py
+++ b/src/azureramp/controllers/forwarding/contact.py
@@ -64,7 +64,7 @@
         """Returns the time since the store became reachable again.
 
         Returns:
-            The time in seconds; infinite if the store never was reached.
+            The time in seconds; infinite if there was no recovery.
         """
         now_s = asyncio.get_running_loop().time()
         return now_s - self._board.contact.regained_s
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -167,8 +167,7 @@
     async def leave(self) -> None:
         """Deletes this VM's entry.
 
-        Does not retry if the store is unreachable; the entry then lapses with
-        its lease.
+        Does not retry if the store is unreachable.
         """
         key = self._make_key(self._board.identity.vm)
         expected = self._get_own_revision(key)
