--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -1,4 +1,4 @@
-"""The owner of searchers: the one VM that sends work to each of them."""
+"""The owner of searchers: the only VM that sends work to each of them."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from azureramp.ports.searchers import api as searchers_api
 
 TICK_S = 0.1
-"""Time between looks at what is due, in seconds."""
+"""Interval between runs of the periodic work, in seconds."""
 
-ONCE_S = 120.0
-"""How long a sub-request that may not be repeated is remembered, in
-seconds, so that a message that comes twice doesn't run it twice."""
+DEDUPLICATION_S = 120.0
+"""How long the key of a non-repeatable sub-request is remembered, in seconds,
+so that a duplicate message doesn't run it twice."""
 
-MAX_ONCE = 50_000
-"""Most of them remembered; further ones are refused."""
+MAX_DEDUPLICATION_KEYS = 50_000
+"""Maximum number of remembered keys; further sub-requests are refused."""
 
 OwnedSearcher = owned_searcher.OwnedSearcher
 Part = owned_searcher.Part
@@ -40,7 +40,7 @@
 
 
 class Owner:
-    """Owns searchers: takes work for them, and gives them up in order."""
+    """Runs sub-requests on owned searchers and hands searchers off."""
 
     __slots__ = (
         "_board",
@@ -61,13 +61,13 @@
         port: searchers_api.Searchers,
         rng: random.Random,
     ) -> None:
-        """Makes an owner of nothing; see `make`."""
+        """Creates an owner without searchers; see `make`."""
         self._board = board
         self._directory = directory.Directory(board)
         self._holdings = owned_searcher.Holdings()
         self._handoffs = handoffs.Handoffs(board, outbox)
         self._prober = probing.Prober(
-            board, port, self._holdings, rng, self._take_look
+            board, port, self._holdings, rng, self._handle_probe
         )
         self._poisoning = poisoning.Poisoning(
             board, outbox, port, self._directory, self._holdings
@@ -84,7 +84,9 @@
         )
         self._poisoning.on_charged = self._runner.isolate
         self._runner.on_released = self._handoffs.end_part
-        self._once: once.Once[tuple[str, int]] = once.Once(ONCE_S, MAX_ONCE)
+        self._once: once.Once[tuple[str, int]] = once.Once(
+            DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
+        )
         self._changes = ownership_changes.OwnershipChanges(
             board,
             port,
@@ -96,7 +98,7 @@
         )
 
     def receive_batch(self, sender: str, batch: messages.QueryBatch) -> None:
-        """Takes the sub-requests of one request."""
+        """Accepts the sub-requests of one request."""
         deadline_s = _now_s() + batch.remaining_ms / 1000
         for request in batch.parts:
             key = (batch.request_id, request.part)
@@ -109,26 +111,27 @@
                 self._runner.take(part)
 
     def receive_cancel(self, sender: str, message: messages.Cancel) -> None:
-        """Ends sub-requests that nobody waits for."""
+        """Cancels sub-requests whose results are no longer needed."""
         for number in message.parts:
             entry = self._holdings.parts.get((message.request_id, number))
             if entry is not None:
                 self._runner.cancel(*entry)
 
     def receive_handoff(self, sender: str, message: messages.Handoff) -> None:
-        """Takes a searcher from its former owner."""
+        """Accepts the handoff of a searcher from its former owner."""
         owned = self._holdings.owned.get(message.searcher)
         if owned is None:
             self._handoffs.receive(sender, message)
             self.update_ownership()
         else:
-            # This VM didn't wait for it, but what still runs counts.
+            # This VM started without the handoff, but the former owner's
+            # running calls still occupy slots.
             ownership_changes.hold_slots(owned, sender, message)
 
     def receive_handoff_done(
         self, sender: str, message: messages.HandoffDone
     ) -> None:
-        """Learns that a former owner has nothing running any more."""
+        """Handles the notice that a former owner's calls have all ended."""
         for name in message.searchers:
             owned = self._holdings.owned.get(name)
             if owned is None:
@@ -140,32 +143,33 @@
     def receive_crash_notice(
         self, sender: str, message: messages.CrashNotice
     ) -> None:
-        """Learns of a crash that another owner saw."""
+        """Handles the notice of a crash that another owner detected."""
         self._poisoning.receive_notice(message)
 
     def update_ownership(self) -> None:
-        """Starts on searchers that are this VM's now, and hands off others.
+        """Starts owning newly assigned searchers and hands off the others.
 
-        It also takes in a changed configuration.
+        Also applies a changed configuration.
         """
         self._changes.update()
         self._publish()
 
     async def run(self) -> None:
-        """Probes the searchers and looks at what is due, forever."""
+        """Runs the periodic work forever, including health probes."""
         while True:
             try:
                 self._tick()
             except Exception:
-                # A fault in one look must not end all later ones.
-                _logger.exception("the owner's look failed")
+                # An error in one run must not prevent later runs.
+                _logger.exception("periodic work of the owner failed")
             await asyncio.sleep(TICK_S)
 
     async def drain(self, limit_s: float) -> None:
-        """Hands everything off and waits for what runs.
+        """Hands all searchers off and waits for running calls to end.
 
         Args:
-            limit_s: Hard limit, in seconds; what runs then is cut.
+            limit_s: Maximum wait, in seconds; calls that still run after it
+                are cancelled.
         """
         self._changes.draining = True
         self.update_ownership()
@@ -184,7 +188,7 @@
         self._poisoning.close()
 
     def _tick(self) -> None:
-        """Looks at what is due."""
+        """Runs the periodic work once."""
         self.update_ownership()
         self._handoffs.tend()
         self._poisoning.repeat_quarantines()
@@ -195,8 +199,8 @@
             queued += len(owned.queue)
         self._board.metrics.set_gauge("searcher.queued", queued)
 
-    def _take_look(self, owned: OwnedSearcher) -> None:
-        """Takes what a health read brought."""
+    def _handle_probe(self, owned: OwnedSearcher) -> None:
+        """Handles a completed health read."""
         if not owned.reachable:
             failure = errors.Failure(errors.Kind.CONNECTION_LOST, "down")
             self._runner.fail_waiting(owned, failure)
@@ -204,10 +208,10 @@
         self._publish()
 
     def _publish(self) -> None:
-        """Writes the owned searchers' states on the blackboard.
+        """Writes the owned searchers' states to the blackboard.
 
-        A searcher that was just taken over and not looked at yet has no
-        state: what the others know from its last owner is better than none.
+        A searcher that was just taken over and not probed yet is omitted: the
+        state that other VMs have from its last owner is better than none.
         """
         has_lease = _now_s() < self._board.lease_until_s
         self._board.owned = {
@@ -222,7 +226,7 @@
 
 
 def _now_s() -> float:
-    """Reads the loop's clock, in seconds."""
+    """Returns the event loop's time, in seconds."""
     return asyncio.get_running_loop().time()
 
 
@@ -232,12 +236,12 @@
     searchers_port: searchers_api.Searchers,
     rng: random.Random,
 ) -> Owner:
-    """Makes the owner controller of a process.
+    """Creates the owner controller of a process.
 
     Args:
         board: The process's state.
-        outbox: Sends to the other VMs.
+        outbox: Sends messages to other VMs.
         searchers_port: Calls the searchers.
-        rng: Draws for jitter.
+        rng: Source of randomness for jitter.
     """
     return Owner(board, outbox, searchers_port, rng)
