--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -8,7 +8,8 @@
 from azureramp.ports.searchers import api as searchers_api
 
 UNCONFIRMED = -1
-"""No count of lost connections is this, so the searcher is looked at first."""
+"""Differs from every count of lost connections, so that the searcher is probed
+before anything is sent to it."""
 
 Part = parts.Part
 
@@ -18,19 +19,20 @@
 
     Attributes:
         place: The searcher, its server and zone.
-        ramp: How much it may get at once.
-        queue: What waits for it.
-        running: What runs on it, by key.
-        health: Its last report; None before the first.
-        reachable: False while it is down, or not yet looked at.
-        misses: Health reads in a row that brought nothing in time.
-        confirmed_lost: How many connections had been lost when it was last
-            seen to be the process that it was.
-        succeeded_s: When it last answered a call.
-        held: Slots that former owners still use, and until when at most, by
-            the VMs that told of them.
-        lingering_s: When each slot comes free whose call was given up.
-        noted: The state that was recorded last.
+        ramp: Limits the number of concurrent calls.
+        queue: Sub-requests that wait for a slot.
+        running: Sub-requests that run on it, by key.
+        health: Its last health report; None before the first.
+        reachable: False while it is down or not yet probed.
+        misses: Consecutive health reads that timed out.
+        confirmed_lost: Number of lost connections when its incarnation was
+            last confirmed.
+        succeeded_s: Loop time of its last successful call, in seconds.
+        held: Slots that former owners still use and the loop time, in
+            seconds, by which they are free, by the VM that reported them.
+        lingering_s: Loop times, in seconds, at which the slots of abandoned
+            calls become free.
+        noted: The state and incarnation that were recorded last.
     """
 
     __slots__ = (
@@ -49,7 +51,7 @@
     )
 
     def __init__(self, place: directory.Place) -> None:
-        """Makes the state of a searcher of which nothing is known."""
+        """Creates the initial state of a searcher that was not probed yet."""
         searcher = place.searcher
         self.place = place
         self.ramp = ramps.Ramp(searcher.slots, searcher.cold_limit)
@@ -73,11 +75,11 @@
         return self.place.searcher.address
 
     def is_cold(self) -> bool:
-        """Tells whether it is in cold start."""
+        """Returns True if it is in cold start."""
         return self.ramp.state is ramps.State.COLD
 
     def count_in_use(self, now_s: float) -> int:
-        """Returns how many slots are in use, the former owner's included."""
+        """Returns the number of slots in use, including former owners'."""
         held = sum(
             slots for slots, until_s in self.held.values() if now_s < until_s
         )
@@ -88,18 +90,18 @@
         return len(self.running) + held + len(self.lingering_s)
 
     def hold(self, former: str, slots: int, until_s: float) -> None:
-        """Leaves the slots free that a former owner still uses."""
+        """Reserves the slots that a former owner still uses."""
         self.held[former] = (slots, until_s)
 
     def get_longest_s(self, now_s: float) -> float:
-        """Returns how long a slot in use may stay so, in seconds."""
+        """Returns the longest remaining time of a slot in use, in seconds."""
         ends_s = [part.deadline_s for part in self.running.values()]
         ends_s += self.lingering_s
         ends_s += [until_s for _, until_s in self.held.values()]
         return max(0.0, max(ends_s, default=now_s) - now_s)
 
     def has_room(self, part: Part, now_s: float) -> bool:
-        """Tells whether a sub-request may start now."""
+        """Returns True if a slot is free for a sub-request now."""
         in_use = self.count_in_use(now_s)
         if part.alone:
             return in_use == 0
@@ -110,17 +112,17 @@
     def make_call(
         self, part: Part, now_s: float, lease_s: float
     ) -> searchers_api.Call:
-        """Makes the port's call of a sub-request.
+        """Creates the port's call for a sub-request.
 
         Args:
             part: The sub-request.
-            now_s: The time.
-            lease_s: How long a cold searcher's call may take, in seconds.
+            now_s: The loop time, in seconds.
+            lease_s: Maximum duration of a cold searcher's call, in seconds.
         """
         left_s = part.deadline_s - now_s
         if self.is_cold():
-            # After the lease another VM may own the searcher, and count on
-            # nothing of ours still running in it.
+            # Once the lease has expired, another VM may own the searcher and
+            # relies on none of this VM's calls still running there.
             left_s = min(left_s, lease_s)
         expected_ms = self.ramp.get_expected_ms()
         return part.make_call(
@@ -130,11 +132,12 @@
     def make_dispatched(
         self, part: Part, lease_until_s: float
     ) -> events.PartDispatched:
-        """Makes the event of a sub-request that is about to be written.
+        """Creates the event of a sub-request that is about to be written.
 
         Args:
             part: The sub-request.
-            lease_until_s: Until when this VM's lease is valid.
+            lease_until_s: Loop time at which this VM's lease expires, in
+                seconds.
         """
         place = self.place
         return events.PartDispatched(
@@ -155,14 +158,14 @@
         )
 
     def is_known(self) -> bool:
-        """Tells whether it was looked at since this VM owns it."""
+        """Returns True if its state was determined since this VM owns it."""
         return not self.reachable or bool(self.health and self.health.versions)
 
     def make_state(self, usable: bool) -> messages.SearcherState:
-        """Makes what the other VMs are told of it.
+        """Creates the state that is announced to the other VMs.
 
         Args:
-            usable: True if this VM would send work there.
+            usable: True if this VM would send work to it.
         """
         health = self.health
         return messages.SearcherState(
@@ -177,23 +180,23 @@
 
 
 class Holdings:
-    """Everything that this VM owns and runs.
+    """The searchers that this VM owns and their unfinished sub-requests.
 
     Attributes:
         owned: The owned searchers by name.
-        parts: The sub-requests that haven't ended, with their searchers, by
-            key; those that wait for a trial's end have none.
+        parts: The unfinished sub-requests with their searchers, by key,
+            including those that wait for the end of a trial.
     """
 
     __slots__ = ("owned", "parts")
 
     def __init__(self) -> None:
-        """Makes it empty."""
+        """Creates empty holdings."""
         self.owned: dict[str, OwnedSearcher] = {}
         self.parts: dict[tuple[str, int], tuple[OwnedSearcher, Part]] = {}
 
     def get_sent(self, server: str) -> set[int]:
-        """Returns the fingerprints in flight on a backend server."""
+        """Returns the fingerprints of the calls in flight on a server."""
         return {
             part.batch.fingerprint
             for owned, part in self.parts.values()
--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -1,4 +1,4 @@
-"""One sub-request on its way through an owner."""
+"""A sub-request that is processed by an owner."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Part:
-    """One sub-request on its way through an owner.
+    """A sub-request that is processed by an owner.
 
     Attributes:
-        coordinator: The VM that asked.
-        batch: The batch that it came in.
-        request: The sub-request.
-        key: What names it in the deployment.
-        deadline_s: The request's deadline, on this VM's clock.
-        alone: True if nothing else may run beside it on its searcher.
+        coordinator: The VM that sent it.
+        batch: The message that contained it.
+        request: The sub-request as received.
+        key: Its unique key in the deployment: the request's id and its number.
+        deadline_s: The request's deadline as this VM's loop time, in seconds.
+        alone: True if no other call may run on its searcher meanwhile.
         sent: True once its first byte may have been written.
-        sent_s: When that was.
-        epoch: The ramp's epoch then.
-        refusal: Why the write was refused at the last moment, if it was.
+        sent_s: Loop time at which it was sent, in seconds.
+        epoch: The ramp's epoch at that time.
+        refusal: The reason if the check before the first byte refused it.
         again: True if it must be queued again.
         unwanted: True if its coordinator has cancelled it.
         task: The task that runs it; None while it waits.
-        watch: Tells the coordinator if it runs long; None while unsent.
+        watch: Notifies the coordinator if it runs long; None while unsent.
     """
 
     coordinator: str
@@ -50,13 +50,13 @@
     def make_call(
         self, address: str, left_s: float, expected_ms: float, cold: bool
     ) -> searchers_api.Call:
-        """Makes the port's call.
+        """Creates the port's call.
 
         Args:
             address: The searcher's `IP:port`.
-            left_s: The time that it may take, in seconds.
-            expected_ms: What a call takes there now, in milliseconds; 0 if
-                unknown.
+            left_s: The maximum duration of the call, in seconds.
+            expected_ms: The expected duration of a call to the searcher, in
+                milliseconds; 0 if unknown.
             cold: True while the searcher is in cold start.
         """
         batch, request = self.batch, self.request
