--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -1,4 +1,4 @@
-"""Who owns which searcher, and until when this VM may send to cold ones."""
+"""Assignment of searchers to owners, and this VM's lease on cold searchers."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 from azureramp.policy import leases, lists, ownership, pace
 
 READ_LIST_S = 1.0
-"""Time between reads of the VM list, in seconds."""
+"""Interval between reads of the VM list, in seconds."""
 
 Inputs = tuple[int, frozenset[ownership.Candidate]]
-"""What the owners are computed from: a revision and the candidates."""
+"""Input of the assignment: a configuration revision and the candidates."""
 
 
 class Ownership:
-    """Computes the owners and keeps this VM's lease.
+    """Computes the owners and maintains this VM's lease.
 
     Attributes:
-        window: The VM lists read of late.
-        lease: What the others have granted to this VM.
-        on_owners: Called after the owners or the times to start changed.
+        window: The recently read VM lists.
+        lease: The grants that this VM has received from the others.
+        on_owners: Called after a change of the owners or of the times from
+            which this VM may use its searchers.
     """
 
     __slots__ = (
@@ -41,12 +42,12 @@
         started_s: float,
         times: pace.Pace,
     ) -> None:
-        """Makes a VM that owns nothing and has promised nothing.
+        """Creates the state of a VM without searchers and without promises.
 
         Args:
             board: The process's state.
-            started_s: When the process began, on the loop's clock.
-            times: The times that fit the size of the cell.
+            started_s: Loop time at which the process started, in seconds.
+            times: Heartbeat and lease durations for the size of the cell.
         """
         self._pace = times
         lag_s = board.settings.list_lag_ms / 1000
@@ -68,13 +69,13 @@
         *,
         leaving: bool = False,
     ) -> messages.HeartbeatAck:
-        """Answers a heartbeat, and promises what can be promised.
+        """Acknowledges a heartbeat and grants the claims that can be granted.
 
         Args:
-            holder: Who sent it.
+            holder: The sender.
             message: The heartbeat.
-            now_s: The time of its arrival.
-            leaving: True if this VM shuts down; then it promises nothing.
+            now_s: Loop time of its arrival, in seconds.
+            leaving: True if this VM shuts down; it then grants nothing.
         """
         refused = None
         if not leaving:
@@ -92,7 +93,7 @@
         )
 
     def waits(self, now_s: float) -> bool:
-        """Tells whether this VM waits for grants, so that it is urgent."""
+        """Returns True if this VM needs grants and heartbeats are urgent."""
         return (
             math.inf in self._board.may_start_s.values()
             or self._board.lease_until_s < now_s + 2 * self._pace.interval_s
@@ -101,30 +102,30 @@
     def record_ack(
         self, voter: str, message: messages.HeartbeatAck, now_s: float
     ) -> None:
-        """Counts an acknowledgement towards the lease."""
+        """Adds an acknowledgement to the lease."""
         if message.granted and self.window.knows(message.lists):
             self.lease.record_ack(voter, message.sequence, message.refused)
         if self.waits(now_s):
             self.update_lease(now_s)
 
     def set_pace(self, times: pace.Pace) -> None:
-        """Takes the times that fit the size of the cell."""
+        """Sets the durations for the current size of the cell."""
         self._pace = times
         self.lease.set_length(times.lease_s)
         self._promises.set_longest(times.longest_lease_s)
 
     def get_lists_to_tell(self) -> tuple[tuple[str, ...], ...]:
-        """Returns the lists read of late, if they were several."""
+        """Returns the recently read VM lists if there are several."""
         read = self.window.get_own()
         return read if len(read) > 1 else ()
 
     def update_owners(
         self, candidates: Sequence[ownership.Candidate], now_s: float
     ) -> bool:
-        """Computes the owners, if anything that they rest on has changed.
+        """Computes the owners if their inputs have changed.
 
         Returns:
-            True if this VM claims other searchers than before.
+            True if the set of searchers that this VM claims has changed.
         """
         board = self._board
         self._promises.expire(now_s)
@@ -157,17 +158,17 @@
         return changed
 
     def update_lease(self, now_s: float) -> None:
-        """Computes until when cold searchers may get work, and what starts.
+        """Computes the lease's expiry and the searchers that may be used.
 
         The blackboard has one lease for all searchers, so it is the shortest
-        of those on which this VM has started: a searcher that another VM was
-        granted while this one was paused ends it for all, until the views
-        agree again.
-
-        A searcher starts once a majority has granted it. Where there is no
-        majority at all, it starts after a lease length, by when any other
-        VM's lease has run out: warm searchers then go on, and cold ones wait,
-        as the lease has not begun.
+        lease of the searchers that this VM uses. If a searcher was granted to
+        another VM while this one was paused, the lease expires for all of
+        them until the VMs' views agree again.
+
+        A searcher may be used once a majority has granted it. Without any
+        majority it may be used after one lease length, when any other VM's
+        lease has expired: warm searchers then continue to get work, and cold
+        ones wait because this VM has no valid lease.
         """
         board = self._board
         contact_until_s = self.lease.compute_contact_until_s(self.window)
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -1,4 +1,4 @@
-"""Starting on searchers, giving them up, and taking in their changes."""
+"""Acquiring and releasing searchers, and applying changes of their entries."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from azureramp.ports.searchers import api as searchers_api
 
 HELD_MARGIN_S = 0.05
-"""A former owner's slots stay taken so much longer than its calls' deadlines,
-in seconds."""
+"""Time for which a former owner's slots stay reserved after its calls'
+deadlines, in seconds."""
 
 OwnedSearcher = owned_searcher.OwnedSearcher
 
 
 class OwnershipChanges:
-    """Brings what this VM owns in line with what it should own.
+    """Reconciles the searchers that this VM holds with the assigned ones.
 
     Attributes:
-        draining: True once nothing may be owned any more.
+        draining: True once all searchers must be released.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
         prober: probing.Prober,
         runner: part_runner.PartRunner,
     ) -> None:
-        """Makes it with nothing owned."""
+        """Creates it without owned searchers."""
         self.draining = False
         self._board = board
         self._port = port
@@ -61,26 +61,26 @@
         self._runner = runner
 
     def update(self) -> None:
-        """Starts on searchers that are this VM's now, and gives up others."""
+        """Acquires newly assigned searchers and releases the others."""
         places = self._directory.get_places()
         for name, owned in list(self._holdings.owned.items()):
             place = places.get(name)
             if place is None or self.draining or not self._is_mine(name):
                 self._release(name, owned)
             elif place is not owned.place:
-                self._take_place(owned, place)
+                self._update_place(owned, place)
         for name, vm in self._board.owners.items():
             if vm != self._board.settings.vm or self.draining:
                 continue
             if name in places and name not in self._holdings.owned:
-                self._try_start(name, places[name])
+                self._try_acquire(name, places[name])
 
     def _is_mine(self, name: str) -> bool:
-        """Tells whether this VM owns a searcher, as far as it knows."""
+        """Returns True if this VM is the searcher's owner in its own view."""
         return self._board.owners.get(name) == self._board.settings.vm
 
-    def _try_start(self, name: str, place: directory.Place) -> None:
-        """Starts on a searcher if its former owner can't use it any more."""
+    def _try_acquire(self, name: str, place: directory.Place) -> None:
+        """Acquires a searcher if its former owner can no longer use it."""
         received = self._handoffs.take(name)
         if received is None and not self._handoffs.may_start(name):
             return
@@ -96,13 +96,13 @@
     def _resume(
         self, owned: OwnedSearcher, received: handoffs.Received
     ) -> None:
-        """Goes on where the former owner was."""
+        """Continues with the state that the former owner handed off."""
         message = received.message
         if message.incarnation:
             owned.ramp.resume(message.limit, message.service_ms, message.slow)
-            # Taken for there, so that nobody finds it unusable meanwhile;
-            # but nothing is sent until the first health read has compared
-            # the incarnation with this one.
+            # Treated as reachable, so that no coordinator finds it unusable
+            # in the meantime. Nothing is sent until the first health read has
+            # compared the incarnation with this one.
             owned.health = searchers_api.Health(
                 message.incarnation, False, message.in_use, message.versions
             )
@@ -110,13 +110,15 @@
         hold_slots(owned, received.sender, message)
 
     def _open(self, owned: OwnedSearcher) -> None:
-        """Allows connections to a searcher: half of what it accepts."""
+        """Allows connections to a searcher: half of those it accepts."""
         share = connections.get_share(owned.place.searcher.connections)
         self._port.set_limit(owned.get_address(), share)
         owned.confirmed_lost = self._port.get_links(owned.get_address()).lost
 
-    def _take_place(self, owned: OwnedSearcher, place: directory.Place) -> None:
-        """Takes in that a searcher's zone, server or declaration changed."""
+    def _update_place(
+        self, owned: OwnedSearcher, place: directory.Place
+    ) -> None:
+        """Applies a change of a searcher's zone, server or declaration."""
         before, owned.place = owned.place, place
         searcher = place.searcher
         if before.searcher.address != searcher.address:
@@ -133,7 +135,7 @@
             self._prober.probe_if_due(owned)
 
     def _release(self, name: str, owned: OwnedSearcher) -> None:
-        """Gives a searcher up, and tells the new owner."""
+        """Releases a searcher and sends the new owner a handoff."""
         del self._holdings.owned[name]
         self._prober.forget(name)
         self._port.set_limit(owned.get_address(), 0)
@@ -144,7 +146,7 @@
             self._handoffs.give(owned, vm)
 
     def _record_owner(self, name: str, owned: bool, reason: str) -> None:
-        """Records that this VM began or ceased to own a searcher."""
+        """Records that this VM acquired or released a searcher."""
         self._board.timeline.record(
             events.OwnerChanged(searcher=name, owned=owned, reason=reason),
             _now_s(),
@@ -154,11 +156,11 @@
 def hold_slots(
     owned: OwnedSearcher, former: str, message: messages.Handoff
 ) -> None:
-    """Leaves the slots free that the former owner still uses."""
+    """Reserves the slots that the former owner still uses."""
     running_s = message.running_ms / 1000 + HELD_MARGIN_S
     owned.hold(former, message.in_use, _now_s() + running_s)
 
 
 def _now_s() -> float:
-    """Reads the loop's clock, in seconds."""
+    """Returns the event loop's time, in seconds."""
     return asyncio.get_running_loop().time()
