--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -1,4 +1,4 @@
-"""Handing searchers from one owner to the next."""
+"""Handoffs of searchers from one owner to the next."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from azureramp.controllers import outbox as outbox_module
 from azureramp.controllers import owned_searcher
 
-RESENDS = 3
-"""How often a handoff is sent again, in case it was lost."""
+MAX_RESENDS = 3
+"""Maximum number of times a handoff is resent in case it was lost."""
 
 OwnedSearcher = owned_searcher.OwnedSearcher
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Received:
-    """A handoff that came from a former owner.
+    """A handoff received from a former owner.
 
     Attributes:
         sender: The former owner.
         message: The handoff.
-        at_s: When it came.
+        at_s: Loop time of its arrival, in seconds.
     """
 
     sender: str
@@ -36,41 +36,42 @@
 
     Attributes:
         vm: The new owner.
-        owned: The searcher's last state here.
-        at_s: When.
-        resends: How often the handoff is still to be sent again.
-        done: True once nothing runs there from here any more.
+        owned: The searcher's last state on this VM.
+        at_s: Loop time of the handoff, in seconds.
+        resends: Remaining number of times to resend the handoff.
+        done: True once none of this VM's calls run on the searcher.
     """
 
     vm: str
     owned: OwnedSearcher
     at_s: float
-    resends: int = RESENDS
+    resends: int = MAX_RESENDS
     done: bool = False
 
 
 class Handoffs:
-    """The handoffs that came and those that were given."""
+    """The handoffs that this VM has received and sent."""
 
     __slots__ = ("_board", "_outbox", "_received", "_released")
 
     def __init__(
         self, board: blackboard.Blackboard, outbox: outbox_module.Outbox
     ) -> None:
-        """Makes it with no handoff."""
+        """Creates it without handoffs."""
         self._board = board
         self._outbox = outbox
         self._received: dict[str, Received] = {}
         self._released: dict[str, Released] = {}
 
     def receive(self, sender: str, message: messages.Handoff) -> None:
-        """Keeps a handoff until this VM sees itself as the owner.
-
-        A handoff may come late or doubled. One that came from an earlier
-        change of owners would start this VM beside the present owner. So
-        after this VM has handed the searcher off itself, only the VM that it
-        went to may hand it back, as long as that one's lease may be valid;
-        and a handoff not used within a lease's length is forgotten.
+        """Stores a handoff until this VM sees itself as the owner.
+
+        A handoff may arrive late or twice. One that belongs to an earlier
+        change of owners would make this VM use the searcher at the same time
+        as its current owner. Therefore, after this VM has handed the searcher
+        off, only the VM that received it may hand it back while that VM's
+        lease may be valid, and a handoff that isn't used within a lease
+        length is dropped.
         """
         released = self._released.get(message.searcher)
         if (
@@ -82,7 +83,7 @@
         self._received[message.searcher] = Received(sender, message, _now_s())
 
     def take(self, searcher: str) -> Received | None:
-        """Takes the handoff by which this VM may start; None if none."""
+        """Removes and returns a valid handoff; None if there is none."""
         received = self._received.pop(searcher, None)
         if received is None:
             return None
@@ -92,27 +93,27 @@
         return received
 
     def may_start(self, searcher: str) -> bool:
-        """Tells whether this VM may start without a handoff."""
+        """Returns True if this VM may use a searcher without a handoff."""
         now_s = _now_s()
         may_start_s = self._board.may_start_s.get(searcher)
         released = self._released.get(searcher)
         if released is not None:
-            # The VM that it went to may have started meanwhile, and hold a
-            # lease until about a lease's length after the last time that a
-            # majority saw it as the owner.
+            # The VM that received it may be using it. Its lease may be valid
+            # for about one lease length after a majority last saw it as the
+            # owner.
             if now_s - released.at_s < self._get_memory_s():
                 return False
             del self._released[searcher]
         return may_start_s is not None and now_s >= may_start_s
 
     def give(self, owned: OwnedSearcher, vm: str) -> None:
-        """Hands a searcher to its new owner."""
+        """Hands a searcher off to its new owner."""
         released = Released(vm, owned, _now_s())
         self._released[owned.get_name()] = released
         self._send(released)
 
     def tend(self) -> None:
-        """Sends again what may have been lost, and tells what has ended."""
+        """Resends handoffs that may be lost and reports completed ones."""
         now_s = _now_s()
         for name, released in list(self._released.items()):
             in_use = released.owned.count_in_use(now_s)
@@ -132,10 +133,10 @@
                 del self._released[name]
 
     def receive_done(self, sender: str, searcher: str) -> None:
-        """Learns that nothing of a former owner runs there any more.
+        """Handles the notice that a former owner's calls have all ended.
 
-        The searcher may have been handed on already, with the former
-        owner's slots counted.
+        The searcher may already have been handed off to another VM, with the
+        former owner's slots included.
         """
         released = self._released.get(searcher)
         if released is not None:
@@ -143,7 +144,7 @@
             self.tend()
 
     def end_part(self, owned: OwnedSearcher) -> None:
-        """Tells the new owner at once when the last call has ended."""
+        """Notifies the new owner immediately when the last call has ended."""
         released = self._released.get(owned.get_name())
         if released is not None and released.owned is owned:
             self.tend()
@@ -167,10 +168,10 @@
         )
 
     def _get_memory_s(self) -> float:
-        """Returns how long a change of owners is remembered, in seconds."""
+        """Returns how long a handoff is remembered, in seconds."""
         return 2 * self._board.settings.lease_ms / 1000
 
 
 def _now_s() -> float:
-    """Reads the loop's clock, in seconds."""
+    """Returns the event loop's time, in seconds."""
     return asyncio.get_running_loop().time()
