--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -1,4 +1,4 @@
-"""Looking at the owned searchers: are they there, and who are they."""
+"""Health probes of the owned searchers: reachability and incarnation."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 from azureramp.controllers import owned_searcher
 from azureramp.ports.searchers import api as searchers_api
 
-MISSES = 2
-"""Health reads in a row without answer that make a searcher unreachable."""
+MAX_MISSES = 2
+"""Consecutive timed-out health reads after which a searcher is treated as
+unreachable."""
 
-HELD_S = 30.0
-"""Longest time that a searcher's report to be cold is heeded, in seconds: a
-report may mislead, and must not hold a searcher back for longer."""
+MAX_REPORTED_COLD_S = 30.0
+"""Maximum time for which a searcher's own report of cold start is followed, in
+seconds: a report may be wrong and must not delay a searcher for longer."""
 
 OwnedSearcher = owned_searcher.OwnedSearcher
 
 
 class Prober:
-    """Reads the searchers' health, and takes in what it means.
+    """Reads the searchers' health and updates their states.
 
     Attributes:
-        on_change: Called with a searcher after each look at it.
+        on_change: Called with a searcher after each health read.
     """
 
     __slots__ = (
@@ -49,7 +50,7 @@
         rng: random.Random,
         on_change: Callable[[OwnedSearcher], None],
     ) -> None:
-        """Makes a prober that has looked at nothing yet."""
+        """Creates a prober that has not read any health yet."""
         self.on_change = on_change
         self._board = board
         self._port = port
@@ -60,18 +61,19 @@
         self._cold_since_s: dict[str, float] = {}
 
     def probe_if_due(self, owned: OwnedSearcher) -> None:
-        """Begins a health read if the last one is long ago."""
+        """Starts a health read if the next one is due."""
         now_s = _now_s()
         name = owned.get_name()
         if owned.place.refusal is None and now_s >= self._due_s.get(name, 0.0):
-            # Spread, so that owners of many searchers don't read in step.
+            # Jitter, so that an owner's reads of many searchers don't
+            # coincide.
             spread = 0.75 + 0.5 * self._rng.random()
             probe_s = self._board.settings.probe_ms / 1000
             self._due_s[name] = now_s + probe_s * spread
             self.probe(owned)
 
     def probe(self, owned: OwnedSearcher) -> None:
-        """Begins a health read, unless one is under way."""
+        """Starts a health read unless one is in progress."""
         name = owned.get_name()
         if name in self._probes or owned.place.refusal is not None:
             return
@@ -80,18 +82,18 @@
         probe.add_done_callback(lambda _: self._probes.pop(name, None))
 
     def is_confirmed(self, owned: OwnedSearcher) -> bool:
-        """Tells whether a searcher is surely the process last looked at.
+        """Returns True if a searcher is certainly the process last probed.
 
-        A searcher that restarts is cold at once, but its next health read
-        may be half a second away. It shows by connections that it has lost:
-        one to it is always open. So after any loss nothing is sent until
-        the incarnation was read again.
+        A searcher that restarts is cold immediately, but its next health read
+        may be half a second away. A restart shows as a lost connection,
+        because one connection is always open. So after any loss nothing is
+        sent until the incarnation has been read again.
         """
         links = self._port.get_links(owned.get_address())
         return owned.reachable and links.lost == owned.confirmed_lost
 
     def forget(self, name: str) -> None:
-        """Forgets a searcher that is owned no more."""
+        """Removes the probe state of a searcher that is no longer owned."""
         self._due_s.pop(name, None)
         self._cold_since_s.pop(name, None)
         probe = self._probes.pop(name, None)
@@ -99,19 +101,19 @@
             probe.cancel()
 
     def close(self) -> None:
-        """Ends all health reads."""
+        """Cancels all health reads."""
         for name in list(self._probes):
             self.forget(name)
 
     def lose(self, owned: OwnedSearcher, reason: str) -> None:
-        """Takes a searcher for gone until it is looked at again."""
+        """Treats a searcher as unreachable until its next health report."""
         if owned.reachable:
             owned.reachable = False
             owned.ramp.turn_cold(reason)
         self.note(owned)
 
     def note(self, owned: OwnedSearcher) -> None:
-        """Records a searcher's state if it has changed."""
+        """Records a searcher's state in the timeline if it has changed."""
         incarnation = owned.health.incarnation if owned.health else 0
         state = owned.ramp.state.value if owned.reachable else "lost"
         if owned.noted == (state, incarnation):
@@ -129,7 +131,7 @@
         )
 
     async def _probe(self, owned: OwnedSearcher) -> None:
-        """Reads a searcher's health and takes it in."""
+        """Reads a searcher's health and applies the result."""
         address = owned.get_address()
         before = self._port.get_links(address)
         began_s = _now_s()
@@ -138,19 +140,19 @@
             return
         match report:
             case expression.Result(tag="ok", ok=health):
-                self._take_report(owned, health, before)
+                self._apply_report(owned, health, before)
             case expression.Result(error=failure):
-                self._take_silence(owned, failure, began_s)
+                self._handle_probe_failure(owned, failure, began_s)
         self.note(owned)
         self.on_change(owned)
 
-    def _take_report(
+    def _apply_report(
         self,
         owned: OwnedSearcher,
         health: searchers_api.Health,
         before: searchers_api.Links,
     ) -> None:
-        """Takes a searcher's report in."""
+        """Applies a searcher's health report."""
         known = owned.health
         lost_all = before.open == 0 and owned.confirmed_lost not in (
             before.lost,
@@ -164,34 +166,39 @@
         owned.misses = 0
         owned.reachable = True
         owned.confirmed_lost = before.lost
-        self._hold(owned, health.cold)
+        self._apply_reported_cold(owned, health.cold)
         if owned.is_cold():
             owned.ramp.adopt_usual(self._get_usual_of_others(owned))
 
-    def _take_silence(
+    def _handle_probe_failure(
         self, owned: OwnedSearcher, failure: errors.Failure, began_s: float
     ) -> None:
-        """Takes in that a health read failed."""
+        """Handles a failed health read."""
         if failure.kind is errors.Kind.DEADLINE_PASSED:
             if owned.succeeded_s >= began_s:
                 return
             owned.misses += 1
-            if owned.misses < MISSES:
+            if owned.misses < MAX_MISSES:
                 return
         self.lose(owned, "lost")
 
-    def _hold(self, owned: OwnedSearcher, reported_cold: bool) -> None:
-        """Heeds a report to be cold, for a bounded time."""
+    def _apply_reported_cold(
+        self, owned: OwnedSearcher, reported_cold: bool
+    ) -> None:
+        """Follows a report of cold start for a limited time."""
         name = owned.get_name()
         if not reported_cold or not owned.is_cold():
             self._cold_since_s.pop(name, None)
             owned.ramp.held = False
             return
         since_s = self._cold_since_s.setdefault(name, _now_s())
-        owned.ramp.held = _now_s() - since_s < HELD_S
+        owned.ramp.held = _now_s() - since_s < MAX_REPORTED_COLD_S
 
     def _get_usual_of_others(self, owned: OwnedSearcher) -> float:
-        """Returns the usual service time of searchers of the same service."""
+        """Returns the usual service time of other searchers of the service.
+
+        It is in milliseconds; 0 if unknown.
+        """
         service = owned.place.server.service
         known_ms = [
             other.ramp.get_usual_ms()
@@ -203,5 +210,5 @@
 
 
 def _now_s() -> float:
-    """Reads the loop's clock, in seconds."""
+    """Returns the event loop's time, in seconds."""
     return asyncio.get_running_loop().time()
