--- a/src/azureramp/controllers/dispatching.py
+++ b/src/azureramp/controllers/dispatching.py
@@ -1,4 +1,4 @@
-"""Sub-requests on their way to the owners, and their results back."""
+"""Sends sub-requests to owners and routes results back to their requests."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 
 class Receiver(Protocol):
-    """A running request, as far as its owners' messages concern it."""
+    """A running request that receives messages from owners."""
 
     def receive(self, result: messages.PartResult) -> None:
-        """Takes one sub-request's result."""
+        """Handles the result of one sub-request."""
         ...
 
     def receive_late(self, part: int) -> None:
-        """Learns that a sub-request runs for unusually long."""
+        """Handles the notice that a sub-request runs unusually long."""
         ...
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Header:
-    """What all sub-requests of one request share.
+    """The fields that all sub-requests of one request share.
 
     Attributes:
-        request_id: The request.
-        index: The index.
+        request_id: The request's id.
+        index: The index's name.
         version: The pinned index version.
         priority: The caller's priority.
-        fingerprint: The hash by which crashes are blamed on the request.
+        fingerprint: The hash by which crashes are attributed to the request.
         repeatable: False if at most one attempt may ever run.
-        isolated: True if nothing else may run beside it.
+        isolated: True if no other call may run on the searcher meanwhile.
         body: The query or the operation, JSON.
-        answer_s: When the coordinator answers at the latest.
+        answer_s: Loop time by which the coordinator answers, in seconds.
     """
 
     request_id: str
@@ -54,11 +54,11 @@
 
 
 class Dispatcher:
-    """Sends sub-requests, and hands each result to its request.
+    """Sends sub-requests and passes each result to its request.
 
     Attributes:
-        measured: What was measured of the searchers.
-        viewer: What is known of the searchers now.
+        measured: Measurements of the searchers, and the budgets.
+        viewer: Provides the current view of the searchers.
     """
 
     __slots__ = (
@@ -75,7 +75,7 @@
         outbox: outbox_controller.Outbox,
         measured: measurements_module.Measurements,
     ) -> None:
-        """Makes a dispatcher without requests."""
+        """Creates a dispatcher without requests."""
         self.measured = measured
         self._board = board
         self._outbox = outbox
@@ -87,17 +87,17 @@
         return self.viewer.get().table
 
     def register(self, request_id: str, receiver: Receiver) -> None:
-        """Begins to hand a request's results to its receiver."""
+        """Starts passing a request's results to its receiver."""
         self._receivers[request_id] = receiver
 
     def unregister(self, request_id: str) -> None:
-        """Ends it; what comes later is dropped."""
+        """Stops passing on a request's results; later ones are dropped."""
         self._receivers.pop(request_id, None)
 
     def receive_results(
         self, sender: str, results: messages.PartResults
     ) -> None:
-        """Takes results from an owner."""
+        """Passes results from an owner to their request."""
         receiver = self._receivers.get(results.request_id)
         if receiver is None:
             return
@@ -105,7 +105,7 @@
             receiver.receive(result)
 
     def receive_late(self, sender: str, late: messages.PartsLate) -> None:
-        """Takes an owner's notice of sub-requests that run long."""
+        """Passes an owner's notice of long-running calls to their request."""
         receiver = self._receivers.get(late.request_id)
         if receiver is None:
             return
@@ -121,9 +121,12 @@
         """Chooses a searcher.
 
         Args:
-            view: What is known of the searchers.
+            view: The current view of the searchers.
             candidates: The searchers' names.
             avoided: Backend servers to use only if there is no other.
+
+        Returns:
+            The searcher's name; None if no candidate is in the configuration.
         """
         sites = view.table.sites
         known = [name for name in candidates if name in sites]
@@ -145,7 +148,7 @@
         searcher: str,
         reason: str,
     ) -> assembly.Attempt:
-        """Makes an attempt for a searcher that has an owner."""
+        """Creates an attempt on a searcher that has an owner."""
         owner = self._board.owners[searcher]
         return assembly.Attempt(
             part=part,
@@ -159,14 +162,14 @@
         )
 
     def has_moved(self, attempt: assembly.Attempt) -> bool:
-        """Tells whether an attempt's searcher has another owner by now."""
+        """Returns True if an attempt's searcher now has another owner."""
         return self._board.owners.get(attempt.searcher) != attempt.owner
 
     def is_owner_lost(self, attempt: assembly.Attempt) -> bool:
-        """Tells whether an attempt's owner has gone with the attempt.
+        """Returns True if an attempt is lost because its owner VM failed.
 
-        A VM that restarted has forgotten it; one that is no longer heard
-        will not answer, or too late.
+        A VM that restarted has lost the attempt; one that no longer sends
+        heartbeats will not answer, or will answer too late.
         """
         member = self._board.members.get(attempt.owner)
         if member is None:
@@ -181,14 +184,15 @@
     def send(
         self, header: Header, attempts: Iterable[assembly.Attempt]
     ) -> list[assembly.Attempt]:
-        """Sends attempts, all of one owner in one message.
+        """Sends attempts, with one message per owner.
 
         Args:
-            header: What they share.
+            header: The fields that they share.
             attempts: The attempts.
 
         Returns:
-            Those that could not be sent, since their owner is not known.
+            The attempts that could not be sent because the outbox does not
+            know their owner.
         """
         by_owner: dict[str, list[assembly.Attempt]] = {}
         for attempt in attempts:
@@ -206,7 +210,7 @@
     def cancel(
         self, request_id: str, attempts: Collection[assembly.Attempt]
     ) -> None:
-        """Tells the owners that nobody waits for some attempts any more."""
+        """Tells the owners that attempts' results are no longer needed."""
         by_owner: dict[str, list[int]] = {}
         for attempt in attempts:
             by_owner.setdefault(attempt.owner, []).append(attempt.part)
@@ -217,7 +221,7 @@
     def _make_batch(
         self, header: Header, group: list[assembly.Attempt]
     ) -> messages.QueryBatch:
-        """Makes the message for one owner."""
+        """Creates the message for one owner."""
         now_s = asyncio.get_running_loop().time()
         return messages.QueryBatch(
             request_id=header.request_id,
@@ -242,7 +246,7 @@
         )
 
     def _record_chosen(self, header: Header, attempt: assembly.Attempt) -> None:
-        """Records who was chosen."""
+        """Records the choice of an attempt's searcher in the timeline."""
         event = events.PartChosen(
             request_id=header.request_id,
             part=attempt.part,
