--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -1,4 +1,4 @@
-"""Whether a sub-request may wait for a searcher, start, and be written."""
+"""Rules for queueing, starting and writing sub-requests."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 from azureramp.policy import queues
 
 LEASE_MARGIN_S = 0.05
-"""A call to a cold searcher ends so long before the lease does, in seconds."""
+"""A call to a cold searcher ends this long before the lease does, in
+seconds."""
 
-USELESS_SHARE = 0.8
-"""With less than this share of the expected service time left, a sub-request
-isn't started any more, and with less after its wait isn't queued: it would
-only take a slot from another one that can still be in time."""
+MIN_TIME_SHARE = 0.8
+"""Minimum share of the expected service time that must remain before the
+deadline for a sub-request to be started, or after its estimated wait for it to
+be queued. With less it would only take a slot from a sub-request that can
+still finish in time."""
 
 OwnedSearcher = owned_searcher.OwnedSearcher
 Part = owned_searcher.Part
@@ -28,10 +30,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Postponed:
-    """The sub-request goes back to the queue.
+    """The sub-request returns to the queue.
 
     Attributes:
-        reason: Why, in words.
+        reason: A description of the reason.
     """
 
     reason: str
@@ -39,10 +41,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Refused:
-    """The sub-request goes back to its coordinator.
+    """The sub-request returns to its coordinator without being written.
 
     Attributes:
-        failure: Why.
+        failure: The reason.
     """
 
     failure: errors.Failure
@@ -52,7 +54,7 @@
 
 
 class DispatchRules:
-    """The rules, asked at each step of a sub-request."""
+    """Decides at each step of a sub-request whether it may proceed."""
 
     __slots__ = ("_board", "_holdings", "_poisoning", "_prober")
 
@@ -63,7 +65,7 @@
         suspects: poisoning.Poisoning,
         prober: probing.Prober,
     ) -> None:
-        """Makes the rules of a process."""
+        """Creates the rules of a process."""
         self._board = board
         self._holdings = holdings
         self._poisoning = suspects
@@ -87,7 +89,7 @@
             return suspicion
         before = owned.queue.count_before(part.batch.priority)
         wait_ms = self.estimate_wait_ms(owned, before)
-        least_ms = owned.ramp.get_expected_ms() * USELESS_SHARE
+        least_ms = owned.ramp.get_expected_ms() * MIN_TIME_SHARE
         if before and wait_ms + least_ms >= left_ms:
             return errors.Failure(
                 errors.Kind.DEADLINE_TOO_SHORT, "", int(wait_ms)
@@ -95,13 +97,13 @@
         return None
 
     def make_overloaded(self, owned: OwnedSearcher) -> errors.Failure:
-        """Makes the refusal of a full queue, with its drain time."""
+        """Creates the failure for a full queue, with its drain time."""
         wait_ms = self.estimate_wait_ms(owned, len(owned.queue))
         kind = errors.Kind.COLD if owned.is_cold() else errors.Kind.OVERLOADED
         return errors.Failure(kind, "", max(1, int(wait_ms)))
 
     def estimate_wait_ms(self, owned: OwnedSearcher, before: int) -> float:
-        """Estimates the wait behind so many others, in milliseconds."""
+        """Estimates the wait behind `before` others, in milliseconds."""
         return queues.estimate_wait_ms(
             before,
             owned.count_in_use(_now_s()),
@@ -110,7 +112,10 @@
         )
 
     def may_start(self, owned: OwnedSearcher) -> bool:
-        """Tells whether anything may start on a searcher now."""
+        """Returns True if calls may start on a searcher now.
+
+        Starts a health read if its incarnation must be confirmed first.
+        """
         if not owned.reachable or owned.place.refusal is not None:
             return False
         if not self._prober.is_confirmed(owned):
@@ -119,29 +124,30 @@
         return not owned.is_cold() or self.get_lease_s() > 0
 
     def is_useless(self, owned: OwnedSearcher, part: Part) -> bool:
-        """Tells whether a sub-request could hardly end in time."""
-        least_ms = owned.ramp.get_expected_ms() * USELESS_SHARE
+        """Returns True if a sub-request is unlikely to finish in time."""
+        least_ms = owned.ramp.get_expected_ms() * MIN_TIME_SHARE
         return (part.deadline_s - _now_s()) * 1000 <= least_ms
 
     def get_lease_s(self) -> float:
-        """Returns how long a cold searcher's call may take, in seconds."""
+        """Returns the maximum duration of a cold call, in seconds."""
         return self._board.lease_until_s - LEASE_MARGIN_S - _now_s()
 
     def decide_writing(self, owned: OwnedSearcher, part: Part) -> Decision:
-        """Decides right before the first byte.
+        """Decides immediately before the first byte is written.
 
         Between the start of a call and its first byte a connection may have
-        to be opened, and the process may have been paused. So everything
-        that allowed the start is looked at again here, and nothing waits
-        between this and the write: a paused process must not wake and send
-        to a cold searcher that another VM owns by now.
+        to be opened, and the process may have been paused. So every condition
+        of the start is checked again here, and there is no await between this
+        check and the write: a process that resumes after a pause must not
+        send to a cold searcher that another VM owns by then.
         """
         if self._holdings.owned.get(owned.get_name()) is not owned:
             return Refused(errors.Failure(errors.Kind.NOT_OWNER))
         if owned.place.refusal is not None:
             return Refused(errors.Failure(owned.place.refusal))
-        # A zone may have been taken out while this process was paused or cut
-        # off; past this time a change may be accepted that is missing here.
+        # A zone may have been taken out of service while this process was
+        # paused or disconnected. After this time a change that this process
+        # hasn't received may have been accepted.
         if _now_s() >= self._board.work_until_s:
             kind = errors.Kind.STALE_CONFIGURATION
             return Refused(errors.Failure(kind))
@@ -149,18 +155,18 @@
         if suspicion is not None:
             return Refused(suspicion)
         if not self._prober.is_confirmed(owned):
-            return Postponed("its searcher may have restarted")
+            return Postponed("the searcher may have restarted")
         if self._poisoning.is_suspect(part) and not part.alone:
-            return Postponed("it must run alone by now")
+            return Postponed("the request is now suspect and must run alone")
         if not owned.is_cold():
             return Allowed()
         if self.get_lease_s() <= 0:
             return Refused(errors.Failure(errors.Kind.COLD, "no lease"))
         if owned.count_in_use(_now_s()) > owned.ramp.limit:
-            return Postponed("its searcher has turned cold")
+            return Postponed("the searcher has entered cold start")
         return Allowed()
 
 
 def _now_s() -> float:
-    """Reads the loop's clock, in seconds."""
+    """Returns the event loop's time, in seconds."""
     return asyncio.get_running_loop().time()
