--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one running query: chosen, sent, ended, cancelled."""
+"""The attempts of one running request: choice, sending, results, cancelling."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class Attempts:
-    """Sends a query's sub-requests, and takes account of their ends.
+    """Sends a request's sub-requests and processes their results.
 
     Attributes:
-        dispatcher: Sends and receives.
-        header: What all sub-requests share.
-        state: What runs, is held and is lost.
-        tally: How the parts went.
+        dispatcher: Sends sub-requests and receives results.
+        header: The fields that all sub-requests share.
+        state: The running attempts, the results, and the lost shards.
+        tally: Statistics of the attempts.
     """
 
     __slots__ = (
@@ -37,7 +37,7 @@
         header: dispatching.Header,
         state: assembly.Assembly,
     ) -> None:
-        """Makes attempts of which none is sent yet."""
+        """Creates it without attempts."""
         self._board = board
         self._next_part = 0
         self.dispatcher = dispatcher
@@ -46,7 +46,7 @@
         self.tally = outcomes.Tally()
 
     def restart(self, state: assembly.Assembly) -> None:
-        """Goes over to another version; its parts get new numbers."""
+        """Switches to another version; its parts get new numbers."""
         self.cancel(self.state.get_running())
         self.state = state
         version = state.ledger.shard_map.version
@@ -59,16 +59,16 @@
         replicas: snapshots.Replicas | None = None,
         ahead: bool = False,
     ) -> bool:
-        """Sends one more attempt for each of some shards, where it can.
+        """Sends one more attempt for each given shard where possible.
 
         Args:
             wanted: The shards.
             reason: `first`, `hedge` or `retry`.
-            replicas: The usable searchers; None looks for them now.
-            ahead: True to go before all that is not urgent.
+            replicas: The usable searchers; None to determine them now.
+            ahead: True to send with urgent priority.
 
         Returns:
-            True if any was sent.
+            True if any attempt was sent.
         """
         view = self.dispatcher.viewer.get()
         attempts = []
@@ -102,8 +102,9 @@
     ) -> tuple[str, ...]:
         """Finds the searchers that may get work of a shard now.
 
-        Asked anew for each later attempt: a zone taken out, or a server that
-        began to leave under the query, must get no hedge and no retry.
+        Evaluated again for each later attempt: a zone that was taken out of
+        service, or a server that began to leave during the query, must not get
+        hedges or retries.
         """
         version = self.state.ledger.shard_map.version
         return view.find_replicas(self.header.index, version, shard)
@@ -117,8 +118,8 @@
     ) -> str | None:
         """Chooses a searcher for one more attempt.
 
-        A hedge goes to another backend server or nowhere: what makes the
-        first attempt late may be the whole server.
+        A hedge goes only to another backend server, because the whole server
+        may be the cause of the first attempt's delay.
         """
         if progress.attempts >= assembly.MAX_ATTEMPTS:
             return None
@@ -134,7 +135,7 @@
         return self.dispatcher.choose(view, left, used)
 
     def take(self, result: messages.PartResult) -> assembly.Taken:
-        """Takes a result, and measures what it says of its searcher."""
+        """Applies a result and updates the searcher's measurements."""
         now_s = asyncio.get_running_loop().time()
         taken = self.state.take(result)
         match taken:
@@ -149,20 +150,20 @@
                 self._record_ended(attempt, "ok", True)
                 self.cancel(taken.losers)
             case assembly.Failed():
-                self._end_failed(taken)
+                self._record_failed(taken)
         return taken
 
     def drop(self, attempt: assembly.Attempt) -> assembly.Failed | None:
-        """Counts a running attempt as lost with its owner."""
+        """Fails a running attempt whose owner VM is lost."""
         if not self.state.remove(attempt):
             return None
         kind = errors.Kind.CONNECTION_LOST
         failed = assembly.Failed(attempt, kind, sent=True, ran=True)
-        self._end_failed(failed)
+        self._record_failed(failed)
         return failed
 
     def cancel(self, attempts: Iterable[assembly.Attempt]) -> None:
-        """Forgets running attempts, and tells their owners."""
+        """Cancels running attempts, here and at their owners."""
         now_s = asyncio.get_running_loop().time()
         cancelled = [one for one in attempts if self.state.remove(one)]
         for attempt in cancelled:
@@ -175,7 +176,7 @@
             self.dispatcher.cancel(self.header.request_id, cancelled)
 
     def end(self, attempts: Iterable[assembly.Attempt]) -> None:
-        """Cancels what had no result when the query ended."""
+        """Cancels the attempts without a result when the request ends."""
         now_s = asyncio.get_running_loop().time()
         ended = tuple(attempts)
         for attempt in ended:
@@ -183,7 +184,7 @@
         self.cancel(ended)
 
     def readopt(self, state: assembly.Assembly) -> None:
-        """Goes back to another version's results, which were kept aside."""
+        """Returns to the results that were kept of another version."""
         self.state = state
         version = state.ledger.shard_map.version
         self.header = dataclasses.replace(self.header, version=version)
@@ -191,12 +192,12 @@
             self._record_ended(attempt, "ok", True)
 
     def get_place(self, attempt: assembly.Attempt) -> hedging.Place:
-        """Returns where an attempt's time counts."""
+        """Returns the key under which an attempt's duration is recorded."""
         header = self.header
         return hedging.Place(header.index, attempt.shard.name, header.priority)
 
-    def _end_failed(self, failed: assembly.Failed) -> None:
-        """Takes account of a failure."""
+    def _record_failed(self, failed: assembly.Failed) -> None:
+        """Records a failed attempt."""
         now_s = asyncio.get_running_loop().time()
         self.tally.add_failed(failed)
         self.dispatcher.measured.fail(failed.attempt, now_s)
@@ -205,7 +206,7 @@
     def _record_ended(
         self, attempt: assembly.Attempt, code: str, merged: bool
     ) -> None:
-        """Records the end of an attempt."""
+        """Records the end of an attempt in the timeline."""
         event = events.PartEnded(
             request_id=self.header.request_id,
             part=attempt.part,
