--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of a call means for its searcher and its request."""
+"""Effects of a call's outcome on its searcher and its request."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from azureramp.controllers import owned_searcher, poisoning, probing
 from azureramp.ports.searchers import api as searchers_api
 
-SETTLE_S = 0.05
-"""How long a cold searcher may still run a call that was given up, in
-seconds: the time until it learns of the end."""
+ABANDONED_CALL_S = 0.05
+"""How long a cold searcher may still run an abandoned call, in seconds: the
+time until it notices that the call was abandoned."""
 
 OwnedSearcher = owned_searcher.OwnedSearcher
 Part = owned_searcher.Part
@@ -21,7 +21,7 @@
 
 
 class PartOutcomes:
-    """Takes the ends of calls in: for ramps, for blame, for the answer."""
+    """Applies outcomes of calls to ramps and to crash attribution."""
 
     __slots__ = ("_board", "_poisoning", "_prober")
 
@@ -31,7 +31,7 @@
         suspects: poisoning.Poisoning,
         prober: probing.Prober,
     ) -> None:
-        """Makes it for one process."""
+        """Creates the handler of one process."""
         self._board = board
         self._poisoning = suspects
         self._prober = prober
@@ -39,38 +39,38 @@
     async def take(
         self, owned: OwnedSearcher, part: Part, result: CallResult
     ) -> Outcome:
-        """Takes a call's end in.
+        """Handles the outcome of a call.
 
         Args:
             owned: The searcher.
             part: The sub-request.
-            result: How its call ended.
+            result: The outcome of its call.
 
         Returns:
-            What the coordinator is told.
+            The result to report to the coordinator.
         """
         match result:
             case expression.Result(tag="ok", ok=reply):
-                return self._take_reply(owned, part, reply)
+                return self._handle_reply(owned, part, reply)
             case expression.Result(error=failed) if not failed.sent:
                 if failed.failure.kind is errors.Kind.CONNECTION_LOST:
                     self._prober.lose(owned, "refused")
                 return part.refusal or failed.failure
             case expression.Result(error=failed):
-                return await self._take_failure(owned, part, failed.failure)
+                return await self._handle_failure(owned, part, failed.failure)
 
     def take_unanswered(self, owned: OwnedSearcher, part: Part) -> None:
-        """Takes a call that was given up before its reply."""
+        """Handles a call that was abandoned before its reply."""
         now_s = asyncio.get_running_loop().time()
         owned.ramp.end_unanswered((now_s - part.sent_s) * 1000, part.epoch)
         self._poisoning.give_up(owned, part)
         if owned.is_cold():
-            owned.lingering_s.append(now_s + SETTLE_S)
+            owned.lingering_s.append(now_s + ABANDONED_CALL_S)
 
-    def _take_reply(
+    def _handle_reply(
         self, owned: OwnedSearcher, part: Part, reply: searchers_api.Reply
     ) -> messages.PartDone:
-        """Takes a whole reply."""
+        """Handles a complete reply."""
         owned.succeeded_s = asyncio.get_running_loop().time()
         took_ms = (owned.succeeded_s - part.sent_s) * 1000
         owned.ramp.succeed(took_ms, part.epoch)
@@ -85,10 +85,10 @@
             took_ms,
         )
 
-    async def _take_failure(
+    async def _handle_failure(
         self, owned: OwnedSearcher, part: Part, failure: errors.Failure
     ) -> errors.Failure:
-        """Takes the failure of a call whose bytes may have arrived."""
+        """Handles the failure of a call that the searcher may have got."""
         match failure.kind:
             case errors.Kind.CONNECTION_LOST:
                 owned.ramp.fail(part.epoch)
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -1,4 +1,4 @@
-"""Running sub-requests: from the queue to a searcher and back."""
+"""Runs sub-requests: queueing, calling the searcher and replying."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 class PartRunner:
-    """Queues sub-requests, starts them within the limits, and answers.
+    """Queues sub-requests, starts them within the limits, and replies.
 
     Attributes:
-        on_released: Called when a call has ended on a searcher that this VM
-            has given up meanwhile.
+        on_released: Called when the last call has ended on a searcher that
+            this VM has released in the meantime.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
         answers: replies.Replies,
         late: late_notices.LateNotices,
     ) -> None:
-        """Makes a runner with nothing to run."""
+        """Creates a runner without sub-requests."""
         self._late = late
         self._board = board
         self._port = port
@@ -78,7 +78,7 @@
         self.on_released: Callable[[OwnedSearcher], None] = _ignore
 
     def take(self, part: Part) -> None:
-        """Queues a sub-request, or refuses it at once."""
+        """Queues a sub-request or refuses it immediately."""
         owned = self._holdings.owned.get(part.request.searcher)
         if owned is None:
             self.fail(part, errors.Failure(errors.Kind.NOT_OWNER))
@@ -93,10 +93,10 @@
             self.pump(owned)
 
     def cancel(self, owned: OwnedSearcher, part: Part) -> None:
-        """Ends a sub-request that nobody waits for.
+        """Cancels a sub-request whose result is no longer needed.
 
-        One that may not be repeated goes on once it was sent: its outcome
-        is recorded, and cutting it would leave that unknown.
+        A non-repeatable one continues once it was sent: its outcome is
+        recorded, and aborting it would leave that outcome unknown.
         """
         if part.sent and not part.batch.repeatable:
             return
@@ -110,12 +110,12 @@
         self.fail(part, errors.Failure(errors.Kind.CANCELLED))
 
     def isolate(self, fingerprint: int, server: str) -> None:
-        """Stops a request that became a suspect, to run it alone.
+        """Requeues the sub-requests of a new suspect so that they run alone.
 
-        Its sub-requests run side by side on many servers when the first of
-        them crashes. Those that haven't crashed theirs yet are taken back
-        and go on one at a time; so an innocent request, that was only in
-        flight beside a poison one, loses some time and nothing else.
+        A request's sub-requests run concurrently on many servers when the
+        first of them crashes its server. Those on other servers are cancelled
+        and requeued to run one at a time. So a harmless request that was
+        merely in flight beside a poison request loses only some time.
         """
         for owned, part in tuple(self._holdings.parts.values()):
             if (
@@ -129,7 +129,7 @@
                 part.task.cancel()
 
     def pump(self, owned: OwnedSearcher) -> None:
-        """Starts as many sub-requests as there is room for."""
+        """Starts as many queued sub-requests as there are free slots."""
         now_s = _now_s()
         for expired in owned.queue.expire(now_s):
             self.fail(expired.content, self._rules.make_overloaded(owned))
@@ -149,16 +149,16 @@
     def fail_waiting(
         self, owned: OwnedSearcher, failure: errors.Failure
     ) -> None:
-        """Gives back all that waits for a searcher, unsent."""
+        """Fails all sub-requests that wait for a searcher, without sending."""
         for waiting in owned.queue.clear():
             self.fail(waiting.content, failure)
         for part in self._trials.remove_all(owned.get_name()):
             self.fail(part, failure)
 
     def fail(self, part: Part, failure: errors.Failure) -> None:
-        """Ends a sub-request that has no result."""
+        """Ends a sub-request without a result and replies with the failure."""
         if part.unwanted and part.batch.repeatable:
-            self._forget(part)
+            self._remove(part)
             return
         self._reply(
             part, replies.make_failed(part.request.part, failure, part.sent)
@@ -176,11 +176,11 @@
             self.fail(dropped.content, self._rules.make_overloaded(owned))
 
     def _start(self, owned: OwnedSearcher, part: Part) -> None:
-        """Starts a sub-request in a task of its own.
+        """Starts a sub-request in its own task.
 
-        The slot is freed by the task's end and not inside it: a task that is
-        cancelled before its first step never enters its code, and would hold
-        the slot for good.
+        The slot is freed by a done callback and not within the task: a task
+        that is cancelled before its first step never runs its code and would
+        occupy the slot forever.
         """
         part.again = False
         owned.running[part.key] = part
@@ -188,7 +188,7 @@
         part.task.add_done_callback(lambda task: self._finish(owned, part))
 
     async def _run(self, owned: OwnedSearcher, part: Part) -> None:
-        """Runs one sub-request on its searcher, to its result."""
+        """Calls the searcher for one sub-request and handles the result."""
         try:
             result = await self._port.call(
                 owned.make_call(part, _now_s(), self._rules.get_lease_s()),
@@ -197,14 +197,14 @@
             if not part.again:
                 await self._end(owned, part, result)
         except asyncio.CancelledError:
-            self._take_unanswered(owned, part)
+            self._handle_unanswered(owned, part)
         except Exception:
-            # A fault of this program must not leave a request unanswered.
-            _logger.exception("a sub-request failed by a fault")
+            # An unexpected error must not leave the sub-request unanswered.
+            _logger.exception("sub-request failed with an unexpected error")
             self.fail(part, errors.Failure(errors.Kind.INTERNAL))
 
     def _finish(self, owned: OwnedSearcher, part: Part) -> None:
-        """Frees a sub-request's slot, and answers it if nothing else has."""
+        """Frees a sub-request's slot and replies if no reply was sent yet."""
         owned.running.pop(part.key, None)
         part.task = None
         if part.watch is not None:
@@ -218,7 +218,7 @@
         self._free(owned)
 
     def _may_write(self, owned: OwnedSearcher, part: Part) -> bool:
-        """Decides right before the first byte, and records the dispatch."""
+        """Decides immediately before the first byte; records the dispatch."""
         match self._rules.decide_writing(owned, part):
             case dispatch_rules.Allowed():
                 part.sent = True
@@ -242,7 +242,7 @@
     async def _end(
         self, owned: OwnedSearcher, part: Part, result: CallResult
     ) -> None:
-        """Tells the coordinator the result."""
+        """Processes a call's result and replies to the coordinator."""
         outcome = await self._outcomes.take(owned, part, result)
         match outcome:
             case messages.PartDone():
@@ -252,16 +252,18 @@
                     self.fail_waiting(owned, result.error.failure)
                 self.fail(part, outcome)
 
-    def _take_unanswered(self, owned: OwnedSearcher, part: Part) -> None:
-        """Takes a call that was given up before its reply."""
+    def _handle_unanswered(self, owned: OwnedSearcher, part: Part) -> None:
+        """Handles a call that was cancelled before its reply."""
         if part.sent:
             self._outcomes.take_unanswered(owned, part)
         if owned.lingering_s:
-            settle_s = part_outcomes.SETTLE_S
-            asyncio.get_running_loop().call_later(settle_s, self._free, owned)
+            abandoned_s = part_outcomes.ABANDONED_CALL_S
+            asyncio.get_running_loop().call_later(
+                abandoned_s, self._free, owned
+            )
 
     def _free(self, owned: OwnedSearcher) -> None:
-        """Uses the room that a sub-request has left."""
+        """Reuses the slot that a sub-request has freed."""
         if self._holdings.owned.get(owned.get_name()) is owned:
             self._prober.note(owned)
             self.pump(owned)
@@ -269,21 +271,22 @@
             self.on_released(owned)
 
     def _reply(self, part: Part, result: messages.PartResult) -> None:
-        """Sends a result and forgets the sub-request."""
+        """Sends a result and removes the sub-request."""
         self._replies.send(part.coordinator, part.batch.request_id, result)
-        self._forget(part)
+        self._remove(part)
 
-    def _forget(self, part: Part) -> None:
-        """Forgets a sub-request that has ended."""
+    def _remove(self, part: Part) -> None:
+        """Removes a sub-request that has ended and ends its trial, if any."""
         self._holdings.parts.pop(part.key, None)
         if self._trials.end(part):
             loop = asyncio.get_running_loop()
-            loop.call_soon(self._go_on, part.batch.fingerprint)
+            loop.call_soon(self._resume_waiting, part.batch.fingerprint)
 
-    def _go_on(self, fingerprint: int) -> None:
-        """Takes what waited for a trial's end.
+    def _resume_waiting(self, fingerprint: int) -> None:
+        """Admits the sub-requests that waited for the end of a trial.
 
-        After a success all start; else the first begins the next trial.
+        After a success all of them start; otherwise the first begins the next
+        trial.
         """
         for part in self._trials.take(fingerprint):
             self.take(part)
@@ -294,5 +297,5 @@
 
 
 def _now_s() -> float:
-    """Reads the loop's clock, in seconds."""
+    """Returns the event loop's time, in seconds."""
     return asyncio.get_running_loop().time()
