--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -1,4 +1,4 @@
-"""The checks before a request is sent on: all refuse truly as not run."""
+"""Checks before a request is dispatched; a refused request has not run."""
 
 from __future__ import annotations
 
@@ -22,17 +22,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Asked:
-    """What the checks need to know of a request.
+    """The properties of a request that the checks need.
 
     Attributes:
-        request_id: Unique in the deployment.
+        request_id: The request's id, unique in the deployment.
         caller: The caller.
         service: The service's name.
-        index: The index.
+        index: The index's name.
         body: The query or the operation, JSON.
-        deadline_s: When the caller gives up, on the loop's clock.
+        deadline_s: Loop time at which the caller stops waiting, in seconds.
         repeatable: False if it may run at most once.
-        minimum_coverage: The least coverage that the caller takes, 0 to 1.
+        minimum_coverage: The minimum coverage that the caller accepts, 0 to
+            1.
     """
 
     request_id: str
@@ -47,13 +48,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Admitted:
-    """A request that may be sent on.
+    """A request that may be dispatched.
 
     Attributes:
         service: The service.
         snapshot: The pinned version.
-        header: What its sub-requests share.
-        allowed_ms: The time that it had at admission, in milliseconds.
+        header: The fields that its sub-requests share.
+        allowed_ms: The time left at admission, in milliseconds.
     """
 
     service: resources.Service
@@ -63,7 +64,7 @@
 
 
 class Gate:
-    """Admits requests."""
+    """Admits or refuses requests."""
 
     __slots__ = ("_board", "_dispatcher")
 
@@ -72,20 +73,20 @@
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
     ) -> None:
-        """Makes a gate."""
+        """Creates a gate."""
         self._board = board
         self._dispatcher = dispatcher
 
     def admit(
         self, asked: Asked
     ) -> expression.Result[Admitted, errors.Failure]:
-        """Checks a request, and pins its snapshot.
+        """Checks a request and pins its snapshot.
 
         Args:
             asked: The request.
 
         Returns:
-            The admitted request, or why it is not run.
+            The admitted request, or the failure if it is refused.
         """
         now_s = asyncio.get_running_loop().time()
         checked = identity.check_service(
@@ -132,7 +133,7 @@
     def _check_load(
         self, asked: Asked, snapshot: snapshots.Snapshot, left_s: float
     ) -> errors.Failure | None:
-        """Refuses what can't meet its deadline, and sheds under overload."""
+        """Refuses requests that can't meet their deadline; sheds load."""
         now_s = asyncio.get_running_loop().time()
         measured = self._dispatcher.measured
         priority = asked.caller.priority
@@ -155,7 +156,7 @@
         return errors.Failure(kind, retry_after_ms=retry_ms)
 
     def observe(self, admitted: Admitted, tally: outcomes.Tally) -> None:
-        """Takes in how an admitted request's parts went."""
+        """Updates the load measurements from an admitted request's tally."""
         header = admitted.header
         now_s = asyncio.get_running_loop().time()
         measured = self._dispatcher.measured
@@ -178,7 +179,7 @@
 def check_reach(
     asked: Asked, service: resources.Service, snapshot: snapshots.Snapshot
 ) -> errors.Kind | None:
-    """Finds out before anything is sent that the minimum can't be reached.
+    """Checks whether the minimum coverage can be reached.
 
     Args:
         asked: The request.
@@ -186,8 +187,9 @@
         snapshot: The pinned version.
 
     Returns:
-        `FORBIDDEN` if the service may query too little, `NO_SNAPSHOT` if too
-        little has a usable replica; None if enough can be reached.
+        `FORBIDDEN` if the service may query too few shards, `NO_SNAPSHOT` if
+        too few of them have a usable replica; None if the minimum can be
+        reached.
     """
     permitted = served = total = 0
     for shard in snapshot.shard_map.shards:
--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator: takes callers' requests, and answers each whole."""
+"""The coordinator: runs callers' requests and assembles their answers."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Query:
-    """A query of a caller, its identity checked.
+    """A query of an authenticated caller.
 
     Attributes:
-        request_id: Unique in the deployment.
+        request_id: The request's id, unique in the deployment.
         caller: The caller.
         service: The service's name.
-        index: The index.
+        index: The index's name.
         body: The query, JSON.
-        deadline_s: When the caller gives up, on the loop's clock.
-        minimum_coverage: The least coverage that it takes, 0 to 1.
+        deadline_s: Loop time at which the caller stops waiting, in seconds.
+        minimum_coverage: The minimum coverage that it accepts, 0 to 1.
     """
 
     request_id: str
@@ -57,7 +57,7 @@
 
 
 class Coordinator:
-    """Runs queries and requests that may not be repeated."""
+    """Runs queries and non-repeatable requests."""
 
     __slots__ = ("_board", "_dispatcher", "_executor", "_gate", "_log")
 
@@ -69,7 +69,7 @@
         executor: execution.Executor,
         log: request_log.RequestLog,
     ) -> None:
-        """Makes a coordinator; see `make`."""
+        """Creates a coordinator; see `make`."""
         self._board = board
         self._dispatcher = dispatcher
         self._gate = gate
@@ -83,33 +83,37 @@
     def receive_results(
         self, sender: str, results: messages.PartResults
     ) -> None:
-        """Takes results of sub-requests from an owner."""
+        """Handles results of sub-requests from an owner."""
         self._dispatcher.receive_results(sender, results)
 
     def receive_late(self, sender: str, late: messages.PartsLate) -> None:
-        """Takes an owner's notice of sub-requests that run long."""
+        """Handles an owner's notice of long-running sub-requests."""
         self._dispatcher.receive_late(sender, late)
 
     async def execute(
         self, request: execution.Execute
     ) -> expression.Result[responses.ExecuteAnswer, errors.Failure]:
-        """Runs a request that may not be repeated; see `execution`."""
+        """Runs a non-repeatable request; see `execution`."""
         return await self._executor.execute(request)
 
     async def drain(self, limit_s: float) -> None:
-        """Waits until the records of all that ran are written."""
+        """Waits until the outcomes of all executed requests are recorded.
+
+        Args:
+            limit_s: Maximum wait, in seconds.
+        """
         await self._executor.drain(limit_s)
 
     async def query(self, query: Query) -> Answered:
         """Answers a query from one snapshot.
 
-        Cancelling this ends the query, and cancels its sub-requests.
+        Cancelling this coroutine cancels the query and its sub-requests.
 
         Args:
             query: The query.
 
         Returns:
-            The answer, complete or marked short; or why there is none.
+            The answer, complete or marked as incomplete, or the failure.
         """
         started_s = asyncio.get_running_loop().time()
         asked = admitting.Asked(
@@ -137,7 +141,7 @@
         admitted: admitting.Admitted,
         started_s: float,
     ) -> Answered:
-        """Gathers an admitted query's parts."""
+        """Gathers the results of an admitted query's parts."""
         service = admitted.service
 
         def record_pinned(version: int) -> None:
@@ -182,13 +186,13 @@
     records: execution.Records,
     rng: random.Random,
 ) -> Coordinator:
-    """Makes the coordinator of one process.
+    """Creates the coordinator of a process.
 
     Args:
         board: The process's state.
-        outbox: Sends to the owners.
+        outbox: Sends messages to the owners.
         records: The idempotency records.
-        rng: Draws among equal choices.
+        rng: Source of randomness for load shedding and equal choices.
     """
     measured = measurements.Measurements(rng)
     dispatcher = dispatching.Dispatcher(board, outbox, measured)
