--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -1,4 +1,4 @@
-"""One running query: its sub-requests out, their results in, one answer."""
+"""A running query: sends sub-requests and gathers results into one answer."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 from azureramp.policy import assembly, coverage, outcomes, snapshots
 
 NOT_OWNER_WAIT_S = 0.025
-"""First wait for a handoff to be known, when no other replica is left; it
-doubles with each attempt.
+"""Initial delay before a retry on the same searcher, in seconds, when its
+owner refused and no other replica is left: the time for this VM to learn of
+the new owner. It doubles with each attempt.
 """
 
-MOST_CRASHES = 2
-"""Crashes under one query that end it: two are the quarantine's proof."""
+MAX_CRASHES = 2
+"""Number of crashes that end a query; a quarantine also requires two."""
 
 Permits = Callable[[resources.Shard], bool]
 
 
 class Gathering:
-    """A query that runs; it lives until its answer.
+    """A query from its first sub-request to its answer.
 
-    Results and timers change its state at once, with no task of their own,
-    so that the answer leaves in the same turn of the loop in which the last
-    needed result came.
+    Results and timers change its state directly instead of through tasks, so
+    that the answer is sent in the same iteration of the event loop in which
+    the last required result arrives.
 
     Attributes:
-        tally: How its parts went.
+        tally: Statistics of its attempts.
     """
 
     __slots__ = (
@@ -37,11 +38,11 @@
         "_board",
         "_dispatcher",
         "_finished",
-        "_former",
         "_held_back",
         "_minimum",
         "_on_pinned",
         "_permits",
+        "_previous",
         "_snapshot",
         "_watch",
         "tally",
@@ -57,15 +58,16 @@
         minimum_coverage: float,
         on_pinned: Callable[[int], None],
     ) -> None:
-        """Makes a query that has not sent anything yet.
+        """Creates a query that has not sent anything yet.
 
         Args:
             board: The process's state.
-            dispatcher: Sends and receives.
-            header: What all sub-requests share.
+            dispatcher: Sends sub-requests and receives results.
+            header: The fields that all sub-requests share.
             snapshot: The pinned version.
-            permits: Tells which shards the service may query.
-            minimum_coverage: The least that the caller takes.
+            permits: Returns True if the service may query a shard.
+            minimum_coverage: The minimum coverage that the caller accepts, 0
+                to 1.
             on_pinned: Called with each version that is pinned later.
         """
         self._on_pinned = on_pinned
@@ -74,7 +76,7 @@
         self._snapshot = snapshot
         self._permits = permits
         self._minimum = fractions.Fraction(minimum_coverage)
-        self._former: assembly.Assembly | None = None
+        self._previous: assembly.Assembly | None = None
         self._held_back: list[assembly.Progress] = []
         self._attempts = attempts.Attempts(
             board,
@@ -82,17 +84,19 @@
             header,
             assembly.Assembly(snapshot.shard_map, permits),
         )
-        self._watch = lateness.Watch(board, self._attempts, self._take_lost)
+        self._watch = lateness.Watch(
+            board, self._attempts, self._handle_lost_owner
+        )
         self._finished = asyncio.get_running_loop().create_future()
         self.tally = self._attempts.tally
 
     async def run(self) -> coverage.Ledger | errors.Failure:
-        """Sends, gathers, and returns once there is a final answer.
+        """Sends the sub-requests and waits until the answer is final.
 
-        Cancelling this cancels what runs at the owners.
+        Cancelling this coroutine cancels the attempts at the owners.
 
         Returns:
-            What is held of one version; or why there is no answer.
+            The results of one version, or the failure.
         """
         header = self._attempts.header
         self._dispatcher.register(header.request_id, self)
@@ -110,7 +114,7 @@
         return self._conclude()
 
     def receive(self, result: messages.PartResult) -> None:
-        """Takes one sub-request's result."""
+        """Handles the result of one sub-request."""
         if self._finished.done():
             return
         taken = self._attempts.take(result)
@@ -122,14 +126,14 @@
         self._check_finished()
 
     def receive_late(self, part: int) -> None:
-        """Learns that a sub-request runs for unusually long."""
+        """Handles the notice that a sub-request runs unusually long."""
         self._watch.help_running_long(part)
 
     def _begin(self) -> None:
-        """Sends the first attempts over the pinned version.
+        """Sends the first attempts on the pinned version.
 
-        One that is blamed for a crash goes to one shard alone first; the
-        others get it only once that one has survived it.
+        A request to which a crash is attributed is first sent to one shard
+        only; the other shards get it after that one has returned a result.
         """
         waiting = list(self._attempts.state.progress.values())
         if self._attempts.header.isolated:
@@ -146,7 +150,7 @@
             self._watch.schedule()
 
     def _start_held_back(self) -> None:
-        """Sends what waited for the first part's survival."""
+        """Sends the parts that waited for the first result."""
         held_back, self._held_back = self._held_back, []
         self._start_first(held_back, None)
 
@@ -163,23 +167,24 @@
             if not progress.running:
                 self._lose(progress)
 
-    def _take_lost(self, failed: assembly.Failed) -> None:
-        """Replaces an attempt whose owner VM has gone.
+    def _handle_lost_owner(self, failed: assembly.Failed) -> None:
+        """Replaces an attempt whose owner VM is lost.
 
-        It needs no budget: an attempt can lose its owner but once, and an
-        eighth of all parts go with one of eight VMs.
+        The retry doesn't use the retry budget: an attempt can lose its owner
+        only once, and the loss of one of eight VMs affects an eighth of all
+        parts.
         """
         self._replace(failed, paid=True)
         self._check_finished()
 
     def _replace(self, failed: assembly.Failed, paid: bool = False) -> None:
-        """Tries another replica after a failure, or gives the shard up.
+        """Tries another replica after a failure, or gives up the shard.
 
         Args:
             failed: The failure.
-            paid: True if the retry needs no budget.
+            paid: True if the retry doesn't use the retry budget.
         """
-        if self.tally.crashes >= MOST_CRASHES:
+        if self.tally.crashes >= MAX_CRASHES:
             self._stop()
             return
         progress = self._attempts.state.progress[failed.attempt.shard.name]
@@ -204,10 +209,11 @@
             self._lose(progress)
 
     def _may_retry(self, failed: assembly.Failed, paid: bool) -> bool:
-        """Tells whether a failed attempt may be followed by another.
+        """Returns True if a failed attempt may be retried.
 
-        What a searcher never got costs it nothing and needs no budget. What
-        crashed a server must not meet the next one.
+        An attempt that was never sent to a searcher caused no load, so its
+        retry doesn't use the budget. A request that crashed a server must not
+        be sent to another one.
         """
         if not failed.sent:
             return True
@@ -216,7 +222,7 @@
         return paid or self._dispatcher.measured.retries.spend()
 
     def _retry_later(self, progress: assembly.Progress, searcher: str) -> None:
-        """Tries a searcher again once its new owner should be known."""
+        """Tries a searcher again after the delay for a change of its owner."""
         state = self._attempts.state
         present = state.progress.get(progress.shard.name) is progress
         if self._finished.done() or not present or not progress.waiting:
@@ -228,7 +234,7 @@
         self._check_finished()
 
     def _lose(self, progress: assembly.Progress) -> None:
-        """Gives a shard up; if all others wait for it, the next one leads."""
+        """Gives up a shard; sends the next held-back part if none runs."""
         state = self._attempts.state
         state.give_up(progress)
         while self._held_back and not state.get_running():
@@ -240,7 +246,7 @@
                 state.give_up(following)
 
     def _stop(self) -> None:
-        """Ends a query that crashes the backend servers that run it."""
+        """Ends a query that crashes backend servers."""
         state = self._attempts.state
         self._attempts.cancel(state.get_running())
         self._held_back = []
@@ -249,13 +255,16 @@
             state.give_up(progress)
 
     def _restart(self) -> bool:
-        """Starts once more, on a newer version that is served whole.
+        """Restarts the query on a newer version that is completely served.
+
+        The results of the old version are kept separately and never mixed
+        with the new ones: they may be the better answer at the deadline.
 
-        What is held of the old version is kept aside, never mixed: it may
-        still be the better answer if the time runs out.
+        Returns:
+            True if the query was restarted.
         """
         header = self._attempts.header
-        if self._former is not None or header.isolated:
+        if self._previous is not None or header.isolated:
             return False
         delays = self._dispatcher.measured.delays
         needed_ms = delays.get_index_ms(header.index, header.priority)
@@ -266,7 +275,7 @@
         if pinned.is_error() or not snapshots.is_whole(pinned.ok):
             return False
         self._snapshot = pinned.ok
-        self._former = self._attempts.state
+        self._previous = self._attempts.state
         self._attempts.restart(
             assembly.Assembly(pinned.ok.shard_map, self._permits)
         )
@@ -275,7 +284,7 @@
         return True
 
     def _check_finished(self) -> None:
-        """Ends the query as soon as nothing more can change its answer."""
+        """Ends the query once no further result can change its answer."""
         state = self._attempts.state
         if state.is_final() or (
             state.lost and state.get_reachable() < self._minimum
@@ -288,8 +297,8 @@
             self._finished.set_result(None)
 
     def _conclude(self) -> coverage.Ledger | errors.Failure:
-        """Makes the final answer of what is held of one version."""
-        chosen = outcomes.choose(self._former, self._attempts.state)
+        """Determines the answer from the better version's results."""
+        chosen = outcomes.choose(self._previous, self._attempts.state)
         if chosen is not self._attempts.state:
             self._on_pinned(chosen.ledger.shard_map.version)
             self._attempts.readopt(chosen)
