--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -1,8 +1,8 @@
-"""Requests that may not be repeated: at most one run, and its true outcome.
+"""Runs non-repeatable requests at most once and reports their real outcome.
 
-The idempotency record is claimed before any byte goes out, and the claim's
-holder alone dispatches. The run belongs to a task of its own: neither the
-caller's leaving nor its deadline may cut the task that knows what happened.
+The idempotency key is claimed before any byte is sent, and only the holder of
+the claim dispatches. The request runs in its own task: neither a disconnect of
+the caller nor its deadline may cancel the task that knows the outcome.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Execute:
-    """A request that may not be repeated, its caller's identity checked.
+    """A non-repeatable request of an authenticated caller.
 
     Attributes:
-        request_id: Unique in the deployment.
+        request_id: The request's id, unique in the deployment.
         caller: The caller.
         service: The service's name.
-        index: The index.
+        index: The index's name.
         key: A key of the key space; its shard runs the request.
-        idempotency_key: The caller's key.
+        idempotency_key: The caller's idempotency key.
         body: The operation, JSON.
-        deadline_s: When the caller gives up, on the loop's clock.
+        deadline_s: Loop time at which the caller stops waiting, in seconds.
     """
 
     request_id: str
@@ -57,7 +57,7 @@
 
 
 class Records(single_run.Recorder, Protocol):
-    """What is used of the idempotency records."""
+    """The part of the idempotency records that execution uses."""
 
     async def claim(
         self, caller: str, key: str, request_hash: int, request_id: str
@@ -72,7 +72,7 @@
 
 
 class Executor:
-    """Runs requests that may not be repeated."""
+    """Runs non-repeatable requests."""
 
     __slots__ = ("_board", "_dispatcher", "_gate", "_log", "_records", "_tasks")
 
@@ -84,7 +84,7 @@
         records: Records,
         log: request_log.RequestLog,
     ) -> None:
-        """Makes an executor that runs nothing yet."""
+        """Creates an executor without running requests."""
         self._board = board
         self._dispatcher = dispatcher
         self._gate = gate
@@ -95,16 +95,17 @@
     async def execute(self, request: Execute) -> Answered:
         """Runs a request at most once.
 
-        The answer is there by the deadline, whatever the store or a searcher
-        does. Cancelling this call ends the wait; what was sent goes on to
-        its end, so that the record says what happened, and what was not sent
-        never is.
+        Returns by the deadline even if the store or a searcher does not
+        answer. Cancelling this coroutine ends the wait: an attempt that was
+        sent continues so that its outcome is recorded, and one that was not
+        sent never will be.
 
         Args:
             request: The request.
 
         Returns:
-            The outcome of its first run, or why it is not known or not run.
+            The outcome of its first run, or the failure if the outcome is
+            unknown or the request did not run.
         """
         started_s = asyncio.get_running_loop().time()
         result, version = await self._execute(request, started_s)
@@ -118,10 +119,10 @@
         return result
 
     async def drain(self, limit_s: float) -> None:
-        """Waits until all runs have their outcome recorded.
+        """Waits until the outcomes of all runs are recorded.
 
         Args:
-            limit_s: Longest wait, in seconds.
+            limit_s: Maximum wait, in seconds.
         """
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=limit_s)
@@ -129,10 +130,11 @@
     async def _execute(
         self, request: Execute, started_s: float
     ) -> tuple[Answered, int]:
-        """Checks the request, and waits for its run.
+        """Checks the request and waits for its outcome.
 
         Returns:
-            The answer, and the index version that it ran on; 0 if none.
+            The answer, and the index version on which the request ran; 0 if
+            it didn't run.
         """
         asked = admitting.Asked(
             request.request_id,
@@ -186,7 +188,7 @@
     async def _claim_and_run(
         self, request: Execute, run: single_run.SingleRun
     ) -> None:
-        """Claims the key, and runs the request if the claim is granted."""
+        """Claims the key and runs the request if the claim is granted."""
         claim = await self._records.claim(
             request.caller.name,
             request.idempotency_key,
@@ -207,7 +209,7 @@
 
 
 def compute_request_hash(request: Execute) -> int:
-    """Hashes what must be the same when an idempotency key comes again."""
+    """Hashes the fields that must match when an idempotency key is reused."""
     where = f"{request.service}\0{request.index}\0{request.key}"
     fingerprint = fingerprints.compute(request.index, request.body)
     return xxhash.xxh64_intdigest(f"{where}\0{fingerprint}".encode())
@@ -216,7 +218,7 @@
 def find_shard(
     snapshot: snapshots.Snapshot, key: int
 ) -> resources.Shard | None:
-    """Finds the shard that holds a key."""
+    """Finds the shard whose range contains a key; None if there is none."""
     for shard in snapshot.shard_map.shards:
         if shard.low <= key < shard.high:
             return shard
@@ -224,5 +226,5 @@
 
 
 def _refuse(kind: errors.Kind, detail: str = "") -> Answered:
-    """Makes a refusal."""
+    """Creates a failed result."""
     return expression.Error(errors.Failure(kind, detail))
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -1,4 +1,4 @@
-"""One run of a request that may not be repeated, under its claim."""
+"""A run of a non-repeatable request under its idempotency claim."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 from azureramp.controllers import attempts, dispatching, idempotency
 from azureramp.policy import assembly, outcomes, snapshots
 
-LATE_S = 2.0
-"""How long after the deadline a result may still settle the record."""
+LATE_RESULT_S = 2.0
+"""How long after the deadline a result is still recorded, in seconds."""
 
-OWNER_WAIT_S = 0.025
-"""First wait for a handoff to be known, when no other replica is left; it
-doubles with each attempt.
+NOT_OWNER_WAIT_S = 0.025
+"""Initial delay before a retry on the same searcher, in seconds, when its
+owner refused and no other replica is left: the time for this VM to learn of
+the new owner. It doubles with each attempt.
 """
 
 
 class Recorder(Protocol):
-    """Writes the end of a claim; see `idempotency.Records`."""
+    """Records the outcome of a claim; see `idempotency.Records`."""
 
     async def finish(self, claimed: idempotency.Claimed, result: bytes) -> None:
         """Records the result."""
@@ -31,7 +32,7 @@
         ...
 
     def release(self, claimed: idempotency.Claimed) -> None:
-        """Gives the claim back; only when nothing ran."""
+        """Releases the claim; only valid if the request has not run."""
         ...
 
 
@@ -39,10 +40,10 @@
 
 
 class SingleRun:
-    """Dispatches once, to one replica after another until one may have run.
+    """Dispatches a request to one replica at a time until it may have run.
 
-    The next replica gets the request only after an owner has said for sure
-    that no byte of it went out, or the searcher that it did not begin.
+    The next replica gets the request only after the owner has confirmed that
+    no byte of it was sent, or the searcher that it did not start running it.
     """
 
     __slots__ = (
@@ -65,15 +66,15 @@
         snapshot: snapshots.Snapshot,
         shard: resources.Shard,
     ) -> None:
-        """Makes a run that has sent nothing.
+        """Creates a run that has sent nothing yet.
 
         Args:
             board: The process's state.
-            dispatcher: Sends and receives.
-            records: Where the end is recorded.
+            dispatcher: Sends sub-requests and receives results.
+            records: Records the outcome.
             header: The request.
             snapshot: The pinned version.
-            shard: The shard that runs it.
+            shard: The shard that runs the request.
         """
         loop = asyncio.get_running_loop()
         self._dispatcher = dispatcher
@@ -91,15 +92,16 @@
         self._dispatched = False
 
     def answer(self, outcome: Outcome) -> None:
-        """Settles what the caller gets; the first answer counts."""
+        """Sets the caller's answer unless it is already set."""
         if not self._answered.done():
             self._answered.set_result(outcome)
 
     async def wait(self) -> Outcome:
-        """Waits for the outcome, until the answer is due.
+        """Waits for the outcome until the answer is due.
 
-        Cancelling this abandons the request: what is not sent yet never will
-        be, and what only waits in an owner's queue is taken out of it.
+        Cancelling this coroutine abandons the request: it will not be sent if
+        it wasn't sent yet, and it is removed from an owner's queue if it only
+        waits there.
         """
         loop = asyncio.get_running_loop()
         timer = loop.call_at(self._attempts.header.answer_s, self._expire)
@@ -112,9 +114,10 @@
             timer.cancel()
 
     def _expire(self) -> None:
-        """Answers at the deadline with what is known by then.
+        """Answers at the deadline according to the state at that time.
 
-        Before the dispatch nothing has run, and from here on nothing will.
+        If the request was not dispatched, it has not run, and it will not run
+        after this.
         """
         if self._answered.done():
             return
@@ -127,16 +130,17 @@
         self._abandon()
 
     def _abandon(self) -> None:
-        """Sends nothing more, and takes back what is only queued."""
+        """Stops sending and cancels attempts that are only queued."""
         self._abandoned = True
         running = self._attempts.state.get_running()
         if running:
-            # The attempt stays in the state: the owner answers whether it
-            # was taken out of its queue, and only that answer settles it.
+            # The attempt stays in the state: the owner replies whether it was
+            # removed from the queue, and only that reply determines its
+            # outcome.
             self._dispatcher.cancel(self._attempts.header.request_id, running)
 
     async def run(self, claimed: idempotency.Claimed) -> None:
-        """Runs the request under its claim, and records its end.
+        """Runs the request under its claim and records its outcome.
 
         Args:
             claimed: The claim.
@@ -151,7 +155,7 @@
             self._dispatcher.unregister(header.request_id)
 
     async def _try_replicas(self, claimed: idempotency.Claimed) -> None:
-        """Tries replicas until one may have run it, or none is left."""
+        """Tries replicas until one may have run the request or none is left."""
         failure = errors.Failure(errors.Kind.NO_SNAPSHOT)
         while True:
             taken = await self._attempt()
@@ -174,7 +178,8 @@
         """Makes one attempt.
 
         Returns:
-            Its end, `Unknown` if none came; None if no attempt can be made.
+            Its outcome, `Unknown` if there is no result in time; None if no
+            attempt can be made.
         """
         loop = asyncio.get_running_loop()
         progress = self._attempts.state.progress[self._shard.name]
@@ -190,13 +195,13 @@
     async def _wait_for_end(
         self, progress: assembly.Progress
     ) -> assembly.Taken:
-        """Waits for an attempt's result, past the deadline for a while.
+        """Waits for an attempt's result until some time after the deadline.
 
-        The caller has its answer by then, but a result that comes late still
-        makes the record say what happened instead of `unknown`.
+        The caller has its answer by then, but a late result is still recorded
+        instead of `unknown`.
         """
         assert self._arrived is not None
-        until_s = self._attempts.header.answer_s + LATE_S
+        until_s = self._attempts.header.answer_s + LATE_RESULT_S
         try:
             async with asyncio.timeout_at(until_s):
                 result = await self._arrived
@@ -213,21 +218,21 @@
     async def _follow_owner(
         self, progress: assembly.Progress, attempt: assembly.Attempt
     ) -> None:
-        """Lets a searcher be tried again by its new owner.
+        """Allows another attempt on a searcher through its new owner.
 
-        Another replica is tried first; without one, the wait gives this VM's
-        view the time to learn of the new owner.
+        Another replica is tried first. Without one, a delay gives this VM the
+        time to learn of the new owner.
         """
         view = self._dispatcher.viewer.get()
         replicas = self._attempts.find_replicas(view, self._shard)
         if not self._dispatcher.has_moved(attempt):
             if any(name not in progress.tried for name in replicas):
                 return
-            await asyncio.sleep(OWNER_WAIT_S * 2 ** (progress.attempts - 1))
+            await asyncio.sleep(NOT_OWNER_WAIT_S * 2 ** (progress.attempts - 1))
         progress.tried.discard(attempt.searcher)
 
     def receive(self, result: messages.PartResult) -> None:
-        """Takes a result; a copy, or one of an ended attempt, is dropped."""
+        """Handles a result; drops duplicates and those of ended attempts."""
         running = [one.part for one in self._attempts.state.get_running()]
         if result.part not in running or self._arrived is None:
             return
@@ -235,16 +240,17 @@
             self._arrived.set_result(result)
 
     def receive_late(self, part: int) -> None:
-        """Does nothing: what may not be repeated is never hedged."""
+        """Does nothing: a non-repeatable request is never hedged."""
 
     async def _finish(
         self, claimed: idempotency.Claimed, attempt: assembly.Attempt
     ) -> None:
         """Records a result, then answers.
 
-        The record comes first: if this VM went between the two, a retry
-        would find the outcome, not a claim without an end. The records wait
-        only for a short time, and `wait` only until the deadline.
+        The result is recorded first: if this VM failed between the two steps,
+        a retry would find the outcome instead of a claim without one. The
+        wait for the record is bounded by a short timeout, and `wait` by the
+        deadline.
         """
         ledger = self._attempts.state.ledger
         result = ledger.get_items(attempt.shard)
@@ -254,6 +260,6 @@
         )
 
     async def _mark_unknown(self, claimed: idempotency.Claimed) -> None:
-        """Answers that the outcome is unknown, and records it."""
+        """Answers that the outcome is unknown and records that."""
         self.answer(errors.Failure(errors.Kind.OUTCOME_UNKNOWN))
         await self._records.mark_unknown(claimed)
