--- a/src/azureramp/controllers/late_notices.py
+++ b/src/azureramp/controllers/late_notices.py
@@ -1,9 +1,9 @@
-"""An owner's notices of calls that run for unusually long.
+"""An owner's notices of calls that run unusually long.
 
-A coordinator sees only the time from sending to result, most of which is the
-queue's under load; a second attempt then waits in another queue. The owner
-knows when the call began, and tells the coordinator of the one call in fifty
-that is a straggler, while it runs.
+A coordinator measures only the time from sending to result. Under load this is
+mostly the time in the queue, and a hedge would wait in another queue. The
+owner knows when the call began and notifies the coordinator about the one call
+in fifty that is a straggler while that call is running.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Running:
-    """A call that runs.
+    """A running call.
 
     Attributes:
         searcher: The searcher's name.
-        began_s: When its first byte was written.
-        timer: Sends the notice; None while the searcher's times are unknown.
+        began_s: Loop time at which its first byte was written, in seconds.
+        timer: Sends the notice; None while the usual durations of the
+            searcher's calls are unknown.
     """
 
     searcher: str
@@ -32,15 +33,15 @@
 
 
 class LateNotices:
-    """Watches the running calls of one owner."""
+    """Monitors the running calls of one owner."""
 
     __slots__ = ("_outbox", "_sketches")
 
     def __init__(self, outbox: outbox_controller.Outbox) -> None:
-        """Makes it with nothing to watch.
+        """Creates it without running calls.
 
         Args:
-            outbox: Sends to the coordinators.
+            outbox: Sends messages to the coordinators.
         """
         self._outbox = outbox
         self._sketches: dict[str, hedging.Sketch] = {}
@@ -48,12 +49,15 @@
     def begin(
         self, searcher: str, coordinator: str, key: tuple[str, int]
     ) -> Running:
-        """Begins to watch a call whose first byte is about to be written.
+        """Starts monitoring a call whose first byte is about to be written.
 
         Args:
             searcher: The searcher's name.
-            coordinator: The VM that asked.
+            coordinator: The VM that sent the sub-request.
             key: The request's id and the sub-request's number.
+
+        Returns:
+            The running call, to be passed to `end`.
         """
         loop = asyncio.get_running_loop()
         sketch = self._sketches.get(searcher)
@@ -68,10 +72,10 @@
         return Running(searcher, loop.time(), timer)
 
     def end(self, running: Running) -> None:
-        """Ends the watch of a call, however it ended.
+        """Stops monitoring a call that has ended in any way.
 
-        One that was cancelled counts with the time until then: it was long
-        already, and leaving it out would make ordinary calls look long.
+        A cancelled call counts with its duration until then: it was already
+        long, and omitting it would make ordinary calls appear long.
         """
         if running.timer is not None:
             running.timer.cancel()
@@ -83,5 +87,5 @@
         sketch.add((now_s - running.began_s) * 1000)
 
     def forget(self, searcher: str) -> None:
-        """Forgets the times of a searcher that is not owned any more."""
+        """Removes the durations of a searcher that is no longer owned."""
         self._sketches.pop(searcher, None)
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -1,4 +1,4 @@
-"""Looks after the running attempts of one query: hedges, and lost owners."""
+"""Monitors a query's running attempts for hedging and for lost owner VMs."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from azureramp.controllers import attempts as attempts_module
 from azureramp.policy import assembly, hedging
 
-LONGEST_TICK_S = 0.05
-"""Longest time between two looks at the running attempts."""
+MAX_TICK_S = 0.05
+"""Maximum interval between checks of the running attempts, in seconds."""
 
-SHORTEST_TICK_S = 0.001
+MIN_TICK_S = 0.001
+"""Minimum delay before a check of the running attempts, in seconds."""
 
 
 class Watch:
-    """A timer that looks for attempts that are late or lost."""
+    """A timer that checks for attempts that are late or lost."""
 
     __slots__ = ("_attempts", "_board", "_on_lost", "_timer")
 
@@ -26,12 +27,13 @@
         attempts: attempts_module.Attempts,
         on_lost: Callable[[assembly.Failed], None],
     ) -> None:
-        """Makes a watch that does not run yet.
+        """Creates a watch that is not scheduled yet.
 
         Args:
             board: The process's state.
             attempts: The query's attempts.
-            on_lost: Called with an attempt whose owner VM has gone.
+            on_lost: Called with each attempt that failed because its owner VM
+                is lost.
         """
         self._board = board
         self._attempts = attempts
@@ -39,11 +41,11 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def schedule(self) -> None:
-        """Sets the timer for the next look."""
+        """Sets the timer for the next check."""
         self.stop()
         loop = asyncio.get_running_loop()
         now_s = loop.time()
-        next_s = now_s + LONGEST_TICK_S
+        next_s = now_s + MAX_TICK_S
         for attempt in self._attempts.state.get_running():
             delay_s = self._get_delay_ms(attempt) / 1000
             for due_s in (
@@ -52,17 +54,17 @@
             ):
                 if now_s < due_s < next_s:
                     next_s = due_s
-        next_s = max(next_s, now_s + SHORTEST_TICK_S)
-        self._timer = loop.call_at(next_s, self._look)
+        next_s = max(next_s, now_s + MIN_TICK_S)
+        self._timer = loop.call_at(next_s, self._check)
 
     def stop(self) -> None:
-        """Ends the watch."""
+        """Cancels the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _look(self) -> None:
-        """Looks at every running attempt once."""
+    def _check(self) -> None:
+        """Checks every running attempt once."""
         for attempt in self._attempts.state.get_running():
             if self._attempts.dispatcher.is_owner_lost(attempt):
                 failed = self._attempts.drop(attempt)
@@ -70,16 +72,17 @@
                     self._on_lost(failed)
         for progress in self._attempts.state.get_open():
             if progress.running:
-                self._help_late(progress)
+                self._handle_late(progress)
         self.schedule()
 
     def help_running_long(self, part: int) -> None:
-        """Hedges a sub-request that its owner says runs long.
+        """Hedges a sub-request that runs long according to its owner.
 
-        A deferrable one too, and ahead of the queue: the straggler holds a
-        slot until the hedge's result cancels it, so the hedge gives back more
-        than it costs, and the sooner the more. That is why it goes on under
-        overload, unlike any other call that nobody strictly needs.
+        This includes deferrable requests, and the hedge goes ahead of the
+        queue: the straggler occupies a slot until the hedge's result cancels
+        it, so the hedge frees more capacity than it uses, and more the earlier
+        it runs. Therefore, unlike other optional calls, it is also sent under
+        overload.
         """
         attempt = self._attempts.state.get_attempt(part)
         if attempt is None:
@@ -88,13 +91,13 @@
         if len(progress.running) == 1 and not self._is_suspect():
             self._hedge(progress, ahead=True)
 
-    def _help_late(self, progress: assembly.Progress) -> None:
-        """Hedges a late attempt, or adds a retry to a lost one."""
+    def _handle_late(self, progress: assembly.Progress) -> None:
+        """Sends a hedge for a late attempt or a retry for a lost one."""
         newest = list(progress.running.values())[-1]
         now_s = asyncio.get_running_loop().time()
         elapsed_ms = (now_s - newest.sent_s) * 1000
         step = hedging.decide(elapsed_ms, self._get_delay_ms(newest))
-        if step is hedging.Step.WAIT or not self._may_add(now_s):
+        if step is hedging.Step.WAIT or not self._may_send_extra(now_s):
             return
         if self._attempts.header.priority is resources.Priority.DEFERRABLE:
             return
@@ -108,7 +111,7 @@
             self._board.metrics.count("part.retried")
 
     def _hedge(self, progress: assembly.Progress, ahead: bool = False) -> bool:
-        """Sends a hedge, if the budget has one; False if not."""
+        """Sends a hedge if the budget allows it; returns False if not."""
         hedges = self._attempts.dispatcher.measured.hedges
         if not hedges.can_spend():
             return False
@@ -118,11 +121,12 @@
         self._board.metrics.count("part.hedged")
         return True
 
-    def _may_add(self, now_s: float) -> bool:
-        """Tells whether calls may be made that nobody strictly needs.
+    def _may_send_extra(self, now_s: float) -> bool:
+        """Returns True if extra calls are allowed.
 
-        Not under overload, when a second call for what only waits takes the
-        slot of somebody's first.
+        They are not under overload: an extra call for an attempt that only
+        waits in a queue would take a slot from the first call of another
+        request.
         """
         if self._is_suspect():
             return False
@@ -130,13 +134,13 @@
         return not level.is_overloaded(now_s)
 
     def _is_suspect(self) -> bool:
-        """Tells whether the request may have crashed a server."""
+        """Returns True if the request may have crashed a server."""
         return (
             self._attempts.header.isolated or self._attempts.tally.crashes > 0
         )
 
     def _get_delay_ms(self, attempt: assembly.Attempt) -> float:
-        """Returns the hedge delay of an attempt's shard."""
+        """Returns the hedge delay of an attempt's shard, in milliseconds."""
         header = self._attempts.header
         left_ms = (header.answer_s - attempt.sent_s) * 1000
         return self._attempts.dispatcher.measured.delays.get_ms(
