--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -1,4 +1,4 @@
-"""Finding the requests that crash backend servers, with the other VMs."""
+"""Detects requests that crash backend servers, together with the other VMs."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from azureramp.policy import poison, trials
 from azureramp.ports.searchers import api as searchers_api
 
-GIVEN_UP_S = 0.5
-"""How long a call that was given up may still crash its server, in
-seconds."""
+ABANDONED_S = 0.5
+"""How long an abandoned call may still crash its server, in seconds."""
 
-MAX_GIVEN_UP = 256
-"""Most calls remembered that were given up."""
+MAX_ABANDONED = 256
+"""Maximum number of remembered abandoned calls."""
 
 REPEAT_S = 5.0
-"""Time between notices of all quarantines, for VMs that came up since."""
+"""Interval between notices of all quarantines, in seconds, for VMs that were
+started after earlier notices."""
 
 OwnedSearcher = owned_searcher.OwnedSearcher
 Part = owned_searcher.Part
@@ -31,11 +31,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Incident:
-    """Connections to a backend server were lost, and it is being looked at.
+    """A check of a backend server to which connections were lost.
 
     Attributes:
-        fingerprints: What was in flight.
-        verdict: Ends with True if the server crashed.
+        fingerprints: The fingerprints of the calls that were in flight.
+        verdict: Returns True if the server crashed.
     """
 
     fingerprints: set[int]
@@ -43,19 +43,22 @@
 
 
 class Poisoning:
-    """Judges lost connections, and keeps suspect requests apart.
+    """Attributes crashes to requests and isolates suspect requests.
+
+    A request is suspect while a crash is attributed to its fingerprint. A
+    suspect request runs alone, one sub-request at a time; see `trials`.
 
     Attributes:
-        trials: Which requests are on trial.
-        on_charged: Called with each fingerprint that a crash was blamed on,
-            and the server that crashed.
+        trials: The trials that run on this VM.
+        on_charged: Called with each fingerprint to which a crash was
+            attributed and the server that crashed.
     """
 
     __slots__ = (
+        "_abandoned",
         "_board",
         "_crashed_s",
         "_directory",
-        "_given_up",
         "_holdings",
         "_incidents",
         "_outbox",
@@ -73,7 +76,7 @@
         places: directory.Directory,
         holdings: owned_searcher.Holdings,
     ) -> None:
-        """Makes it without any suspect."""
+        """Creates it without suspect requests."""
         self.trials = trials.Trials()
         self.on_charged: Callable[[int, str], None] = _ignore
         self._board = board
@@ -83,18 +86,18 @@
         self._holdings = holdings
         self._incidents: dict[str, Incident] = {}
         self._crashed_s: dict[str, float] = {}
-        self._given_up: collections.deque[tuple[float, str, int]] = (
-            collections.deque(maxlen=MAX_GIVEN_UP)
+        self._abandoned: collections.deque[tuple[float, str, int]] = (
+            collections.deque(maxlen=MAX_ABANDONED)
         )
         self._repeated_s = 0.0
 
     def is_suspect(self, part: Part) -> bool:
-        """Tells whether a sub-request's fingerprint is charged."""
+        """Returns True if a crash is attributed to a sub-request."""
         fingerprint = part.batch.fingerprint
         return self._board.blame.crashes(fingerprint, _now_s()) > 0
 
     def needs_trial(self, part: Part) -> bool:
-        """Tells whether a sub-request may only run as the one of its sort."""
+        """Returns True if a request's sub-requests must run one at a time."""
         return part.batch.isolated or self.is_suspect(part)
 
     def get_refusal(
@@ -115,27 +118,29 @@
             and now_s - crashed_s <= poison.MERGE_S
             and self.is_suspect(part)
         ):
-            # Another crash of the same server so soon would be taken for the
-            # same one, and the suspect would get a third try.
+            # Another crash of the same server this soon would be merged with
+            # the first one, and the suspect request would get a third
+            # attempt.
             return errors.Failure(errors.Kind.COLD, "just crashed")
         return None
 
     def succeed(self, part: Part) -> None:
-        """Takes a success, which clears a suspect."""
+        """Clears a request's crashes after a successful call."""
         self._board.blame.clear(part.batch.fingerprint)
 
     def give_up(self, owned: OwnedSearcher, part: Part) -> None:
-        """Remembers a call that ended without a reply."""
-        self._given_up.append(
+        """Remembers a call that was abandoned before its reply."""
+        self._abandoned.append(
             (_now_s(), owned.place.server.name, part.batch.fingerprint)
         )
 
     async def judge(self, owned: OwnedSearcher, part: Part) -> bool:
-        """Tells whether a lost connection was its server's crash.
+        """Determines whether a connection was lost by its server's crash.
 
-        All calls that a crash cut share one look at the server. Until it has
-        ended none of them is answered, so that no coordinator sends the
-        request to the next server before it is known for a suspect.
+        All calls that lost their connections share one check of the server.
+        None of them is answered before it has finished, so that no
+        coordinator sends the request to the next server before the request is
+        marked as suspect.
 
         Args:
             owned: The searcher.
@@ -149,14 +154,14 @@
         if incident is None:
             incident = Incident(
                 self._get_in_flight(server),
-                asyncio.ensure_future(self._look(owned)),
+                asyncio.ensure_future(self._check_crash(owned)),
             )
             self._incidents[server] = incident
         incident.fingerprints.add(part.batch.fingerprint)
         return await asyncio.shield(incident.verdict)
 
     def receive_notice(self, message: messages.CrashNotice) -> None:
-        """Learns of a crash, or of quarantines, from another VM."""
+        """Handles another VM's notice of a crash or of quarantines."""
         now_s = _now_s()
         for fingerprint in message.fingerprints:
             if message.quarantine_ms > 0:
@@ -167,14 +172,14 @@
             self._record(message)
 
     def repeat_quarantines(self) -> None:
-        """Tells the other VMs of all quarantines, now and then."""
+        """Periodically sends all quarantines to the other VMs."""
         now_s = _now_s()
         if now_s - self._repeated_s < REPEAT_S:
             return
         self._repeated_s = now_s
         quarantined = self._board.blame.get_quarantined_ms(now_s)
         for fingerprint, left_ms in quarantined.items():
-            self._tell(
+            self._broadcast(
                 messages.CrashNotice(
                     server="",
                     crash_id="",
@@ -184,16 +189,16 @@
             )
 
     def close(self) -> None:
-        """Ends what runs in the background."""
+        """Cancels all running checks."""
         for incident in self._incidents.values():
             incident.verdict.cancel()
 
-    async def _look(self, owned: OwnedSearcher) -> bool:
-        """Looks at a searcher over a fresh connection.
+    async def _check_crash(self, owned: OwnedSearcher) -> bool:
+        """Checks a searcher over a new connection; returns True if it crashed.
 
-        A crash is told from a connection that something on the way has
-        dropped: after a crash the searcher refuses connections, or is
-        another incarnation. Silence says nothing of either.
+        This distinguishes a crash from a connection that was dropped by the
+        network: after a crash the searcher refuses connections or has another
+        incarnation. A timeout indicates neither.
         """
         server = owned.place.server.name
         known = owned.health.incarnation if owned.health else 0
@@ -207,13 +212,13 @@
                 case expression.Result(error=failure):
                     crashed = failure.kind is errors.Kind.CONNECTION_LOST
             if crashed:
-                self._tell_crash(owned, known)
+                self._announce_crash(owned, known)
             return crashed
         finally:
             del self._incidents[server]
 
-    def _tell_crash(self, owned: OwnedSearcher, incarnation: int) -> None:
-        """Charges what was in flight, here and on every other VM."""
+    def _announce_crash(self, owned: OwnedSearcher, incarnation: int) -> None:
+        """Attributes a crash to the calls in flight, here and on other VMs."""
         server = owned.place.server.name
         self._board.metrics.count("searcher.crashes")
         self._board.timeline.record(
@@ -233,10 +238,10 @@
             fingerprints=tuple(fingerprints[: poison.MAX_FINGERPRINTS]),
         )
         self._record(notice)
-        self._tell(notice)
+        self._broadcast(notice)
 
     def _record(self, notice: messages.CrashNotice) -> None:
-        """Charges a crash."""
+        """Attributes a crash to the fingerprints of a notice."""
         now_s = _now_s()
         blame = self._board.blame
         self._crashed_s[notice.server] = now_s
@@ -264,21 +269,24 @@
             if blame.crashes(fingerprint, now_s) > 0:
                 self.on_charged(fingerprint, notice.server)
 
-    def _tell(self, notice: messages.CrashNotice) -> None:
+    def _broadcast(self, notice: messages.CrashNotice) -> None:
         """Sends a notice to every other VM."""
         for vm in self._board.members:
             if vm != self._board.settings.vm:
                 self._outbox.send(vm, notice)
 
     def _get_in_flight(self, server: str) -> set[int]:
-        """Returns what is, or a moment ago was, in flight on a server."""
-        since_s = _now_s() - GIVEN_UP_S
-        given_up = {
+        """Returns the fingerprints of a server's current and recent calls.
+
+        Recent calls are those that were abandoned within `ABANDONED_S`.
+        """
+        since_s = _now_s() - ABANDONED_S
+        abandoned = {
             fingerprint
-            for at_s, name, fingerprint in self._given_up
+            for at_s, name, fingerprint in self._abandoned
             if name == server and at_s >= since_s
         }
-        return self._holdings.get_sent(server) | given_up
+        return self._holdings.get_sent(server) | abandoned
 
 
 def _ignore(fingerprint: int, server: str) -> None:
@@ -286,5 +294,5 @@
 
 
 def _now_s() -> float:
-    """Reads the loop's clock, in seconds."""
+    """Returns the event loop's time, in seconds."""
     return asyncio.get_running_loop().time()
--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -1,4 +1,4 @@
-"""The sub-requests of suspect requests that wait for a trial's end."""
+"""Queue of suspect requests' sub-requests that wait for the end of a trial."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class TrialQueue:
-    """Lets one sub-request of each suspect go at a time; see `trials`."""
+    """Admits one sub-request per suspect request at a time; see `trials`."""
 
     __slots__ = ("_poisoning", "_waiting")
 
     def __init__(self, suspects: poisoning.Poisoning) -> None:
-        """Makes it with nothing that waits."""
+        """Creates an empty queue."""
         self._poisoning = suspects
         self._waiting: dict[int, list[Part]] = {}
 
     def admit(self, part: Part) -> bool:
-        """Tells whether a sub-request may go; one that may not waits here."""
+        """Returns True if a sub-request may run now; queues it otherwise."""
         if not self._poisoning.needs_trial(part):
             return True
         part.alone = part.batch.isolated or self._poisoning.is_suspect(part)
@@ -29,27 +29,27 @@
         return False
 
     def remove(self, part: Part) -> None:
-        """Takes a sub-request out if it waits."""
+        """Removes a sub-request if it waits."""
         waiting = self._waiting.get(part.batch.fingerprint, [])
         if part in waiting:
             waiting.remove(part)
 
     def remove_all(self, searcher: str) -> list[Part]:
-        """Takes all out that wait to go to a searcher."""
-        taken = [
+        """Removes and returns all that wait for a searcher."""
+        removed = [
             part
             for waiting in self._waiting.values()
             for part in waiting
             if part.request.searcher == searcher
         ]
-        for part in taken:
+        for part in removed:
             self.remove(part)
-        return taken
+        return removed
 
     def end(self, part: Part) -> bool:
-        """Ends a sub-request's trial; False if it was on none."""
+        """Ends a sub-request's trial; returns False if it had none."""
         return self._poisoning.trials.end(part.batch.fingerprint, part.key)
 
     def take(self, fingerprint: int) -> list[Part]:
-        """Takes all out that waited for a request's trial."""
+        """Removes and returns all that waited for a request's trial."""
         return self._waiting.pop(fingerprint, [])
