--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -1,7 +1,7 @@
-"""The searchers as the blackboard has them, worked out once a change.
+"""A view of the blackboard's searchers that is rebuilt only after a change.
 
-A query looks at every replica of every shard. Their states change a few times
-a second, with the owners' heartbeats; queries come far more often.
+A query examines every replica of every shard. Their states change a few times
+per second, with the owners' heartbeats; queries are far more frequent.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from azureramp.policy import snapshots, topology
 
 REMEMBER_S = 2.0
-"""How long the state told by a searcher's last owner is used while the next
-one has told none yet, in seconds."""
+"""How long the state announced by a searcher's last owner is used until the
+next owner announces one, in seconds."""
 
 Pinned = expression.Result[snapshots.Snapshot, errors.Failure]
 
 
 class View:
-    """What is known of the searchers at one moment.
+    """The state of the searchers at one time.
 
     Attributes:
         table: The configuration in force.
-        states: What the owners tell of their searchers.
+        states: The states that the owners announce, by searcher.
     """
 
     __slots__ = ("_is_owned", "_pins", "states", "table")
@@ -38,7 +38,13 @@
         states: dict[str, messages.SearcherState],
         is_owned: Callable[[str], bool],
     ) -> None:
-        """Makes a view."""
+        """Creates a view.
+
+        Args:
+            table: The configuration in force.
+            states: The states that the owners announce, by searcher.
+            is_owned: Returns True if a searcher has an owner VM.
+        """
         self.table = table
         self.states = states
         self._is_owned = is_owned
@@ -73,21 +79,22 @@
 
 
 class Memory:
-    """The states told last, by whichever owner told them.
-
-    While a searcher changes its owner, the old one no longer tells its state
-    and the new one does not yet. A query would find no replica just then,
-    and with two VMs replaced shortly after each other no replica of a shard
-    at all: an answer short for nothing. The state is rarely wrong a moment
-    later, and the new owner refuses what should not run.
+    """The last announced states, from whichever owner announced them.
+
+    While a searcher changes its owner, the old owner no longer announces its
+    state and the new one does not do so yet. A query would not find this
+    replica in the meantime, and if two VMs are replaced shortly after each
+    other, it would find no replica of a shard at all: the answer would be
+    incomplete without need. The remembered state is rarely wrong after such a
+    short time, and the new owner refuses sub-requests that should not run.
     """
 
-    __slots__ = ("_present", "_told")
+    __slots__ = ("_announced", "_current")
 
     def __init__(self) -> None:
-        """Remembers nothing."""
-        self._present: tuple[str, ...] = ()
-        self._told: dict[str, tuple[messages.SearcherState, float]] = {}
+        """Creates an empty memory."""
+        self._current: tuple[str, ...] = ()
+        self._announced: dict[str, tuple[messages.SearcherState, float]] = {}
 
     def fill(
         self,
@@ -98,34 +105,36 @@
         """Adds the remembered states of searchers that have none.
 
         Args:
-            states: The states told by the present owners; filled in place.
+            states: The states announced by the current owners; the remembered
+                states are added in place.
             owned: The searchers that have an owner.
-            now_s: The time, in seconds.
+            now_s: The loop time, in seconds.
 
         Returns:
-            When the first of the states added is forgotten.
+            The loop time at which the first of the added states expires, in
+            seconds; infinity if none was added.
         """
-        for name in self._present:
-            # It was told until now: the view is only made anew on a change.
-            self._told[name] = (self._told[name][0], now_s)
+        for name in self._current:
+            # It was announced until now: the view is only rebuilt on a change.
+            self._announced[name] = (self._announced[name][0], now_s)
         for name, state in states.items():
-            self._told[name] = (state, now_s)
-        self._present = tuple(states)
+            self._announced[name] = (state, now_s)
+        self._current = tuple(states)
         until_s = math.inf
         for name in owned:
-            told = self._told.get(name)
-            if name in states or told is None:
+            announced = self._announced.get(name)
+            if name in states or announced is None:
                 continue
-            if now_s < told[1] + REMEMBER_S:
-                states[name] = told[0]
-                until_s = min(until_s, told[1] + REMEMBER_S)
+            if now_s < announced[1] + REMEMBER_S:
+                states[name] = announced[0]
+                until_s = min(until_s, announced[1] + REMEMBER_S)
             else:
-                del self._told[name]
+                del self._announced[name]
         return until_s
 
 
 class Viewer:
-    """Keeps the present view."""
+    """Provides the current view of the searchers."""
 
     __slots__ = (
         "_board",
@@ -139,7 +148,7 @@
     )
 
     def __init__(self, board: blackboard.Blackboard) -> None:
-        """Makes a viewer of a blackboard."""
+        """Creates a viewer of a blackboard."""
         self._board = board
         self._key: tuple[object, ...] = ()
         self._owners: dict[str, str] = {}
@@ -150,7 +159,7 @@
         self._until_s = math.inf
 
     def get(self) -> View:
-        """Returns the view of now, made anew only if anything changed."""
+        """Returns the current view; rebuilds it only after a change."""
         board = self._board
         configuration = board.configuration
         key = (
@@ -177,7 +186,7 @@
         return self._view
 
     def is_owned(self, searcher: str) -> bool:
-        """Tells whether a searcher has an owner VM to send to."""
+        """Returns True if a searcher has an owner VM that is a member."""
         owner = self._owners.get(searcher)
         return owner is not None and owner in self._board.members
 
@@ -186,7 +195,7 @@
 
         Args:
             index: The index.
-            after: Only versions newer than this one.
+            after: Only newer versions than this one are considered.
         """
         rolled_out = self._rolled_out.get(index, 0)
         pinned = self.get().pin(index, rolled_out, after)
