--- a/src/azureramp/controllers/answers.py
+++ b/src/azureramp/controllers/answers.py
@@ -1,4 +1,4 @@
-"""From failures and results to HTTP responses."""
+"""Converts results and failures to HTTP responses."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from azureramp.ports.web import api as web_api
 
 RETRY_AFTER_MS_HEADER = "Azureramp-Retry-After-Ms"
-"""Retry-After has whole seconds only; this one has milliseconds."""
+"""Retry-After only supports whole seconds; this header has milliseconds."""
 
 
 def make_ok(value: Any, status: int = 200) -> web_api.Response:
-    """Makes a response with a JSON body.
+    """Creates a response with a JSON body.
 
     Args:
-        value: Anything that msgspec encodes.
+        value: Any value that msgspec can encode.
         status: The HTTP status.
     """
     return web_api.Response(status=status, body=msgspec.json.encode(value))
@@ -39,14 +39,14 @@
     present: resources.Versioned | None = None,
     problems: Sequence[rules.Problem] = (),
 ) -> web_api.Response:
-    """Makes the response to a failure, from the table of kinds.
+    """Creates the response for a failure from the table of failure kinds.
 
     Args:
         failure: The failure.
-        request_id: The request, if one was admitted.
+        request_id: The request's id, if one was admitted.
         addresses: Other entry VMs to use, `IP:port`.
-        present: The state that a stale change ran into.
-        problems: What is wrong with a resource.
+        present: The current entry, if a change was rejected as stale.
+        problems: Validation problems of a resource.
     """
     body = make_error_body(
         failure,
@@ -78,7 +78,7 @@
     present: resources.Versioned | None = None,
     problems: Sequence[rules.Problem] = (),
 ) -> responses.ErrorAnswer:
-    """Makes the body of the response to a failure; see `make_error`."""
+    """Creates the response body for a failure; see `make_error`."""
     answer = failure.get_answer()
     text = texts.KINDS[failure.kind]
     return responses.ErrorAnswer(
--- a/src/azureramp/controllers/applied.py
+++ b/src/azureramp/controllers/applied.py
@@ -1,4 +1,4 @@
-"""The event that a configuration came into force."""
+"""Creates the event of an applied configuration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from azureramp import events, resources
 
 MAX_EVENT_KEYS = 32
-"""Most changed resources that one event names."""
+"""Maximum number of changed resources that one event lists."""
 
 
 def make_event(
@@ -15,7 +15,13 @@
     changed: Sequence[resources.Versioned],
     source: str,
 ) -> events.ConfigurationApplied:
-    """Makes the event that entries, or a revision, came into force."""
+    """Creates the event that changed entries or a new revision took effect.
+
+    Args:
+        configuration: The configuration in force.
+        changed: The changed entries.
+        source: The origin of the change.
+    """
     zones = configuration.get_zones().values()
     servers = configuration.get_backend_servers().values()
     out, leaving = resources.ZoneState.OUT, resources.ServerState.LEAVING
--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -1,4 +1,4 @@
-"""What this process has measured of the searchers, for its own decisions."""
+"""Measurements of the searchers on which this process bases its decisions."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class Measurements:
-    """The query path's own measurements and budgets.
+    """The measurements and budgets of this process's query path.
 
     Attributes:
-        scoreboard: Each searcher's.
-        delays: Each shard's hedge delay.
+        scoreboard: Measurements of each searcher, for choosing replicas.
+        delays: The hedge delay of each shard.
         hedges: The budget of hedges.
         retries: The budget of retries.
-        level: How much is taken.
-        times: Service times and waits.
-        running: Requests that run now.
-        random: Draws among equal choices.
+        level: The share of requests that is admitted.
+        times: Service times and waiting times.
+        running: Number of requests that are running.
+        random: Source of randomness for load shedding and equal choices.
     """
 
     __slots__ = (
@@ -34,7 +34,7 @@
     )
 
     def __init__(self, rng: random.Random) -> None:
-        """Makes measurements of nothing yet."""
+        """Creates empty measurements."""
         self.scoreboard = replicas.Scoreboard()
         self.delays = hedging.Delays()
         self.hedges = budgets.Budget()
@@ -45,27 +45,27 @@
         self.random = rng
 
     def earn(self, needed: int, policy: resources.Policy) -> None:
-        """Adds some needed calls' shares to the budgets."""
+        """Adds the budgets' shares for a number of needed calls."""
         self.hedges.earn(needed, policy.hedge_budget)
         self.retries.earn(needed, policy.retry_budget)
 
     def finish(
         self, place: hedging.Place, attempt: assembly.Attempt, now_s: float
     ) -> None:
-        """Counts an attempt that brought a result."""
+        """Records an attempt that returned a result."""
         took_ms = (now_s - attempt.sent_s) * 1000
         self.scoreboard.finish(attempt.searcher, took_ms, now_s)
         if attempt.reason != "hedge":
             self.delays.add(place, took_ms)
 
     def fail(self, attempt: assembly.Attempt, now_s: float) -> None:
-        """Counts an attempt that failed."""
+        """Records an attempt that failed."""
         self.scoreboard.fail(attempt.searcher, now_s)
 
     def abandon(
         self, place: hedging.Place, attempt: assembly.Attempt, now_s: float
     ) -> None:
-        """Counts an attempt for whose result nobody waits any more."""
+        """Records an attempt that was cancelled before its result."""
         took_ms = (now_s - attempt.sent_s) * 1000
         self.scoreboard.abandon(attempt.searcher, took_ms, now_s)
         if attempt.reason != "hedge":
--- a/src/azureramp/controllers/replies.py
+++ b/src/azureramp/controllers/replies.py
@@ -1,4 +1,4 @@
-"""Results on their way back to the coordinators, batched by request."""
+"""Sends results to the coordinators, batched by request."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class Replies:
-    """Sends the results of one turn of the loop together."""
+    """Sends results of one event loop iteration together."""
 
     __slots__ = ("_outbox", "_pending")
 
     def __init__(self, outbox: outbox_module.Outbox) -> None:
-        """Makes it with nothing to send."""
+        """Creates it without pending results."""
         self._outbox = outbox
         self._pending: dict[tuple[str, str], list[messages.PartResult]] = {}
 
     def send(
         self, coordinator: str, request_id: str, result: messages.PartResult
     ) -> None:
-        """Sends a result, at the end of this turn of the loop.
+        """Sends a result in the next iteration of the event loop.
 
         Args:
-            coordinator: The VM that asked.
-            request_id: The request.
+            coordinator: The VM that sent the sub-request.
+            request_id: The request's id.
             result: The result of one of its sub-requests.
         """
         if not self._pending:
@@ -33,7 +33,7 @@
         self._pending.setdefault((coordinator, request_id), []).append(result)
 
     def _flush(self) -> None:
-        """Hands one message for each request to the outbox."""
+        """Sends one message per request through the outbox."""
         pending, self._pending = self._pending, {}
         for (coordinator, request_id), results in pending.items():
             self._outbox.send(
@@ -47,7 +47,13 @@
 def make_failed(
     part: int, failure: errors.Failure, sent: bool
 ) -> messages.PartFailed:
-    """Makes the result of a sub-request that failed."""
+    """Creates the result of a failed sub-request.
+
+    Args:
+        part: The sub-request's number.
+        failure: The failure.
+        sent: True if its first byte may have been written.
+    """
     return messages.PartFailed(
         part,
         failure.kind.value,
