--- a/tests/controllers/owning.py
+++ b/tests/controllers/owning.py
@@ -1,4 +1,4 @@
-"""Owners over in-memory searchers, for tests under virtual time."""
+"""Owners with in-memory searchers, for tests with virtual time."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
 
 
 class Loop(async_solipsism.EventLoop):  # type: ignore[misc]
-    """A virtual-time loop whose clock can jump, as after a pause.
+    """A virtual-time loop whose clock can jump, as after a process pause.
 
     Attributes:
-        jumped_s: By how much it has jumped.
-        owners: The owners to stop at the test's end.
+        jumped_s: The total of the jumps, in seconds.
+        owners: The owners to stop at the end of the test.
     """
 
     def __init__(self) -> None:
-        """Begins without a jump."""
+        """Creates a loop whose clock has not jumped."""
         super().__init__()
         self.jumped_s = 0.0
         self.owners: list[owner.Owner] = []
 
     def time(self) -> float:
-        """Reads the clock, jumps included."""
+        """Returns the clock's time including jumps, in seconds."""
         return float(super().time()) + self.jumped_s
 
 
@@ -59,7 +59,7 @@
 
 
 def run(coroutine: Coroutine[Any, Any, _T]) -> _T:
-    """Runs a test's coroutine under virtual time, to its end."""
+    """Runs a test's coroutine to completion with virtual time."""
 
     async def run_and_stop() -> _T:
         try:
@@ -69,35 +69,36 @@
                 await started.drain(0.0)
 
     with warnings.catch_warnings():
-        # Two timers may differ by less than the clock's resolution, from
-        # rounding; the loop then runs both in one turn, as a real one does.
+        # Because of rounding, two timers may differ by less than the clock's
+        # resolution; the loop then runs both in one iteration, as a real loop
+        # does.
         warnings.simplefilter("ignore", async_solipsism.ResolutionWarning)
         with asyncio.Runner(loop_factory=Loop) as runner:
             return runner.run(run_and_stop())
 
 
 class TestPeers:
-    """Peer links that keep what was sent, and carry it to other benches.
+    """Peer links that record messages and deliver them to other benches.
 
     Attributes:
-        sent: The messages with the addresses that they went to.
-        routes: Who takes what goes to an address.
-        is_lost: Tells whether a message gets lost.
+        sent: The sent messages with their target addresses.
+        routes: The receivers of messages by address.
+        is_lost: Returns True if a message is to be lost.
     """
 
     __test__ = False
 
     def __init__(self) -> None:
-        """Begins with nothing sent and nobody to take it."""
+        """Creates links without messages and routes."""
         self.sent: list[tuple[str, messages.PeerMessage]] = []
         self.routes: dict[str, Callable[[messages.PeerMessage], None]] = {}
         self.is_lost: Callable[[messages.PeerMessage], bool] = lambda _: False
 
     async def start(self, handler: peers_api.Handler) -> None:
-        """Receives nothing."""
+        """Does nothing: messages arrive through `routes`."""
 
     def send(self, address: str, *batch: messages.PeerMessage) -> bool:
-        """Keeps messages, and carries them if there is a route."""
+        """Records messages and delivers them if there is a route."""
         loop = asyncio.get_running_loop()
         for message in batch:
             self.sent.append((address, message))
@@ -107,7 +108,7 @@
         return True
 
     def reconnect(self, address: str) -> None:
-        """Does nothing: no link is ever silent."""
+        """Does nothing: these links never fail."""
 
     async def close(self) -> None:
         """Does nothing."""
@@ -116,7 +117,7 @@
 def make_server(
     name: str, zone: str = "a", **fields: Any
 ) -> resources.BackendServer:
-    """Makes a backend server with one searcher of the same name."""
+    """Creates a backend server with one searcher of that name."""
     state = fields.pop("state", resources.ServerState.IN_SERVICE)
     searcher = resources.Searcher(name=name, address=f"{name}:1", **fields)
     return resources.BackendServer(
@@ -129,21 +130,21 @@
 
 
 def make_searcher(name: str, **fields: Any) -> memory.Searcher:
-    """Makes the process of a searcher."""
+    """Creates a searcher process."""
     fields.setdefault("versions", (VERSION,))
     return memory.Searcher(f"{name}:1", **fields)
 
 
 class Bench:
-    """A VM that owns searchers; the VM `asker` asks it.
+    """A VM that owns searchers; the VM `asker` sends it sub-requests.
 
     Attributes:
         vm: The VM's name.
-        board: The VM's state.
-        peers: What it sent.
+        board: The VM's blackboard.
+        peers: The messages that it sent.
         fleet: The searchers.
-        port: How it reaches them.
-        owner: The owner.
+        port: Calls the searchers.
+        owner: The owner controller.
     """
 
     def __init__(
@@ -153,7 +154,7 @@
         vm: str = "vm1",
         vms: tuple[str, ...] = ("vm1", "vm2", "vm3"),
     ) -> None:
-        """Makes a VM that owns all of these servers' searchers."""
+        """Creates a VM that owns all searchers of the servers."""
         self.vm = vm
         self.peers = TestPeers()
         self.fleet = fleet
@@ -191,7 +192,7 @@
         )
 
     def put(self, resource: resources.AnyResource) -> None:
-        """Brings a resource into force, as its controller would."""
+        """Applies a resource as the configuration's controller would."""
         configuration = self.board.configuration
         configuration.revision += 1
         kind = next(
@@ -204,7 +205,7 @@
         )
 
     def receive(self, sender: str, message: messages.PeerMessage) -> None:
-        """Takes a message from another VM."""
+        """Passes a message from another VM to the owner."""
         match message:
             case messages.QueryBatch():
                 self.owner.receive_batch(sender, message)
@@ -220,18 +221,18 @@
                 pass
 
     async def start(self, settle_s: float = 0.5) -> asyncio.Task[None]:
-        """Starts the owner and lets the first probes pass."""
+        """Starts the owner and waits for the first probes."""
         get_loop().owners.append(self.owner)
         running = asyncio.ensure_future(self.owner.run())
         await asyncio.sleep(settle_s)
         return running
 
     def send(self, *searchers: str, **fields: Any) -> None:
-        """Sends a batch with one sub-request for each searcher named."""
+        """Sends a batch with one sub-request for each named searcher."""
         self.owner.receive_batch("asker", make_batch(*searchers, **fields))
 
     def get_results(self) -> dict[tuple[str, int], messages.PartResult]:
-        """Returns the results sent back so far, by request and part."""
+        """Returns the results sent so far, by request and part."""
         return {
             (message.request_id, result.part): result
             for _, message in self.peers.sent
@@ -240,7 +241,7 @@
         }
 
     def get_kinds(self) -> dict[str, str]:
-        """Returns the first parts' results by request: `ok` or the kind."""
+        """Returns `ok` or the failure kind of each request's first part."""
         return {
             request_id: get_kind(result)
             for (request_id, part), result in self.get_results().items()
@@ -257,12 +258,12 @@
 
 
 def get_kind(result: messages.PartResult) -> str:
-    """Returns `ok`, or the kind of a failure."""
+    """Returns `ok` for a success or else the failure's kind."""
     return result.kind if isinstance(result, messages.PartFailed) else "ok"
 
 
 def make_batch(*searchers: str, **fields: Any) -> messages.QueryBatch:
-    """Makes a batch with one sub-request for each searcher named."""
+    """Creates a batch with one sub-request for each named searcher."""
     fields.setdefault("request_id", "r1")
     fields.setdefault("priority", resources.Priority.NORMAL)
     fields.setdefault("remaining_ms", 1000.0)
@@ -276,13 +277,13 @@
 
 
 def make_bench(searcher: memory.Searcher | None = None, **fields: Any) -> Bench:
-    """Makes a VM that owns the one searcher `s1`."""
+    """Creates a VM that owns only the searcher `s1`."""
     searcher = searcher or make_searcher("s1", spread=0.0)
     return Bench(memory.Fleet([searcher]), [make_server("s1", **fields)])
 
 
 def join(benches: list[Bench]) -> None:
-    """Lets VMs exchange their messages."""
+    """Connects VMs so that they exchange messages."""
     for source in benches:
         for target in benches:
             if source is not target:
@@ -294,5 +295,5 @@
 def _make_route(
     source: Bench, target: Bench
 ) -> Callable[[messages.PeerMessage], None]:
-    """Makes the way from one VM to another."""
+    """Creates the function that delivers one VM's messages to another."""
     return lambda message: target.receive(source.vm, message)
--- a/tests/controllers/test_owner.py
+++ b/tests/controllers/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner: its queue, its slots and what it gives back."""
+"""Tests of the owner: its queue, its slots and its results."""
 
 from __future__ import annotations
 
@@ -17,13 +17,15 @@
 
 
 async def warm(bench: owning.Bench) -> None:
-    """Sends a new searcher enough work for its whole ramp."""
+    """Sends a new searcher enough work to finish its ramp."""
     for number in range(20):
         bench.send("s1", request_id=f"warm{number}")
         await asyncio.sleep(0.025)
 
 
-def test_a_part_comes_back_whole_and_is_recorded_before_its_write() -> None:
+def test_part_returns_complete_result_and_records_dispatch_before_write() -> (
+    None
+):
     async def scenario() -> None:
         bench = owning.make_bench()
         await bench.start()
@@ -39,7 +41,7 @@
     owning.run(scenario())
 
 
-def test_no_more_run_than_the_slots_and_the_rest_waits() -> None:
+def test_running_calls_are_limited_to_slots_and_others_wait() -> None:
     async def scenario() -> None:
         bench = owning.make_bench()
         await bench.start()
@@ -55,12 +57,12 @@
     owning.run(scenario())
 
 
-def test_an_owner_holds_open_at_most_half_of_the_connection_cap() -> None:
-    """Two owners of one searcher overlap while their views differ.
+def test_owner_opens_at_most_half_of_the_connection_limit() -> None:
+    """An owner must leave half of the connections to a second owner.
 
-    The searcher accepts 10 connections from everybody. Its calls hang, are
-    cancelled and replaced, and its health is read all the while; the owner
-    must leave half of the cap to the other one at every moment.
+    Two owners of one searcher coexist while their views differ, and the
+    searcher accepts 10 connections in total. Here calls hang, are cancelled
+    and replaced while health is read.
     """
 
     async def scenario() -> None:
@@ -81,8 +83,10 @@
     owning.run(scenario())
 
 
-def test_urgent_work_waits_at_most_one_service_time_for_deferrable() -> None:
-    """Statements fill every slot and the queue when the front desk asks."""
+def test_urgent_work_waits_at_most_one_service_time_for_deferrable_work() -> (
+    None
+):
+    """Deferrable work fills all slots and the queue when urgent work comes."""
 
     async def scenario() -> None:
         bench = owning.make_bench(slots=2)
@@ -99,10 +103,10 @@
     owning.run(scenario())
 
 
-def test_deferrable_work_does_not_starve_beside_spare_capacity() -> None:
-    """The front desk keeps a searcher three quarters busy for three seconds.
+def test_deferrable_work_gets_spare_capacity() -> None:
+    """Urgent work uses three quarters of a searcher for three seconds.
 
-    The statements that were sent at the beginning must get the last quarter.
+    The deferrable work that was sent at the start must get the last quarter.
     """
 
     async def scenario() -> None:
@@ -128,7 +132,7 @@
     owning.run(scenario())
 
 
-def test_a_full_queue_drops_the_least_urgent_and_says_when_to_return() -> None:
+def test_full_queue_drops_least_urgent_work_with_retry_delay() -> None:
     async def scenario() -> None:
         bench = owning.make_bench()
         await bench.start()
@@ -155,7 +159,7 @@
     owning.run(scenario())
 
 
-def test_nothing_waits_longer_than_the_policy_says() -> None:
+def test_queue_wait_is_limited_by_policy() -> None:
     async def scenario() -> None:
         searcher = owning.make_searcher("s1")
         bench = owning.make_bench(searcher)
@@ -175,7 +179,7 @@
     owning.run(scenario())
 
 
-def test_what_cannot_end_in_time_is_refused_at_once() -> None:
+def test_work_that_cannot_finish_in_time_is_refused_immediately() -> None:
     async def scenario() -> None:
         bench = owning.make_bench()
         await bench.start()
@@ -191,7 +195,7 @@
     owning.run(scenario())
 
 
-def test_what_comes_too_late_takes_no_slot() -> None:
+def test_late_work_does_not_use_a_slot() -> None:
     async def scenario() -> None:
         bench = owning.make_bench()
         await bench.start()
@@ -206,7 +210,7 @@
     owning.run(scenario())
 
 
-def test_a_cancelled_part_frees_its_slot_without_an_answer() -> None:
+def test_cancelled_part_frees_its_slot_without_a_reply() -> None:
     async def scenario() -> None:
         searcher = owning.make_searcher("s1")
         bench = owning.make_bench(searcher)
@@ -224,11 +228,11 @@
     owning.run(scenario())
 
 
-def test_a_queued_grant_that_is_cancelled_is_told_to_be_unsent() -> None:
-    """A caller gives up on a grant that still waits for its slot.
+def test_cancelled_queued_non_repeatable_request_is_reported_unsent() -> None:
+    """A caller cancels a non-repeatable request that waits for a slot.
 
-    Its coordinator may release the idempotency record only if it is told
-    that no byte went out; and one that was sent goes on to its end.
+    The coordinator may release the idempotency record only if the owner
+    reports that no byte was sent. A request that was sent runs to its end.
     """
 
     async def scenario() -> None:
@@ -251,11 +255,11 @@
     owning.run(scenario())
 
 
-def test_a_grant_whose_message_comes_twice_runs_once() -> None:
-    """A peer message is doubled on the way, the copy a minute late.
+def test_duplicate_message_runs_non_repeatable_request_once() -> None:
+    """A peer message is duplicated, with one copy a minute late.
 
-    The second copy must not run the grant again, nor answer anything that
-    its coordinator could take for the outcome.
+    The copy must not run the request again and must not cause a reply that
+    the coordinator could treat as the outcome.
     """
 
     async def scenario() -> None:
@@ -282,14 +286,12 @@
     ],
     ids=["zone_out", "leaving"],
 )
-def test_what_is_out_of_service_gets_nothing_any_more(
-    resource: Any, kind: str
-) -> None:
-    """An operator takes a zone, or a server, out while work waits for it.
-
-    What runs there ends. What waits goes back at once, unsent, so that its
-    coordinator asks another replica. Nothing new is dispatched or probed,
-    not even by a call that was waiting for its connection to open.
+def test_searcher_out_of_service_gets_no_work(resource: Any, kind: str) -> None:
+    """A zone or a server is taken out of service while work waits for it.
+
+    Running calls end. Waiting work is returned immediately, unsent, so that
+    its coordinator tries another replica. Nothing more is dispatched or
+    probed, not even by a call that was waiting for its connection to open.
     """
 
     async def scenario() -> None:
@@ -320,7 +322,7 @@
     owning.run(scenario())
 
 
-def test_what_runs_in_a_zone_taken_out_comes_to_its_end() -> None:
+def test_running_call_ends_when_its_zone_is_taken_out_of_service() -> None:
     async def scenario() -> None:
         bench = owning.make_bench()
         await bench.start()
@@ -335,7 +337,7 @@
     owning.run(scenario())
 
 
-def test_a_zone_that_comes_back_is_taken_for_cold() -> None:
+def test_zone_returned_to_service_is_cold() -> None:
     async def scenario() -> None:
         bench = owning.make_bench()
         await bench.start()
@@ -355,7 +357,7 @@
     owning.run(scenario())
 
 
-def test_a_fault_in_a_port_neither_holds_a_slot_nor_stays_unanswered() -> None:
+def test_exception_in_port_frees_the_slot_and_is_answered() -> None:
     async def scenario() -> None:
         searcher = owning.make_searcher("s1")
         bench = owning.make_bench(searcher)
--- a/tests/controllers/test_owner_storm.py
+++ b/tests/controllers/test_owner_storm.py
@@ -1,4 +1,4 @@
-"""Everything at once: each sub-request ends once, and no slot leaks."""
+"""Tests of the owner under random concurrent faults."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 NAMES = [f"s{number}" for number in range(4)]
 
 
-class Storm:
-    """Random faults at four searchers while sub-requests come and go."""
+class FaultInjection:
+    """Injects random faults into four searchers while sub-requests run."""
 
     def __init__(self, seed: int) -> None:
-        """Makes four searchers with one owner."""
+        """Creates four searchers with one owner."""
         self.rng = random.Random(seed)
         self.searchers = [
             owning.make_searcher(name, slots=3, seed=seed) for name in NAMES
@@ -28,11 +28,11 @@
             memory.Fleet(self.searchers),
             [owning.make_server(name, slots=3) for name in NAMES],
         )
-        self.wanted: set[tuple[str, int]] = set()
+        self.expected: set[tuple[str, int]] = set()
         self.number = 0
 
-    def hurt(self) -> None:
-        """Makes something go wrong at a searcher, or ends it."""
+    def change_fault(self) -> None:
+        """Starts or ends a random fault at a searcher."""
         searcher = self.rng.choice(self.searchers)
         faults = searcher.faults
         match self.rng.randrange(9):
@@ -57,8 +57,8 @@
             case _:
                 faults.crashes_on = self.rng.choice([b"", b"poison"])
 
-    def ask(self) -> None:
-        """Sends a request, and cancels an earlier one now and then."""
+    def send_request(self) -> None:
+        """Sends a request and sometimes cancels it."""
         self.number += 1
         request_id = f"r{self.number}"
         repeatable = self.rng.random() < 0.9
@@ -82,29 +82,29 @@
                 ),
             )
             parts = set() if repeatable else parts
-        self.wanted |= parts
+        self.expected |= parts
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_each_part_ends_once_and_no_slot_leaks(seed: int) -> None:
-    """A hundred faults in ten seconds, at any step of a sub-request.
+    """A hundred faults occur in ten seconds, at any step of a sub-request.
 
-    Refusals, wrong replies, silence, restarts, crashes, zones out and
-    cancellations meet. Afterwards each sub-request that was not cancelled has
-    exactly one result, nothing is left in the owner or in a searcher, and
-    work goes through again.
+    Refusals, wrong replies, missing replies, restarts, crashes, zones out of
+    service and cancellations coincide. Afterwards each sub-request that was
+    not cancelled has exactly one result, the owner and the searchers hold no
+    sub-requests, and new requests succeed.
     """
 
     async def scenario() -> None:
-        storm = Storm(seed)
-        bench = storm.bench
+        injection = FaultInjection(seed)
+        bench = injection.bench
         await bench.start()
         for _ in range(100):
-            storm.hurt()
+            injection.change_fault()
             for _ in range(8):
-                storm.ask()
+                injection.send_request()
                 await asyncio.sleep(0.012)
-        for searcher in storm.searchers:
+        for searcher in injection.searchers:
             searcher.faults = memory.Faults()
         bench.put(resources.Zone(name="a"))
         bench.owner.update_ownership()
@@ -118,10 +118,10 @@
         bench.send(*NAMES, request_id="after")
         await asyncio.sleep(1)
 
-        assert storm.wanted <= counts.keys()
+        assert injection.expected <= counts.keys()
         assert set(counts.values()) == {1}
         assert not bench.owner._holdings.parts
-        assert [searcher.running for searcher in storm.searchers] == [0] * 4
+        assert [searcher.running for searcher in injection.searchers] == [0] * 4
         after = [bench.get_results()["after", part] for part in range(1, 5)]
         assert [owning.get_kind(result) for result in after] == ["ok"] * 4
 
