--- a/tests/controllers/test_admitting.py
+++ b/tests/controllers/test_admitting.py
@@ -1,4 +1,4 @@
-"""Admission under load: who is refused, when, and how truly."""
+"""Tests of admission under load, and of when a refusal means not run."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcomes:
-    """What became of the requests of one priority."""
+    """Counts of the outcomes of one priority's requests."""
 
     sent: int = 0
     complete: int = 0
@@ -33,16 +33,22 @@
     quick_refusals: int = 0
 
 
-async def offer(
+async def generate_load(
     cell: query_cell.Cell, load: float, queries: int
 ) -> dict[resources.Priority, Outcomes]:
-    """Offers a load, and counts the outcomes."""
+    """Generates a load and counts the outcomes.
+
+    Args:
+        cell: The cell.
+        load: The load as a share of the cell's capacity.
+        queries: The number of queries.
+    """
     outcomes: dict[resources.Priority, Outcomes] = collections.defaultdict(
         Outcomes
     )
     loop = asyncio.get_running_loop()
 
-    async def ask(number: int, priority: resources.Priority) -> None:
+    async def send_query(number: int, priority: resources.Priority) -> None:
         query = cell.make_query(
             number, DEADLINES_MS[priority], priority=priority
         )
@@ -62,44 +68,45 @@
     for number in range(queries):
         await asyncio.sleep(cell.random.expovariate(rate))
         priority = cell.random.choices(list(SHARES), list(SHARES.values()))[0]
-        tasks.append(asyncio.ensure_future(ask(number, priority)))
+        tasks.append(asyncio.ensure_future(send_query(number, priority)))
     await asyncio.gather(*tasks)
     return outcomes
 
 
-def test_at_120_percent_the_urgent_stay_complete_and_others_are_shed() -> None:
-    """Statements are printed while families wait at the desk.
+def test_at_120_percent_load_urgent_requests_are_not_shed() -> None:
+    """The load exceeds the searchers' capacity by a fifth.
 
-    More is asked than the searchers can do. The desk's answers must be whole
-    and in time, and what is shed must be told so at once.
+    Urgent requests must be answered completely and in time, while requests of
+    lower priority are shed, the least urgent most often. Shed requests must be
+    refused immediately.
     """
 
     async def main() -> dict[resources.Priority, Outcomes]:
-        return await offer(query_cell.Cell(), 1.2, 6000)
+        return await generate_load(query_cell.Cell(), 1.2, 6000)
 
-    found = query_cell.run(main())
+    outcomes = query_cell.run(main())
 
-    urgent = found[resources.Priority.URGENT]
-    normal = found[resources.Priority.NORMAL]
-    deferrable = found[resources.Priority.DEFERRABLE]
+    urgent = outcomes[resources.Priority.URGENT]
+    normal = outcomes[resources.Priority.NORMAL]
+    deferrable = outcomes[resources.Priority.DEFERRABLE]
     assert urgent.sent > 2800
     assert urgent.complete >= 0.999 * urgent.sent
     assert deferrable.refused / deferrable.sent > 0.5
     assert normal.refused / normal.sent < deferrable.refused / deferrable.sent
-    for outcome in found.values():
+    for outcome in outcomes.values():
         assert outcome.quick_refusals == outcome.refused
 
 
-def test_at_60_percent_nobody_is_refused() -> None:
+def test_at_60_percent_load_no_request_is_refused() -> None:
     async def main() -> dict[resources.Priority, Outcomes]:
-        return await offer(query_cell.Cell(), 0.6, 2000)
+        return await generate_load(query_cell.Cell(), 0.6, 2000)
 
     for outcome in query_cell.run(main()).values():
         assert outcome.refused == 0
         assert outcome.complete == outcome.sent
 
 
-def test_a_deadline_below_todays_service_time_is_refused_at_once() -> None:
+def test_deadline_below_service_time_is_refused_immediately() -> None:
     async def main() -> tuple[errors.Failure, int]:
         cell = query_cell.Cell()
         for number in range(20):
@@ -116,7 +123,7 @@
     assert calls == 0
 
 
-def test_the_number_of_running_requests_is_bounded() -> None:
+def test_number_of_running_requests_is_limited() -> None:
     async def main() -> collections.Counter[str]:
         cell = query_cell.Cell()
         for searcher in cell.searchers.values():
@@ -134,7 +141,7 @@
 
 
 @pytest.mark.parametrize(
-    ("story", "kind", "sent", "told"),
+    ("case_name", "kind", "sent", "expected"),
     [
         ("queues full", errors.Kind.OVERLOADED, False, "overloaded"),
         ("lost unsent", errors.Kind.CONNECTION_LOST, False, "overloaded"),
@@ -142,8 +149,8 @@
         ("searchers fail", errors.Kind.BACKEND_FAILED, True, "backend_failed"),
     ],
 )
-def test_a_query_refused_everywhere_is_not_run_only_if_that_is_true(
-    story: str, kind: errors.Kind, sent: bool, told: str
+def test_query_refused_everywhere_is_reported_as_not_run_only_if_true(
+    case_name: str, kind: errors.Kind, sent: bool, expected: str
 ) -> None:
     async def main() -> errors.Failure:
         cell = query_cell.Cell()
@@ -153,13 +160,13 @@
 
     failure = query_cell.run(main())
 
-    assert failure.kind.value == told, story
+    assert failure.kind.value == expected, case_name
     ran = failure.get_answer().ran
     assert (ran is errors.Ran.NOT_RUN) == (kind.value != "backend_failed")
 
 
-def test_a_late_refusal_after_work_began_is_not_called_not_run() -> None:
-    """One part runs and goes silent, all others are refused unsent."""
+def test_refusal_after_a_part_ran_is_not_reported_as_not_run() -> None:
+    """One part runs without a reply; all others are refused unsent."""
 
     async def main() -> errors.Failure:
         cell = query_cell.Cell()
@@ -176,8 +183,8 @@
     assert failure.get_answer().ran is not errors.Ran.NOT_RUN
 
 
-def test_an_abandoned_query_cancels_all_its_parts() -> None:
-    """The director hangs up; the searchers must not work on for nobody."""
+def test_abandoned_query_cancels_all_its_parts() -> None:
+    """After the caller disconnects the searchers must not continue the work."""
 
     async def main() -> tuple[int, int, int, dict[str, object]]:
         cell = query_cell.Cell()
@@ -199,7 +206,7 @@
     assert query_cell.run(main()) == (6, 0, 0, {})
 
 
-def test_a_late_result_of_an_ended_query_is_dropped() -> None:
+def test_late_result_of_ended_query_is_dropped() -> None:
     async def main() -> None:
         cell = query_cell.Cell()
         await cell.coordinator.query(cell.make_query())
