--- a/tests/controllers/test_cold_start.py
+++ b/tests/controllers/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Cold searchers get no more than they bear."""
+"""Tests of the limits on work for searchers in cold start."""
 
 from __future__ import annotations
 
@@ -12,10 +12,17 @@
 from tests.controllers import owning
 
 
-async def ask(
+async def send_load(
     bench: owning.Bench, names: list[str], duration_s: float, gap_s: float
 ) -> None:
-    """Asks searchers in turn, for some time."""
+    """Sends sub-requests to searchers in turn.
+
+    Args:
+        bench: The VM that owns the searchers.
+        names: The searchers' names.
+        duration_s: The duration, in seconds.
+        gap_s: The interval between sub-requests, in seconds.
+    """
     for number in range(int(duration_s / gap_s)):
         name = names[number % len(names)]
         now_s = asyncio.get_running_loop().time()
@@ -23,13 +30,13 @@
         await asyncio.sleep(gap_s)
 
 
-def test_a_new_searcher_gets_its_cold_limit_until_it_is_warm() -> None:
+def test_new_searcher_gets_its_cold_limit_until_it_is_warm() -> None:
     async def scenario() -> None:
         searcher = owning.make_searcher("s1", slots=8)
         searcher.warm_after = 30
         bench = owning.make_bench(searcher, slots=8, cold_limit=2)
         await bench.start()
-        await ask(bench, ["s1"], 6.0, 0.004)
+        await send_load(bench, ["s1"], 6.0, 0.004)
 
         assert searcher.most_cold == 2
         assert searcher.most_running == 8
@@ -40,21 +47,21 @@
 
 @pytest.mark.parametrize("down_s", [0.0, 0.02, 0.2, 1.0])
 @pytest.mark.parametrize("gap_s", [0.002, 0.02])
-def test_a_restart_between_two_health_reads_is_noticed_before_work(
+def test_restart_between_health_reads_is_detected_before_work_is_sent(
     down_s: float, gap_s: float
 ) -> None:
-    """A searcher's process restarts within half a second, under load.
+    """A searcher restarts under load between two health reads.
 
-    Health is read twice a second, so the next read may be long after. The
-    owner must notice by the connections that ended and send no more than the
-    cold limit, from the first call on.
+    Health is read twice per second, so the next read may come much later. The
+    owner must detect the restart from the lost connections and respect the
+    cold limit from the first call.
     """
 
     async def scenario() -> None:
         searcher = owning.make_searcher("s1", slots=8)
         bench = owning.make_bench(searcher, slots=8, cold_limit=2)
         await bench.start()
-        await ask(bench, ["s1"], 3.0, 0.002)
+        await send_load(bench, ["s1"], 3.0, 0.002)
         limit = bench.board.owned["s1"].limit
         await asyncio.sleep(0.1)
         for _ in range(6):
@@ -63,7 +70,7 @@
             asyncio.get_running_loop().call_later(
                 down_s, setattr, searcher.faults, "down", False
             )
-            await ask(bench, ["s1"], 0.87, gap_s)
+            await send_load(bench, ["s1"], 0.87, gap_s)
 
         assert limit == 8
         assert searcher.calls > 300
@@ -72,14 +79,14 @@
     owning.run(scenario())
 
 
-def test_a_restart_while_nothing_is_asked_is_noticed() -> None:
-    """A searcher restarts in a quiet night; no call's connection is open."""
+def test_restart_of_idle_searcher_is_detected() -> None:
+    """A searcher restarts while idle, so that no call's connection is lost."""
 
     async def scenario() -> None:
         searcher = owning.make_searcher("s1", slots=8)
         bench = owning.make_bench(searcher, slots=8, cold_limit=2)
         await bench.start()
-        await ask(bench, ["s1"], 3.0, 0.002)
+        await send_load(bench, ["s1"], 3.0, 0.002)
         await asyncio.sleep(30)
         searcher.restart(warm_after=30)
         for number in range(16):
@@ -92,18 +99,18 @@
     owning.run(scenario())
 
 
-def test_a_searcher_that_lost_all_its_connections_is_taken_for_cold() -> None:
-    """Every connection to a searcher ends at once, its process lives on.
+def test_searcher_that_lost_all_connections_is_treated_as_cold() -> None:
+    """All connections to a searcher are lost while its process keeps running.
 
-    What ended them may have cost it its caches too, so it is ramped anew.
-    One lost connection among several is no reason.
+    The cause may also have emptied its caches, so the searcher is ramped up
+    again. The loss of one of several connections is not sufficient.
     """
 
     async def scenario() -> None:
         searcher = owning.make_searcher("s1", slots=8)
         bench = owning.make_bench(searcher, slots=8, cold_limit=2)
         await bench.start()
-        await ask(bench, ["s1"], 3.0, 0.002)
+        await send_load(bench, ["s1"], 3.0, 0.002)
         await asyncio.sleep(0.2)
         next(iter(searcher.links)).lose()
         await asyncio.sleep(1)
@@ -118,11 +125,11 @@
     owning.run(scenario())
 
 
-def test_a_searcher_that_turns_cold_without_a_word_is_eased_off() -> None:
-    """A searcher loses its caches but not its process.
+def test_limit_is_reduced_for_searcher_that_turns_cold_unreported() -> None:
+    """A searcher loses its caches without a restart and without a report.
 
-    Nothing but its latency tells. After few slow calls the owner goes down
-    to the cold limit, and up again when latency is normal.
+    Only its latency shows this. After a few slow calls the owner reduces its
+    limit to the cold limit and raises it again when latency is normal.
     """
 
     async def scenario() -> None:
@@ -130,18 +137,18 @@
         searcher.faults.reports_cold = False
         bench = owning.make_bench(searcher, slots=8, cold_limit=1)
         await bench.start()
-        await ask(bench, ["s1"], 3.0, 0.002)
+        await send_load(bench, ["s1"], 3.0, 0.002)
         await asyncio.sleep(0.1)
         calls = searcher.calls
         searcher.turn_cold(warm_after=25)
         for number in range(8):
             bench.send("s1", request_id=f"slow{number}")
         await asyncio.sleep(0.2)
-        eased = bench.board.owned["s1"].limit
-        await ask(bench, ["s1"], 4.0, 0.01)
+        reduced = bench.board.owned["s1"].limit
+        await send_load(bench, ["s1"], 4.0, 0.01)
 
         assert searcher.calls - calls > 25
-        assert eased == 1
+        assert reduced == 1
         assert bench.board.owned["s1"].limit == 8
         reasons = [
             event.reason for event in bench.get_events(events.SearcherChanged)
@@ -151,14 +158,14 @@
     owning.run(scenario())
 
 
-def test_a_searcher_that_turned_cold_shows_though_its_calls_are_hedged() -> (
+def test_searcher_that_turned_cold_is_detected_although_calls_are_hedged() -> (
     None
 ):
     async def scenario() -> None:
         searcher = owning.make_searcher("s1", slots=4)
         bench = owning.make_bench(searcher, slots=4, cold_limit=1)
         await bench.start()
-        await ask(bench, ["s1"], 3.0, 0.004)
+        await send_load(bench, ["s1"], 3.0, 0.004)
         await asyncio.sleep(0.1)
         searcher.turn_cold(warm_after=1000)
         for number in range(12):
@@ -175,13 +182,11 @@
     owning.run(scenario())
 
 
-def test_a_whole_zone_that_returns_cold_is_ramped_searcher_by_searcher() -> (
-    None
-):
-    """Thirty searchers come back at once, cold, into full demand.
+def test_searchers_of_zone_that_returns_cold_are_ramped_separately() -> None:
+    """Thirty cold searchers return at the same time under full load.
 
-    Each is ramped by itself. Queues stay short: what they can't take in
-    time is refused at once instead of waiting.
+    Each is ramped separately. Queues stay short: work that can't finish in
+    time is refused immediately instead of queued.
     """
 
     async def scenario() -> None:
@@ -192,16 +197,16 @@
             [owning.make_server(name) for name in names],
         )
         await bench.start()
-        await ask(bench, names, 3.0, 0.0008)
+        await send_load(bench, names, 3.0, 0.0008)
         for searcher in searchers:
             searcher.faults.down = True
             searcher.restart(warm_after=40)
-        await ask(bench, names, 1.0, 0.0008)
+        await send_load(bench, names, 1.0, 0.0008)
         for searcher in searchers:
             searcher.faults.down = False
         longest = 0
         for _ in range(40):
-            await ask(bench, names, 0.1, 0.0008)
+            await send_load(bench, names, 0.1, 0.0008)
             queued = [state.queued for state in bench.board.owned.values()]
             longest = max(longest, *queued)
 
@@ -214,8 +219,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_cold_limit_holds_under_random_faults(seed: int) -> None:
-    """Ten searchers restart, shed, fail, hang and straggle for six seconds."""
+def test_cold_limit_holds_under_random_faults(seed: int) -> None:
+    """Ten searchers restart, shed, fail, hang and respond slowly for 6 s."""
 
     async def scenario() -> None:
         rng = random.Random(seed)
@@ -245,7 +250,7 @@
                     searcher.faults.down = not searcher.faults.down
                     if searcher.faults.down:
                         searcher.restart(warm_after=20)
-            await ask(bench, names, 0.1, 0.002)
+            await send_load(bench, names, 0.1, 0.002)
 
         assert max(searcher.most_cold for searcher in searchers) == 2
         assert sum(searcher.calls for searcher in searchers) > 500
