--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -1,7 +1,7 @@
-"""A coordinator among fake owners, in one virtual-time loop.
+"""A coordinator with fake owners in one virtual-time loop.
 
-The owners are stand-ins behind the peer messages: each searcher has slots
-and a queue by priority, and a behaviour that a test may replace.
+The fake owners communicate through peer messages. Each searcher has slots, a
+priority queue, and a behaviour that a test may replace.
 """
 
 from __future__ import annotations
@@ -45,20 +45,20 @@
     [messages.QueryBatch, messages.PartRequest],
     Awaitable[messages.PartResult | None],
 ]
-"""What a searcher does with a sub-request; None is silence for good."""
+"""Runs a sub-request as a searcher; None means that it never replies."""
 
 TOKEN = "let-me-in"
 OWN_VM = "vm-0"
 
 
 def run(main: Coroutine[Any, Any, _T]) -> _T:
-    """Runs a coroutine in a virtual-time loop of its own."""
+    """Runs a coroutine in its own virtual-time loop."""
     loop = async_solipsism.EventLoop()
     try:
         result: _T = loop.run_until_complete(main)
         return result
     finally:
-        # A cancelled fake call starts the next of its queue.
+        # Cancelling a fake call starts the next one in its queue.
         while left := asyncio.all_tasks(loop):
             for task in left:
                 task.cancel()
@@ -72,11 +72,11 @@
     """The size of a cell.
 
     Attributes:
-        vms: Entry VMs, the coordinator's included.
-        shards: Shards of the index.
-        replicas: Searchers of each shard, each on a server of its own.
-        zones: Availability zones.
-        slots: Slots of each searcher.
+        vms: Number of entry VMs, including the coordinator's.
+        shards: Number of shards of the index.
+        replicas: Number of searchers per shard, each on its own server.
+        zones: Number of availability zones.
+        slots: Number of slots per searcher.
     """
 
     vms: int = 4
@@ -87,7 +87,7 @@
 
 
 class FakeSearcher:
-    """A searcher behind its owner: slots, and a queue by priority."""
+    """A searcher and its owner's slots and priority queue for it."""
 
     def __init__(self, name: str, slots: int, behaviour: Behaviour) -> None:
         self.name = name
@@ -130,7 +130,7 @@
         key: tuple[str, int],
         reply: Callable[[str, messages.PartResult], None],
     ) -> None:
-        """Ends a call; one that may not be repeated only while it waits."""
+        """Cancels a call; a non-repeatable one only while it is queued."""
         for entry in tuple(self.queue):
             if (entry[2].request_id, entry[3].part) == key:
                 self.queue.remove(entry)
@@ -162,11 +162,11 @@
 
     Attributes:
         board: The coordinator's blackboard.
-        state: The key-value service.
-        store: The coordinator's client of it.
-        records: Its idempotency records.
+        state: The state of the key-value store.
+        store: The coordinator's client of the store.
+        records: The coordinator's idempotency records.
         searchers: The fake searchers by name.
-        delay_s: The searchers' service time.
+        delay_s: The searchers' service time, in seconds.
     """
 
     def __init__(
@@ -212,7 +212,7 @@
         self.network.attach(address_of(OWN_VM), self.inbox.receive)
 
     def _declare(self) -> None:
-        """Declares zones, servers, the index, and who owns what."""
+        """Declares zones, servers, the index and the searchers' owners."""
         shape = self.shape
         for number in range(shape.vms):
             name = f"vm-{number}"
@@ -278,7 +278,7 @@
     def put_version(
         self, version: int, bounds: tuple[int, ...] | None = None
     ) -> None:
-        """Declares a version of the index, cut evenly or at bounds."""
+        """Declares an index version, divided evenly or at given bounds."""
         count = self.shape.shards
         edges = bounds or tuple(range(0, count * 100 + 1, 100))
         shards = tuple(
@@ -307,7 +307,7 @@
     def advertise(
         self, versions: tuple[str, ...] = ("cover.1",), usable: bool = True
     ) -> None:
-        """Lets the owners tell of their searchers what a test wants."""
+        """Announces the same state of all searchers from their owners."""
         for name in self.searchers:
             self.advertise_one(name, versions, usable)
 
@@ -319,7 +319,7 @@
         queued: int = 0,
         service_ms: float = 10.0,
     ) -> None:
-        """Lets an owner tell of one of its searchers."""
+        """Announces the state of one searcher from its owner."""
         state = messages.SearcherState(
             name, 1, usable, self.shape.slots, queued, service_ms, versions
         )
@@ -334,7 +334,7 @@
     async def answer_whole(
         self, batch: messages.QueryBatch, part: messages.PartRequest
     ) -> messages.PartResult | None:
-        """The behaviour of a healthy searcher."""
+        """Replies with a complete result, as a healthy searcher does."""
         await asyncio.sleep(self.delay_s)
         return make_done(batch, part, self.delay_s * 1000)
 
@@ -346,7 +346,7 @@
         priority: resources.Priority = resources.Priority.URGENT,
         body: bytes = b'{"member":1}',
     ) -> coordinator.Query:
-        """Makes a query that begins now."""
+        """Creates a query that starts now."""
         caller = self.board.configuration.get_callers()["clerk"]
         caller = resources.Caller(
             name=caller.name,
@@ -372,7 +372,7 @@
         deadline_ms: float = 1000,
         body: bytes = b'{"grant":1}',
     ) -> coordinator.Execute:
-        """Makes a request that may not be repeated, and begins now."""
+        """Creates a non-repeatable request that starts now."""
         now_s = asyncio.get_running_loop().time()
         return coordinator.Execute(
             request_id=f"execute-{number}",
@@ -386,9 +386,12 @@
         )
 
     async def read_record(self) -> str:
-        """Returns what another VM finds for the key: `free`, or a code.
+        """Returns the state of the key as another VM reads it.
 
-        It asks as a retry would, so a free key is claimed by it.
+        It claims the key as a retry does, so a free key is claimed afterwards.
+
+        Returns:
+            `finished`, `free`, or the kind of the failure.
         """
         other = idempotency.make(
             self.board, store_memory.MemoryStore(self.state), self.random
@@ -409,7 +412,7 @@
                 return failure.kind.value
 
     def count_calls(self) -> int:
-        """Returns how many calls all searchers have had."""
+        """Returns the total number of calls to all searchers."""
         return sum(searcher.calls for searcher in self.searchers.values())
 
     def get_events(self, wanted: type[_T]) -> list[_T]:
@@ -418,7 +421,7 @@
         return [r.event for r in records if isinstance(r.event, wanted)]
 
     def _make_link(self, vm: str) -> memory.MemoryPeers:
-        """Makes a VM's sending end."""
+        """Creates the sending end of a VM's peer link."""
         link = memory.MemoryPeers(
             self.network, vm, address_of(vm), 1, self.board.timeline
         )
@@ -426,7 +429,7 @@
         return link
 
     def _make_handler(self, vm: str) -> Callable[[messages.Envelope], None]:
-        """Makes a fake owner's receiving end."""
+        """Creates the receiving end of a fake owner's peer link."""
 
         def handle(envelope: messages.Envelope) -> None:
             for message in envelope.messages:
@@ -437,7 +440,7 @@
     def _deliver(
         self, vm: str, sender: str, message: messages.PeerMessage
     ) -> None:
-        """Takes a message as a VM's owner, or as the coordinator."""
+        """Handles a message as a VM's owner or as the coordinator."""
 
         def reply(request_id: str, result: messages.PartResult) -> None:
             results = messages.PartResults(
@@ -466,7 +469,7 @@
     part: messages.PartRequest,
     service_ms: float = 10.0,
 ) -> messages.PartDone:
-    """Makes the whole result of a sub-request: its range as one item."""
+    """Creates a complete result of a sub-request: its range as one item."""
     items = b"[[%d,%d]]" % (part.low, part.high)
     return messages.PartDone(
         part.part, batch.version, part.low, part.high, items, service_ms
@@ -474,7 +477,7 @@
 
 
 def make_settings(vm: str) -> settings.Settings:
-    """Makes the settings of a VM."""
+    """Creates the settings of a VM."""
     return settings.Settings(
         vm=vm,
         zone="zone-0",
@@ -491,7 +494,7 @@
 
 
 def fail(kind: errors.Kind, sent: bool, delay_s: float = 0.001) -> Behaviour:
-    """Makes a behaviour: every sub-request fails."""
+    """Creates a behaviour in which every sub-request fails."""
 
     async def behave(
         batch: messages.QueryBatch, part: messages.PartRequest
@@ -503,7 +506,7 @@
 
 
 def stay_silent() -> Behaviour:
-    """Makes a behaviour: no reply ever comes."""
+    """Creates a behaviour in which no sub-request gets a reply."""
 
     async def behave(
         batch: messages.QueryBatch, part: messages.PartRequest
--- a/tests/controllers/test_coordinator.py
+++ b/tests/controllers/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator's queries, whole and short."""
+"""Tests of the coordinator's complete and incomplete answers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.controllers import query_cell
 
 
-def test_a_query_is_answered_whole_from_the_newest_version() -> None:
+def test_query_is_answered_completely_from_newest_version() -> None:
     async def main() -> responses.QueryAnswer:
         cell = query_cell.Cell()
         result = await cell.coordinator.query(cell.make_query())
@@ -25,11 +25,11 @@
     ]
 
 
-def test_a_silent_shard_makes_the_answer_short_by_the_deadline() -> None:
-    """A director waits at the desk while one shard never replies.
+def test_shard_without_reply_gives_incomplete_answer_by_deadline() -> None:
+    """Both replicas of a shard accept a sub-request and never reply.
 
-    The clerk must see what is held before the deadline, and that it is
-    short. The cause: a searcher's both replicas accept and go silent.
+    The caller must get the other shards' results before its deadline, marked
+    as incomplete.
     """
 
     async def main() -> responses.QueryAnswer:
@@ -47,7 +47,7 @@
     assert answer.took_ms < 1000
 
 
-def test_a_parts_failure_everywhere_gives_the_final_answer_at_once() -> None:
+def test_part_failed_on_all_replicas_gives_answer_immediately() -> None:
     async def main() -> responses.QueryAnswer:
         cell = query_cell.Cell()
         for name in cell.replicas_of(0):
--- a/tests/controllers/test_gathering.py
+++ b/tests/controllers/test_gathering.py
@@ -1,4 +1,4 @@
-"""Running queries while versions change and parts go astray."""
+"""Tests of running queries with version changes and faulty results."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from tests.controllers import query_cell
 
 BOUNDS = (0, 150, 300, 600)
-"""The cut of version 2, unlike version 1's hundreds."""
+"""The shard bounds of version 2; those of version 1 are multiples of 100."""
 
 
 def check_items(answer: responses.QueryAnswer, bounds: Sequence[int]) -> None:
-    """Checks that the items are those of exactly the ranges not missing."""
+    """Checks that the items cover exactly the ranges that aren't missing."""
     cut = [list(pair) for pair in itertools.pairwise(bounds)]
     items = msgspec.json.decode(answer.items)
     missing = [
@@ -46,7 +46,13 @@
 def reload(
     cell: query_cell.Cell, number: int, after_s: float = 0.002
 ) -> query_cell.Behaviour:
-    """Makes a shard's behaviour: it is reloaded under the query."""
+    """Creates the behaviour of a shard that is reloaded during a query.
+
+    Args:
+        cell: The cell.
+        number: The only version that the shard still serves.
+        after_s: The delay of its refusals of other versions, in seconds.
+    """
 
     async def behave(
         batch: messages.QueryBatch, part: messages.PartRequest
@@ -63,11 +69,11 @@
 def make_repartitioned(
     serving: Sequence[int] = (0, 1, 2), versions: Sequence[int] = (1, 2)
 ) -> query_cell.Cell:
-    """Makes a cell whose shard 1 leaves version 1 under the query.
+    """Creates a cell whose shard 1 drops version 1 during the query.
 
     Args:
         serving: The shards whose searchers serve the newer versions.
-        versions: What they serve from 3 ms on.
+        versions: The versions that they serve after 3 ms.
     """
     cell = query_cell.Cell()
     cell.put_version(2, BOUNDS)
@@ -84,12 +90,13 @@
     return cell
 
 
-def test_a_repartition_under_a_query_restarts_it_on_the_newer_version() -> None:
-    """An arrears check runs while the index is cut anew.
+def test_repartition_restarts_running_query_on_newer_version() -> None:
+    """The index is repartitioned during a query.
 
-    Half of its parts come from the old cut when the first searcher says that
-    it has gone. Merging both cuts would count some members twice and miss
-    others. The answer must be whole, and of the new version alone.
+    Half of the results are of the old version when the first searcher reports
+    that this version is gone. Merging results of both versions would count
+    some entries twice and omit others. The answer must be complete and of the
+    new version only.
     """
 
     async def main() -> tuple[responses.QueryAnswer, list[int]]:
@@ -106,15 +113,15 @@
 
 
 @pytest.mark.parametrize(
-    ("story", "serving", "deadline_ms"),
+    ("case_name", "serving", "deadline_ms"),
     [
         ("no newer version is served", (), 1000),
         ("a shard of the newer version is not served", (0, 1), 1000),
         ("no time is left", (0, 1, 2), 10),
     ],
 )
-def test_a_version_gone_without_a_way_on_leaves_a_short_answer(
-    story: str, serving: tuple[int, ...], deadline_ms: float
+def test_gone_version_without_alternative_gives_incomplete_answer(
+    case_name: str, serving: tuple[int, ...], deadline_ms: float
 ) -> None:
     async def main() -> tuple[responses.QueryAnswer, list[int]]:
         cell = make_repartitioned(serving)
@@ -128,13 +135,13 @@
 
     answer, pinned = query_cell.run(main())
 
-    assert pinned == [1], story
+    assert pinned == [1], case_name
     assert answer.version == 1
     assert answer.missing == (responses.KeyRange(100, 200),)
     check_items(answer, range(0, 601, 100))
 
 
-def test_a_second_repartition_does_not_restart_again() -> None:
+def test_second_repartition_does_not_restart_query_again() -> None:
     async def main() -> tuple[responses.QueryAnswer, list[int]]:
         cell = make_repartitioned(range(6), (1, 2, 3))
         cell.delay_s = 0.001
@@ -147,24 +154,24 @@
 
     answer, pinned = query_cell.run(main())
 
-    # The old version held five of six shards, the new one less.
+    # The old version has results of five of six shards, the new one fewer.
     assert pinned == [1, 2, 1]
     assert answer.version == 1
     check_items(answer, range(0, 601, 100))
 
 
-def test_the_old_versions_results_stand_if_the_restart_finds_less() -> None:
-    """The new version's searchers fall silent right after the restart.
+def test_old_versions_results_are_kept_if_restart_has_fewer() -> None:
+    """The new version's searchers stop replying right after the restart.
 
-    The family must not get less than was already held: five of six shards
-    of the old version, rather than nothing of the new one.
+    The answer must not have less than the results already received: five of
+    six shards of the old version rather than nothing of the new one.
     """
 
     async def main() -> responses.QueryAnswer:
         cell = make_repartitioned()
         cell.delay_s = 0.001
 
-        async def whole_once(
+        async def answer_old_version(
             batch: messages.QueryBatch, part: messages.PartRequest
         ) -> messages.PartResult | None:
             if batch.version == 2:
@@ -173,7 +180,7 @@
 
         for name, searcher in cell.searchers.items():
             if name not in cell.replicas_of(1):
-                searcher.behaviour = whole_once
+                searcher.behaviour = answer_old_version
         for name in cell.replicas_of(1):
             cell.searchers[name].behaviour = reload(cell, 9, 0.005)
         return (await cell.coordinator.query(cell.make_query())).ok
@@ -186,7 +193,7 @@
 
 
 @pytest.mark.parametrize("wrong", ["version", "range", "truncated"])
-def test_a_wrong_part_is_never_merged_and_another_replica_is_asked(
+def test_wrong_result_is_not_merged_and_is_retried_on_another_replica(
     wrong: str,
 ) -> None:
     async def main() -> tuple[responses.QueryAnswer, query_cell.Cell]:
@@ -203,8 +210,8 @@
 
         cell.searchers["s0-0"].behaviour = behave
         cell.advertise_one("s0-1", usable=False)
-        wanted = cell.make_query()
-        task = asyncio.ensure_future(cell.coordinator.query(wanted))
+        query = cell.make_query()
+        task = asyncio.ensure_future(cell.coordinator.query(query))
         await asyncio.sleep(0)
         cell.advertise_one("s0-1")
         return (await task).ok, cell
@@ -217,13 +224,13 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_late_doubled_lost_and_crossed_parts_never_mix_answers(
+def test_late_duplicate_lost_and_reordered_results_never_mix_answers(
     seed: int,
 ) -> None:
-    """Twenty clerks ask at once over links that lose, double and reorder.
+    """Twenty queries run over links that lose, duplicate and reorder messages.
 
-    Each must get the whole answer to its own request, or one that says
-    exactly what it lacks.
+    Each must get the complete answer to its own request or one that states
+    exactly what is missing.
     """
 
     async def main() -> list[responses.QueryAnswer]:
@@ -249,13 +256,13 @@
         (0.84, errors.Kind.COVERAGE_TOO_LOW),
     ],
 )
-def test_a_minimum_out_of_reach_is_refused_at_once(
+def test_unreachable_minimum_coverage_is_refused_immediately(
     minimum: float, kind: errors.Kind | None
 ) -> None:
-    """A clerk takes no answer below her minimum.
+    """A shard fails on all replicas, so that the minimum can't be reached.
 
-    One shard fails on all its replicas after 1 ms while the others take
-    300 ms: the refusal must not wait for them.
+    This takes 1 ms and the other shards take 300 ms: the refusal must not
+    wait for them.
     """
 
     async def main() -> tuple[errors.Kind | None, float]:
@@ -281,7 +288,7 @@
     ("minimum", "kind"),
     [(0.9, errors.Kind.NO_SNAPSHOT), (0.8, None)],
 )
-def test_a_minimum_out_of_reach_from_the_start_is_not_run(
+def test_query_with_minimum_unreachable_at_admission_is_not_run(
     minimum: float, kind: errors.Kind | None
 ) -> None:
     async def main() -> tuple[errors.Failure | None, int]:
@@ -299,11 +306,11 @@
     assert calls == (0 if kind else 5)
 
 
-def test_an_owner_that_no_longer_owns_is_asked_again_elsewhere() -> None:
+def test_refusal_by_former_owner_is_retried_at_new_owner() -> None:
     """A VM leaves while queries run, and its searchers get a new owner.
 
-    The old owner says that it no longer owns them, and the coordinator's view
-    lags by some milliseconds. The answer must still be whole.
+    The old owner refuses with `not_owner`, and the coordinator's view lags by
+    some milliseconds. The answer must still be complete.
     """
 
     async def main() -> responses.QueryAnswer:
