--- a/tests/controllers/test_execution.py
+++ b/tests/controllers/test_execution.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated: one run at most, and its true outcome."""
+"""Tests that non-repeatable requests run at most once, with a true record."""
 
 from __future__ import annotations
 
@@ -16,13 +16,18 @@
 FREE = "free"
 Kind = errors.Kind
 SETTLED_S = 10.0
-"""Time in which every record has its last state, in seconds."""
+"""Time after which every record has its final state, in seconds."""
 
 Step = Callable[[query_cell.Cell], query_cell.Behaviour]
 
 
-def run_it(delay_s: float = 0.01, **changes: object) -> Step:
-    """Makes a step: the searcher runs it, and answers after some time."""
+def run_and_reply(delay_s: float = 0.01, **changes: object) -> Step:
+    """Creates a step in which the searcher runs the request and replies.
+
+    Args:
+        delay_s: The delay of the reply, in seconds.
+        changes: The faults of the reply: `version`, `range`, `truncated`.
+    """
 
     def make(cell: query_cell.Cell) -> query_cell.Behaviour:
         async def behave(
@@ -46,26 +51,30 @@
 
 
 def refuse(kind: Kind, *, sent: bool, delay_s: float = 0.001) -> Step:
-    """Makes a step: the owner or the searcher refuses."""
+    """Creates a step in which the owner or the searcher refuses."""
     return lambda cell: query_cell.fail(kind, sent, delay_s)
 
 
-def go_silent(cell: query_cell.Cell) -> query_cell.Behaviour:
-    """Is a step: no reply ever comes."""
+def never_reply(cell: query_cell.Cell) -> query_cell.Behaviour:
+    """Returns the behaviour of a step without a reply."""
     return query_cell.stay_silent()
 
 
-def follow(cell: query_cell.Cell, *steps: Step) -> list[str]:
-    """Lets the first calls go as told; returns who was called, as it goes."""
+def set_steps(cell: query_cell.Cell, *steps: Step) -> list[str]:
+    """Sets the behaviour of the first calls, in order.
+
+    Returns:
+        The names of the called searchers; grows with each call.
+    """
     called: list[str] = []
-    left = list(steps)
+    remaining = list(steps)
 
     def make(name: str) -> query_cell.Behaviour:
         async def behave(
             batch: messages.QueryBatch, part: messages.PartRequest
         ) -> messages.PartResult | None:
             called.append(name)
-            step = left.pop(0) if left else run_it()
+            step = remaining.pop(0) if remaining else run_and_reply()
             return await step(cell)(batch, part)
 
         return behave
@@ -76,46 +85,46 @@
 
 
 @pytest.mark.parametrize(
-    ("story", "steps", "code", "calls", "state"),
+    ("case_name", "steps", "code", "calls", "state"),
     [
-        ("all well", (run_it(),), "ok", 1, FINISHED),
+        ("success", (run_and_reply(),), "ok", 1, FINISHED),
         (
             "queue full, unsent",
-            (refuse(Kind.OVERLOADED, sent=False), run_it()),
+            (refuse(Kind.OVERLOADED, sent=False), run_and_reply()),
             "ok",
             2,
             FINISHED,
         ),
         (
             "refused connection, unsent",
-            (refuse(Kind.CONNECTION_LOST, sent=False), run_it()),
+            (refuse(Kind.CONNECTION_LOST, sent=False), run_and_reply()),
             "ok",
             2,
             FINISHED,
         ),
         (
             "the owner has changed, unsent",
-            (refuse(Kind.NOT_OWNER, sent=False), run_it()),
+            (refuse(Kind.NOT_OWNER, sent=False), run_and_reply()),
             "ok",
             2,
             FINISHED,
         ),
         (
-            "the searcher replied that it did not begin",
-            (refuse(Kind.SHED, sent=True), run_it()),
+            "the searcher replied that it did not start it",
+            (refuse(Kind.SHED, sent=True), run_and_reply()),
             "ok",
             2,
             FINISHED,
         ),
         (
-            "no replica takes it",
+            "all replicas refuse it",
             (refuse(Kind.OVERLOADED, sent=False),) * 4,
             "overloaded",
             2,
             FREE,
         ),
         (
-            "no owner is reached",
+            "no searcher is reachable",
             (refuse(Kind.CONNECTION_LOST, sent=False),) * 4,
             "overloaded",
             2,
@@ -142,37 +151,37 @@
             1,
             UNKNOWN,
         ),
-        ("silence", (go_silent,), "outcome_unknown", 1, UNKNOWN),
+        ("silence", (never_reply,), "outcome_unknown", 1, UNKNOWN),
         (
             "it ran on another version",
-            (run_it(version=True),),
+            (run_and_reply(version=True),),
             "outcome_unknown",
             1,
             UNKNOWN,
         ),
         (
             "it ran on another range",
-            (run_it(range=True),),
+            (run_and_reply(range=True),),
             "outcome_unknown",
             1,
             UNKNOWN,
         ),
         (
-            "its reply was cut short",
-            (run_it(truncated=True),),
+            "its reply was truncated",
+            (run_and_reply(truncated=True),),
             "outcome_unknown",
             1,
             UNKNOWN,
         ),
         (
-            "its reply comes after the deadline",
-            (run_it(delay_s=1.5),),
+            "its reply arrives after the deadline",
+            (run_and_reply(delay_s=1.5),),
             "outcome_unknown",
             1,
             FINISHED,
         ),
         (
-            "after the deadline it turns out unsent",
+            "reported unsent after the deadline",
             (refuse(Kind.DEADLINE_PASSED, sent=False, delay_s=1.5),),
             "outcome_unknown",
             1,
@@ -180,31 +189,31 @@
         ),
     ],
 )
-def test_a_dispatch_ends_in_a_true_answer_and_a_true_record(
-    story: str, steps: tuple[Step, ...], code: str, calls: int, state: str
+def test_dispatch_gives_correct_answer_and_record(
+    case_name: str, steps: tuple[Step, ...], code: str, calls: int, state: str
 ) -> None:
-    """An order goes out once; each way in which that can end has one row."""
+    """A request is dispatched once; each possible outcome is one case."""
 
     async def main() -> tuple[str, list[str], str, float]:
         cell = query_cell.Cell()
-        called = follow(cell, *steps)
+        called = set_steps(cell, *steps)
         loop = asyncio.get_running_loop()
         result = await cell.coordinator.execute(cell.make_execute())
         took_s = loop.time()
         await asyncio.sleep(SETTLED_S)
-        found = "ok" if result.is_ok() else result.error.kind.value
-        return found, called, await cell.read_record(), took_s
+        outcome = "ok" if result.is_ok() else result.error.kind.value
+        return outcome, called, await cell.read_record(), took_s
 
-    found, called, recorded, took_s = query_cell.run(main())
+    outcome, called, recorded, took_s = query_cell.run(main())
 
-    assert found == code, story
+    assert outcome == code, case_name
     assert len(called) == len(set(called)) == calls
     assert recorded == state
     assert took_s <= 1.0
 
 
 @pytest.mark.parametrize(
-    ("story", "code", "calls", "state"),
+    ("case_name", "code", "calls", "state"),
     [
         ("down", "store_unavailable", 0, FREE),
         ("slower than the deadline", "store_unavailable", 0, FREE),
@@ -212,14 +221,14 @@
         ("down from the dispatch on", "ok", 1, FINISHED),
     ],
 )
-def test_an_outage_of_the_platform_never_runs_a_request_unrecorded(
-    story: str, code: str, calls: int, state: str
+def test_store_outage_never_runs_a_request_without_record(
+    case_name: str, code: str, calls: int, state: str
 ) -> None:
     async def main() -> tuple[str, int, str, float]:
         cell = query_cell.Cell()
         loop = asyncio.get_running_loop()
         faults = cell.store.faults
-        match story:
+        match case_name:
             case "down":
                 faults.down = True
             case "slower than the deadline":
@@ -232,21 +241,21 @@
         took_s = loop.time()
         loop.call_later(5.0, setattr, faults, "down", False)
         await asyncio.sleep(60.0)
-        found = "ok" if result.is_ok() else result.error.kind.value
-        return found, cell.count_calls(), await cell.read_record(), took_s
+        outcome = "ok" if result.is_ok() else result.error.kind.value
+        return outcome, cell.count_calls(), await cell.read_record(), took_s
 
-    found, count, recorded, took_s = query_cell.run(main())
+    outcome, count, recorded, took_s = query_cell.run(main())
 
-    assert (found, count) == (code, calls), story
+    assert (outcome, count) == (code, calls), case_name
     assert recorded == state
     assert took_s <= 1.0
 
 
-def test_a_retry_through_another_vm_gets_the_first_runs_outcome() -> None:
-    """The answer to a grant is lost, and the clerk sends it again elsewhere.
+def test_retry_through_another_vm_gets_first_runs_outcome() -> None:
+    """An answer is lost, and the caller retries through another VM.
 
-    The second VM must tell the first run's outcome and run nothing; while
-    the first still runs it must say so.
+    The second VM must return the outcome of the first run and run nothing.
+    While the first run is in progress it must report that.
     """
 
     async def main() -> tuple[
@@ -273,7 +282,7 @@
     assert after.ok.result == done.ok.result
 
 
-def test_a_key_used_for_another_operation_is_refused() -> None:
+def test_key_used_for_another_operation_is_refused() -> None:
     async def main() -> tuple[Kind, int]:
         cell = query_cell.Cell()
         await cell.coordinator.execute(cell.make_execute(1))
@@ -285,11 +294,11 @@
 
 
 @pytest.mark.parametrize("after_ms", range(0, 40, 2))
-def test_a_caller_that_goes_away_leaves_a_true_record(after_ms: int) -> None:
-    """The dispatcher's line drops at any moment of an order.
+def test_record_is_correct_after_caller_disconnects(after_ms: int) -> None:
+    """A caller disconnects at any time during a request.
 
-    Whenever that is, the record must say what happened: finished if a truck
-    was sent, free for a retry if not.
+    The record must always state the real outcome: finished if the request
+    ran, free for a retry if not.
     """
 
     async def main() -> tuple[int, str, bool]:
@@ -311,7 +320,7 @@
         assert recorded == FREE
 
 
-def test_an_abandoned_request_that_waits_in_a_queue_never_runs() -> None:
+def test_abandoned_queued_request_never_runs() -> None:
     async def main() -> tuple[int, str]:
         cell = query_cell.Cell()
         for searcher in cell.searchers.values():
@@ -328,7 +337,7 @@
     assert query_cell.run(main()) == (0, FREE)
 
 
-def test_a_shutdown_waits_for_what_runs_and_its_record() -> None:
+def test_shutdown_waits_for_running_request_and_its_record() -> None:
     async def main() -> str:
         cell = query_cell.Cell()
         cell.delay_s = 0.3
@@ -343,10 +352,12 @@
     assert query_cell.run(main()) == FINISHED
 
 
-def test_copies_of_a_result_change_nothing() -> None:
+def test_duplicate_results_are_ignored() -> None:
     async def main() -> tuple[bool, str]:
         cell = query_cell.Cell()
-        follow(cell, refuse(Kind.OVERLOADED, sent=False), run_it(0.05))
+        set_steps(
+            cell, refuse(Kind.OVERLOADED, sent=False), run_and_reply(0.05)
+        )
         task = asyncio.ensure_future(
             cell.coordinator.execute(cell.make_execute())
         )
