--- a/tests/controllers/test_handoffs.py
+++ b/tests/controllers/test_handoffs.py
@@ -1,4 +1,4 @@
-"""Changes of owners: never two ramps on one cold searcher."""
+"""Tests of changes of owners, with the cold limit held across both owners."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def make_pair(
     searcher: memory.Searcher, **fields: Any
 ) -> tuple[owning.Bench, owning.Bench]:
-    """Makes two VMs; `vm1` owns the searcher, and both know it."""
+    """Creates two VMs that both see `vm1` as the searcher's owner."""
     fleet = memory.Fleet([searcher])
     servers = [owning.make_server("s1", **fields)]
     first = owning.Bench(fleet, servers, "vm1")
@@ -30,17 +30,17 @@
     return first, second
 
 
-def see_owner(bench: owning.Bench, vm: str) -> None:
-    """Makes a VM see another owner."""
+def set_seen_owner(bench: owning.Bench, vm: str) -> None:
+    """Changes the owner in a VM's view."""
     bench.board.owners["s1"] = vm
     bench.owner.update_ownership()
 
 
-def test_the_new_owner_goes_on_where_the_old_one_was() -> None:
-    """Ownership moves while two calls run on a warm searcher.
+def test_new_owner_continues_with_old_owners_state() -> None:
+    """Ownership changes while two calls run on a warm searcher.
 
-    The new owner starts at the handoff, warm, with the old one's history,
-    and leaves the two slots alone until their calls have ended.
+    The new owner starts at the handoff with the old owner's measurements and
+    doesn't use the two slots until their calls have ended.
     """
 
     async def scenario() -> None:
@@ -56,8 +56,8 @@
         first.send("s1", request_id="b")
         first.send("s1", request_id="waiting")
         await asyncio.sleep(0.020)
-        see_owner(second, "vm2")
-        see_owner(first, "vm2")
+        set_seen_owner(second, "vm2")
+        set_seen_owner(first, "vm2")
         await asyncio.sleep(0.020)
         state = second.board.owned["s1"]
         second.send("s1", request_id="c")
@@ -74,20 +74,20 @@
     owning.run(scenario())
 
 
-def test_right_after_a_handoff_the_new_owner_takes_work() -> None:
-    """A VM is replaced; its searchers go to another one in that moment.
+def test_new_owner_accepts_work_immediately_after_handoff() -> None:
+    """A VM is replaced and hands its searchers off to another VM.
 
-    Until the new owner has looked at them itself, some milliseconds, it must
-    neither refuse their work nor call them unusable: with all replicas of a
-    shard handed off together, queries would be refused for want of them.
+    Until the new owner has probed them, for some milliseconds, it must neither
+    refuse work for them nor announce them as unusable. Otherwise queries would
+    be refused when all replicas of a shard are handed off at the same time.
     """
 
     async def scenario() -> None:
         first, second = make_pair(owning.make_searcher("s1"))
         await first.start()
         await second.start()
-        see_owner(second, "vm2")
-        see_owner(first, "vm2")
+        set_seen_owner(second, "vm2")
+        set_seen_owner(first, "vm2")
         await asyncio.sleep(0.002)
         state = second.board.owned["s1"]
         second.send("s1", request_id="at once")
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
-def test_a_lost_handoff_is_sent_again(lost: int) -> None:
+def test_lost_handoff_is_resent(lost: int) -> None:
     async def scenario() -> None:
         first, second = make_pair(owning.make_searcher("s1"))
         left = [lost]
@@ -115,8 +115,8 @@
         first.peers.is_lost = is_lost
         await first.start()
         await second.start()
-        see_owner(second, "vm2")
-        see_owner(first, "vm2")
+        set_seen_owner(second, "vm2")
+        set_seen_owner(first, "vm2")
         await asyncio.sleep(0.1 * lost + 0.2)
 
         assert "s1" in second.board.owned
@@ -124,14 +124,14 @@
     owning.run(scenario())
 
 
-def test_without_a_handoff_the_new_owner_waits_for_the_old_lease() -> None:
+def test_new_owner_without_handoff_waits_for_end_of_old_lease() -> None:
     async def scenario() -> None:
         first, second = make_pair(owning.make_searcher("s1"))
         await first.start()
         await second.start()
         loop = asyncio.get_running_loop()
         second.board.may_start_s["s1"] = loop.time() + LEASE_S
-        see_owner(second, "vm2")
+        set_seen_owner(second, "vm2")
         await asyncio.sleep(LEASE_S - 0.15)
         early = "s1" in second.board.owned
         await asyncio.sleep(0.3)
@@ -142,20 +142,20 @@
     owning.run(scenario())
 
 
-def test_a_late_copy_of_a_handoff_does_not_start_a_second_owner() -> None:
-    """vm1 hands the searcher to vm2, which soon hands it on to vm3.
+def test_late_copy_of_handoff_does_not_start_second_owner() -> None:
+    """vm1 hands the searcher off to vm2, which soon hands it off to vm3.
 
-    A copy of the first handoff arrives at vm2 late, in a moment in which
-    vm2's view flickers back to itself. Starting by it would put vm2 beside
-    vm3.
+    A copy of the first handoff arrives late at vm2 while vm2's view briefly
+    has itself as the owner again. If vm2 accepted it, vm2 and vm3 would both
+    use the searcher.
     """
 
     async def scenario() -> None:
         first, second = make_pair(owning.make_searcher("s1"))
         await first.start()
         await second.start()
-        see_owner(second, "vm2")
-        see_owner(first, "vm2")
+        set_seen_owner(second, "vm2")
+        set_seen_owner(first, "vm2")
         await asyncio.sleep(0.1)
         copy = next(
             message
@@ -163,9 +163,9 @@
             if isinstance(message, messages.Handoff)
         )
         second.board.may_start_s["s1"] = float("inf")
-        see_owner(second, "vm3")
+        set_seen_owner(second, "vm3")
         second.receive("vm1", copy)
-        see_owner(second, "vm2")
+        set_seen_owner(second, "vm2")
         await asyncio.sleep(1)
 
         assert "s1" not in second.board.owned
@@ -173,12 +173,12 @@
     owning.run(scenario())
 
 
-def test_a_paused_process_does_not_write_to_a_cold_searcher() -> None:
+def test_paused_process_does_not_write_to_cold_searcher() -> None:
     """A process is paused between its decision to dispatch and the write.
 
-    While it sleeps, with its connection just opening, its lease runs out and
-    another VM starts on the cold searcher. It wakes and goes on where it
-    was. The work must go back unsent, not to the searcher.
+    During the pause, while its connection is opening, its lease expires and
+    another VM starts to use the cold searcher. After the pause the process
+    must return the work unsent instead of writing it.
     """
 
     async def scenario() -> None:
@@ -201,13 +201,11 @@
     owning.run(scenario())
 
 
-def test_a_searcher_that_turns_cold_while_a_connection_opens_gets_nothing() -> (
-    None
-):
-    """A VM without a lease goes on with its warm searchers, as it may.
+def test_searcher_that_turns_cold_while_connection_opens_gets_no_call() -> None:
+    """A VM without a lease uses a warm searcher, as it is allowed to.
 
-    One call's connection is just opening when the searcher is found to have
-    turned cold. Now only the look right before the write can hold it back.
+    The searcher turns cold while a call's connection is opening. Only the
+    check immediately before the write can prevent the call.
     """
 
     async def scenario() -> None:
@@ -231,11 +229,11 @@
     owning.run(scenario())
 
 
-def test_a_slow_cold_searcher_is_not_given_up_on() -> None:
-    """Cold calls take two seconds where they usually take ten milliseconds.
+def test_calls_to_slow_cold_searcher_are_not_aborted() -> None:
+    """Cold calls take two seconds instead of the usual ten milliseconds.
 
-    Were each given up as if its connection were dead, the searcher would
-    never get through one, and stay cold for good.
+    If each were aborted as on a dead connection, the searcher would never
+    finish a call and would stay cold forever.
     """
 
     async def scenario() -> None:
@@ -259,11 +257,11 @@
     owning.run(scenario())
 
 
-def test_a_call_to_a_cold_searcher_ends_before_the_lease() -> None:
+def test_call_to_cold_searcher_ends_before_the_lease() -> None:
     """A VM loses its lease while its call runs on a cold searcher.
 
-    The next owner counts on nothing running there after the lease, so the
-    searcher was told a deadline before its end.
+    The next owner relies on no call running there after the lease, so the
+    call's deadline must be before the end of the lease.
     """
 
     async def scenario() -> None:
@@ -284,7 +282,7 @@
     owning.run(scenario())
 
 
-def test_without_a_lease_warm_searchers_go_on_and_cold_ones_wait() -> None:
+def test_without_lease_warm_searchers_get_work_and_cold_ones_do_not() -> None:
     async def scenario() -> None:
         searcher = owning.make_searcher("s1")
         bench = owning.make_bench(searcher)
@@ -307,7 +305,7 @@
     owning.run(scenario())
 
 
-def test_draining_hands_everything_off_and_ends_what_runs() -> None:
+def test_draining_hands_searchers_off_and_waits_for_running_calls() -> None:
     async def scenario() -> None:
         searcher = owning.make_searcher("s1", service_ms=200.0)
         first, second = make_pair(searcher)
@@ -315,7 +313,7 @@
         await second.start()
         first.send("s1", request_id="a")
         await asyncio.sleep(0.05)
-        see_owner(second, "vm2")
+        set_seen_owner(second, "vm2")
         first.board.owners["s1"] = "vm2"
         await first.owner.drain(5.0)
         await asyncio.sleep(0.1)
@@ -331,15 +329,16 @@
 
 
 class Disagreement:
-    """Two VMs whose views of the owner differ, under the leases' rules.
+    """Two VMs with different views of the owner, subject to the lease rules.
 
-    The truth is what a majority sees. It changes at once; each VM's view
-    follows after its own delay, the old owner's lease is renewed no more,
-    and the new owner may start without a handoff when it has run out.
+    The actual owner is the one that a majority sees. It changes immediately,
+    and each VM's view follows after its own delay. The old owner's lease is
+    no longer renewed, and the new owner may start without a handoff when it
+    has expired.
     """
 
     def __init__(self, seed: int) -> None:
-        """Makes two VMs and a searcher that stays cold."""
+        """Creates two VMs and a searcher that stays cold."""
         self.rng = random.Random(seed)
         self.searcher = owning.make_searcher(
             "s1", slots=4, cold_limit=2, seed=seed
@@ -347,7 +346,7 @@
         self.searcher.warm_after = 1_000_000
         pair = make_pair(self.searcher, slots=4, cold_limit=2)
         self.vms = {bench.vm: bench for bench in pair}
-        self.truth = "vm1"
+        self.actual_owner = "vm1"
         self.may_start_s = 0.0
         for bench in pair:
             bench.peers.is_lost = lambda _: self.rng.random() < 0.3
@@ -355,7 +354,11 @@
             self.searcher.faults.reports_cold = True
 
     async def run(self, duration_s: float) -> None:
-        """Lets ownership change, and both be asked, for some time."""
+        """Changes ownership and sends work to both VMs for some time.
+
+        Args:
+            duration_s: The duration, in seconds.
+        """
         loop = asyncio.get_running_loop()
         for bench in self.vms.values():
             bench.board.lease_until_s = 0.0
@@ -387,50 +390,53 @@
             await asyncio.sleep(self.rng.uniform(0.005, 0.03))
 
     def renew_lease(self) -> None:
-        """Renews the true owner's lease, unless an old one is valid."""
+        """Renews the actual owner's lease unless the old one is valid."""
         now_s = asyncio.get_running_loop().time()
         if now_s >= self.may_start_s:
-            self.vms[self.truth].board.lease_until_s = now_s + LEASE_S
+            self.vms[self.actual_owner].board.lease_until_s = now_s + LEASE_S
 
     def change_owner(self) -> None:
-        """Changes the truth; the views follow one by one."""
+        """Changes the actual owner; the views follow after delays."""
         loop = asyncio.get_running_loop()
-        old = self.vms[self.truth].board
-        self.truth = "vm2" if self.truth == "vm1" else "vm1"
+        old = self.vms[self.actual_owner].board
+        self.actual_owner = "vm2" if self.actual_owner == "vm1" else "vm1"
         self.may_start_s = max(self.may_start_s, old.lease_until_s)
-        new = self.vms[self.truth].board
+        new = self.vms[self.actual_owner].board
         new.may_start_s["s1"] = self.may_start_s
         for bench in self.vms.values():
             loop.call_later(
-                self.rng.uniform(0.0, 1.0), see_owner, bench, self.truth
+                self.rng.uniform(0.0, 1.0),
+                set_seen_owner,
+                bench,
+                self.actual_owner,
             )
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_owners_in_disagreement_stay_within_the_cold_limit(seed: int) -> None:
-    """Two VMs disagree on who owns a searcher that stays cold for a minute.
+    """Two VMs disagree for a minute on the owner of a cold searcher.
 
-    Ownership changes every few seconds, views lag by up to a second, three
-    messages in ten are lost, calls hang and are cancelled, the searcher
-    restarts. Both VMs are asked all the while. Together they must never
-    have more than the cold limit in it.
+    Ownership changes every few seconds, views lag by up to a second, three of
+    ten messages are lost, calls hang and are cancelled, and the searcher
+    restarts. Both VMs continuously get work. The sum of their calls must never
+    exceed the cold limit.
     """
 
     async def scenario() -> None:
-        trial = Disagreement(seed)
-        await trial.run(60.0)
+        disagreement = Disagreement(seed)
+        await disagreement.run(60.0)
 
         dispatched = [
             len(bench.get_events(events.PartDispatched))
-            for bench in trial.vms.values()
+            for bench in disagreement.vms.values()
         ]
         assert min(dispatched) > 20
-        assert trial.searcher.most_cold <= 2
+        assert disagreement.searcher.most_cold <= 2
 
     owning.run(scenario())
 
 
-def test_the_owner_module_is_made_by_its_factory() -> None:
+def test_factory_creates_owner() -> None:
     bench = owning.make_bench()
     made = owner.make(
         bench.board,
