--- a/tests/controllers/test_late_notices.py
+++ b/tests/controllers/test_late_notices.py
@@ -1,4 +1,4 @@
-"""An owner's notices of calls that run long."""
+"""Tests of an owner's notices of long-running calls."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 @pytest.mark.parametrize(
-    ("story", "took_s", "told"),
+    ("case_name", "took_s", "notified"),
     [
         ("an ordinary call", 0.010, False),
         ("a straggler", 0.100, True),
     ],
 )
-def test_only_a_call_that_runs_long_is_told_of(
-    story: str, took_s: float, told: bool
+def test_notice_is_sent_only_for_long_running_call(
+    case_name: str, took_s: float, notified: bool
 ) -> None:
     async def main() -> list[messages.PeerMessage]:
         cell = query_cell.Cell()
@@ -39,10 +39,10 @@
     sent = query_cell.run(main())
 
     late = messages.PartsLate(request_id="request", parts=(7,))
-    assert sent == ([late] if told else []), story
+    assert sent == ([late] if notified else []), case_name
 
 
-def test_a_searcher_without_measurements_is_not_told_of() -> None:
+def test_no_notice_is_sent_without_measurements() -> None:
     async def main() -> list[messages.PeerMessage]:
         cell = query_cell.Cell()
         sent: list[messages.PeerMessage] = []
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -1,4 +1,4 @@
-"""Hedges, retries, lost owners, and requests blamed for crashes."""
+"""Tests of hedges, retries, lost owners and requests that caused crashes."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 async def warm_up(cell: query_cell.Cell, queries: int = 12) -> None:
-    """Lets the coordinator measure ordinary times, and earn a budget."""
+    """Lets the coordinator measure usual durations and earn a budget."""
     for number in range(1000, 1000 + queries):
         await cell.coordinator.query(cell.make_query(number))
 
 
 def straggle(cell: query_cell.Cell, name: str) -> None:
-    """Makes a searcher slow in everything from now on."""
+    """Makes all calls of a searcher slow from now on."""
 
     async def behave(
         batch: messages.QueryBatch, part: messages.PartRequest
@@ -38,8 +38,11 @@
     cell.searchers[name].behaviour = behave
 
 
-def force(cell: query_cell.Cell, name: str) -> None:
-    """Makes a shard's other replicas unusable until the next turn."""
+def force_choice(cell: query_cell.Cell, name: str) -> None:
+    """Forces the choice of a searcher by making other replicas unusable.
+
+    They are usable again after 1 ms, for later attempts.
+    """
     shard = name.partition("-")[0]
     others = [n for n in cell.searchers if n.startswith(f"{shard}-")]
     others.remove(name)
@@ -51,7 +54,7 @@
 
 
 def get_chosen(cell: query_cell.Cell, request_id: str) -> list[str]:
-    """Returns the reasons of a request's later attempts."""
+    """Returns the reasons of a request's hedges and retries, in order."""
     return [
         event.reason
         for event in cell.get_events(events.PartChosen)
@@ -59,18 +62,18 @@
     ]
 
 
-def test_a_straggler_is_hedged_on_another_server_and_cancelled() -> None:
-    """A stock lookup waits for one searcher that takes twenty times as long.
+def test_straggler_is_hedged_on_another_server_and_cancelled() -> None:
+    """A query waits for a searcher that takes twenty times as long as usual.
 
-    A second replica answers instead; the loser's slot must become free, not
-    stay taken for its whole time.
+    A second replica answers instead. The slow call must be cancelled so that
+    its slot becomes free.
     """
 
     async def main() -> tuple[responses.QueryAnswer, query_cell.Cell]:
         cell = query_cell.Cell()
         await warm_up(cell)
         straggle(cell, "s0-0")
-        force(cell, "s0-0")
+        force_choice(cell, "s0-0")
         answer = (await cell.coordinator.query(cell.make_query())).ok
         await asyncio.sleep(0.01)
         return answer, cell
@@ -85,27 +88,27 @@
 
 
 @pytest.mark.parametrize(
-    ("story", "hedges"),
+    ("case_name", "hedges"),
     [
         ("owner's notice", 1),
         ("notice of an ended part", 0),
         ("budget of zero", 0),
         ("overload", 1),
         ("same server only", 0),
-        ("blamed for a crash", 0),
+        ("crash attributed to the request", 0),
     ],
 )
-def test_an_owners_notice_leads_to_a_hedge_only_where_it_may(
-    story: str, hedges: int
+def test_owners_notice_causes_hedge_only_where_allowed(
+    case_name: str, hedges: int
 ) -> None:
     async def main() -> list[str]:
         cell = query_cell.Cell(query_cell.Shape(replicas=3))
         await warm_up(cell)
         straggle(cell, "s0-0")
-        force(cell, "s0-0")
+        force_choice(cell, "s0-0")
         measured = cell.coordinator._dispatcher.measured
         query = cell.make_query(priority=resources.Priority.DEFERRABLE)
-        match story:
+        match case_name:
             case "budget of zero":
                 cell.put(resources.Policy(name="default", hedge_budget=0))
             case "overload":
@@ -128,8 +131,8 @@
                             searchers=searchers,
                         )
                     )
-            case "blamed for a crash":
-                blame(cell, query.body, "one")
+            case "crash attributed to the request":
+                attribute_crash(cell, query.body, "one")
         task = asyncio.ensure_future(cell.coordinator.query(query))
         await asyncio.sleep(0.05)
         chosen = [
@@ -137,7 +140,7 @@
             for event in cell.get_events(events.PartChosen)
             if event.request_id == "request-1" and event.shard == "0"
         ]
-        part = chosen[0].part + (100 if "ended" in story else 0)
+        part = chosen[0].part + (100 if "ended" in case_name else 0)
         late = messages.PartsLate(request_id="request-1", parts=(part, part))
         cell.coordinator.receive_late("vm-1", late)
         cell.coordinator.receive_late("vm-1", late)
@@ -145,24 +148,24 @@
         assert answer.complete
         return get_chosen(cell, "request-1")
 
-    assert query_cell.run(main()) == ["hedge"] * hedges, story
+    assert query_cell.run(main()) == ["hedge"] * hedges, case_name
 
 
 @pytest.mark.parametrize(("level", "hedges"), [(3.0, 1), (2.5, 0)])
-def test_without_a_notice_nothing_is_hedged_under_overload(
+def test_without_notice_nothing_is_hedged_under_overload(
     level: float, hedges: int
 ) -> None:
-    """A part is late and no owner says that it runs: it may only wait.
+    """A part is late, and without its owner's notice it may only be queued.
 
-    Under overload a second call for it would wait in another queue, and take
-    a slot from somebody's first.
+    Under overload a hedge would wait in another queue and take a slot from the
+    first call of another request.
     """
 
     async def main() -> list[str]:
         cell = query_cell.Cell()
         await warm_up(cell, 40)
         straggle(cell, "s0-0")
-        force(cell, "s0-0")
+        force_choice(cell, "s0-0")
         cell.coordinator._dispatcher.measured.level.value = level
         assert (await cell.coordinator.query(cell.make_query())).ok.complete
         return get_chosen(cell, "request-1")
@@ -170,8 +173,8 @@
     assert query_cell.run(main()) == ["hedge"] * hedges
 
 
-def blame(cell: query_cell.Cell, body: bytes, crash_id: str) -> None:
-    """Blames a query for the crash of a server of its own."""
+def attribute_crash(cell: query_cell.Cell, body: bytes, crash_id: str) -> None:
+    """Attributes the crash of a server to a query."""
     cell.board.blame.record(
         f"server-{crash_id}",
         f"searcher-{crash_id}",
@@ -183,9 +186,10 @@
 
 
 def test_hedges_and_retries_stay_within_their_budgets() -> None:
-    """Every searcher turns slow at random; hedging all would double the load.
+    """Every searcher is slow at random; hedging all would double the load.
 
-    Over many queries the extra calls stay within 5 % and 10 % of the needed.
+    Over many queries hedges must stay within 5 % and retries within 10 % of
+    the needed calls.
     """
 
     async def main() -> query_cell.Cell:
@@ -219,8 +223,8 @@
     assert counts["part.retried"] <= 120 + 10
 
 
-def test_a_failing_service_gets_no_retry_storm() -> None:
-    """A whole service fails at once; each query's retries would triple it."""
+def test_failing_service_gets_no_retry_storm() -> None:
+    """A whole service fails; unlimited retries would triple the load."""
 
     async def main() -> query_cell.Cell:
         cell = query_cell.Cell()
@@ -238,13 +242,13 @@
 
 
 @pytest.mark.parametrize("lost", ["silent", "restarted", "gone"])
-def test_a_vm_that_goes_with_its_searchers_costs_no_coverage(
+def test_lost_owner_vm_does_not_reduce_coverage(
     lost: str,
 ) -> None:
-    """An entry VM fails under a query; an eighth of the parts go with it.
+    """An entry VM fails during a query, and its parts are lost.
 
-    More than the hedges' budget holds. Membership notices after a while; its
-    parts must then go to other owners at once, and the answer be whole.
+    They exceed the hedge budget. Once membership detects the failure, they
+    must immediately be sent to other owners, and the answer must be complete.
     """
 
     async def main() -> responses.QueryAnswer:
@@ -274,8 +278,8 @@
     assert answer.took_ms < 200
 
 
-def test_a_silent_searcher_is_soon_left_out() -> None:
-    """One searcher accepts all and answers nothing; no failure ever comes."""
+def test_searcher_that_never_replies_is_soon_avoided() -> None:
+    """A searcher accepts all calls and never replies, so none ever fails."""
 
     async def main() -> list[bool]:
         cell = query_cell.Cell()
@@ -294,13 +298,13 @@
     assert complete[-15:] == [True] * 15
 
 
-def test_a_zone_taken_out_gets_no_retry_and_no_hedge() -> None:
+def test_zone_out_of_service_gets_no_retry_and_no_hedge() -> None:
     async def main() -> query_cell.Cell:
         cell = query_cell.Cell()
         await warm_up(cell)
         for name in cell.replicas_of(0):
             straggle(cell, name)
-        force(cell, "s0-0")
+        force_choice(cell, "s0-0")
         task = asyncio.ensure_future(cell.coordinator.query(cell.make_query()))
         await asyncio.sleep(0.002)
         cell.put(resources.Zone(name="zone-1", state=resources.ZoneState.OUT))
@@ -310,17 +314,20 @@
     assert get_chosen(query_cell.run(main()), "request-1") == []
 
 
-def test_a_request_blamed_for_a_crash_goes_to_one_shard_first() -> None:
+def test_request_that_may_have_caused_a_crash_is_sent_to_one_shard_first() -> (
+    None
+):
     """A query was in flight when a server crashed, and its caller repeats it.
 
-    It runs alone, on one shard; when a server crashes again the other shards
-    never get it, and there is no retry that would crash a third.
+    It first runs on one shard alone. If that server crashes too, the other
+    shards must not get the query, and there must be no retry that could crash
+    a third server.
     """
 
     async def main() -> tuple[list[str], int, bool]:
         cell = query_cell.Cell()
         query = cell.make_query()
-        blame(cell, query.body, "one")
+        attribute_crash(cell, query.body, "one")
         isolated = []
 
         async def crash(
@@ -344,18 +351,18 @@
     assert isolated
 
 
-def test_an_innocent_suspect_is_answered_whole() -> None:
+def test_harmless_suspect_request_gets_complete_answer() -> None:
     async def main() -> responses.QueryAnswer:
         cell = query_cell.Cell()
         query = cell.make_query()
-        blame(cell, query.body, "one")
+        attribute_crash(cell, query.body, "one")
         return (await cell.coordinator.query(query)).ok
 
     assert query_cell.run(main()).complete
 
 
-def test_two_crashes_under_one_query_end_it() -> None:
-    """A new poison query fans out; the first two crashes are proof enough."""
+def test_two_crashes_end_a_query() -> None:
+    """A new poison query fans out; two crashes suffice to end it."""
 
     async def main() -> query_cell.Cell:
         cell = query_cell.Cell()
@@ -376,12 +383,12 @@
     assert cancelled >= 3
 
 
-def test_a_quarantined_request_is_refused_as_not_run() -> None:
+def test_quarantined_request_is_refused_as_not_run() -> None:
     async def main() -> tuple[errors.Failure, int]:
         cell = query_cell.Cell()
         query = cell.make_query()
-        blame(cell, query.body, "one")
-        blame(cell, query.body, "two")
+        attribute_crash(cell, query.body, "one")
+        attribute_crash(cell, query.body, "two")
         result = await cell.coordinator.query(query)
         return result.error, cell.count_calls()
 
@@ -392,10 +399,11 @@
     assert calls == 0
 
 
-def test_the_delay_of_a_hedge_is_the_shards_own() -> None:
-    """One shard is four times slower than the others, all its replicas.
+def test_hedge_delay_is_measured_per_shard() -> None:
+    """All replicas of one shard are four times slower than the others.
 
-    Asking it twice makes it no faster: once measured, it is not hedged.
+    Hedging doesn't make the shard faster, so once this is measured, it must
+    not be hedged.
     """
 
     async def main() -> query_cell.Cell:
