--- a/tests/controllers/test_poisoning.py
+++ b/tests/controllers/test_poisoning.py
@@ -1,4 +1,4 @@
-"""Poison requests: few crashes, however often and wide they are sent."""
+"""Tests that poison requests cause only a limited number of crashes."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Deployment:
-    """Eight VMs over ten servers of two searchers, with a simple asker.
+    """Eight VMs and ten servers of two searchers, with a simple coordinator.
 
-    A request is sent through any VM. As a coordinator does, the VM refuses
-    it while it is quarantined, and sends a suspect to one shard first.
+    A request is sent through any VM. Like a coordinator, the VM refuses it
+    while it is quarantined and sends a suspect request to one shard only.
 
     Attributes:
         benches: The VMs by name.
@@ -28,7 +28,11 @@
     """
 
     def __init__(self, **faults: Any) -> None:
-        """Makes a deployment in which nothing is known of any request."""
+        """Creates a deployment without suspect requests.
+
+        Args:
+            faults: Values for the searchers' `memory.Faults`.
+        """
         servers = [
             resources.BackendServer(
                 name=f"x{number}",
@@ -73,13 +77,23 @@
         await asyncio.sleep(0.5)
 
     def count_crashes(self) -> int:
-        """Counts the crashes of servers, ever."""
+        """Returns the total number of server crashes."""
         return sum(searcher.crashes for searcher in self.searchers) // 2
 
-    def ask(
+    def send_request(
         self, vm: str, fingerprint: int, body: bytes, width: int
     ) -> str | None:
-        """Sends a request through a VM; None if it is refused there."""
+        """Sends a request through a VM.
+
+        Args:
+            vm: The VM's name.
+            fingerprint: The request's fingerprint.
+            body: The query.
+            width: The number of searchers to send it to.
+
+        Returns:
+            The request's id; None if the VM refuses it.
+        """
         now_s = asyncio.get_running_loop().time()
         blame = self.benches[vm].board.blame
         if blame.quarantined_ms(fingerprint, now_s) > 0:
@@ -105,7 +119,7 @@
         return request_id
 
     def get_kinds(self, request_id: str) -> list[str]:
-        """Returns the kinds of all results of a request, over all VMs."""
+        """Returns the kinds of a request's results on all VMs."""
         return [
             owning.get_kind(result)
             for bench in self.benches.values()
@@ -115,28 +129,28 @@
 
 
 @pytest.mark.parametrize("width", [1, 20])
-def test_a_caller_that_keeps_sending_poison_crashes_few_servers(
+def test_repeated_poison_request_crashes_few_servers(
     width: int,
 ) -> None:
     """A caller sends a poison request through all VMs in turn, for minutes.
 
-    The bound: its first sending may crash every server that it is spread
-    over, since nothing is known of it. If these are two or more it is
-    refused for half a minute; then, sent again to one shard alone, it
-    crashes one more and is refused for the quarantine. If it was one, one or
-    two more that it gets alone.
+    The first time it may crash every server that it is sent to, because it is
+    not suspect yet. If these are two or more, it is refused for half a minute;
+    then it is sent to one shard only, crashes one more server and is refused
+    for the quarantine time. If it was one server, it may crash one or two
+    more, running alone.
     """
 
     async def scenario() -> None:
         deployment = Deployment()
         await deployment.start()
-        deployment.ask("vm1", 7, POISON, width)
+        deployment.send_request("vm1", 7, POISON, width)
         await asyncio.sleep(0.2)
         first = deployment.count_crashes()
         refused = 0
         for number in range(3000):
             vm = VMS[number % len(VMS)]
-            refused += deployment.ask(vm, 7, POISON, width) is None
+            refused += deployment.send_request(vm, 7, POISON, width) is None
             await asyncio.sleep(0.1)
 
         assert 1 <= first <= min(10, width)
@@ -146,26 +160,26 @@
     owning.run(scenario())
 
 
-def test_a_poison_request_sent_at_once_everywhere_crashes_what_it_reaches() -> (
+def test_poison_request_sent_through_all_vms_crashes_only_first_servers() -> (
     None
 ):
-    """All VMs get it in the same moment, and again when it comes free.
+    """All VMs send it at the same time, and again when it isn't refused.
 
-    Ten servers run it at once and crash; nobody could have known. From then
-    on one crash at most on each of the eight owners is the bound, and with
-    notices in time one alone.
+    Ten servers run it concurrently and crash, which can't be prevented. After
+    that the limit is one crash on each of the eight owners, and one in total
+    if the notices arrive in time.
     """
 
     async def scenario() -> None:
         deployment = Deployment()
         await deployment.start()
         for vm in VMS:
-            deployment.ask(vm, 7, POISON, 20)
+            deployment.send_request(vm, 7, POISON, 20)
         await asyncio.sleep(0.3)
         first = deployment.count_crashes()
         for _ in range(60):
             for vm in VMS:
-                deployment.ask(vm, 7, POISON, 20)
+                deployment.send_request(vm, 7, POISON, 20)
             await asyncio.sleep(1)
 
         assert first <= 10
@@ -174,11 +188,11 @@
     owning.run(scenario())
 
 
-def test_without_any_notice_the_owners_alone_bound_the_crashes() -> None:
-    """Every notice between the VMs is lost.
+def test_owners_limit_crashes_without_notices() -> None:
+    """Every crash notice between the VMs is lost.
 
-    Each owner still learns from its own crashes: after the first wave it
-    runs the request alone, and after one more crash no more.
+    Each owner still uses the crashes that it detects: after the first ones it
+    runs the request alone, and after one more crash not at all.
     """
 
     async def scenario() -> None:
@@ -188,11 +202,11 @@
                 message, messages.CrashNotice
             )
         await deployment.start()
-        deployment.ask("vm1", 7, POISON, 20)
+        deployment.send_request("vm1", 7, POISON, 20)
         await asyncio.sleep(2)
         first = deployment.count_crashes()
         for number in range(1000):
-            deployment.ask(VMS[number % len(VMS)], 7, POISON, 20)
+            deployment.send_request(VMS[number % len(VMS)], 7, POISON, 20)
             await asyncio.sleep(0.1)
 
         assert deployment.count_crashes() - first <= 2 * len(VMS)
@@ -200,11 +214,11 @@
     owning.run(scenario())
 
 
-def test_innocent_requests_in_flight_are_not_barred() -> None:
-    """Fifty lookups run while a poison request comes and comes again.
+def test_harmless_requests_in_flight_are_not_quarantined() -> None:
+    """Fifty harmless queries run while a poison request is sent twice.
 
-    Those in flight at a crash are suspects for a moment. They must end
-    whole, or fail with their server, and none may be quarantined.
+    Those in flight during a crash are suspect for a short time. They must
+    succeed or fail with their server, and none may be quarantined.
     """
 
     async def scenario() -> None:
@@ -212,16 +226,18 @@
         await deployment.start()
         request_ids = []
         for number in range(50):
-            request_id = deployment.ask(
+            request_id = deployment.send_request(
                 VMS[number % len(VMS)], 100 + number % 10, b"{}", 4
             )
             request_ids.append(request_id)
             if number in (10, 30):
-                deployment.ask("vm2", 7, POISON, 1)
+                deployment.send_request("vm2", 7, POISON, 1)
             await asyncio.sleep(0.05)
         await asyncio.sleep(5)
         again = [
-            deployment.ask(VMS[number % len(VMS)], 100 + number, b"{}", 4)
+            deployment.send_request(
+                VMS[number % len(VMS)], 100 + number, b"{}", 4
+            )
             for number in range(10)
         ]
         await asyncio.sleep(1)
@@ -235,11 +251,11 @@
     owning.run(scenario())
 
 
-def test_a_request_beside_a_poison_one_goes_on_alone_and_ends_whole() -> None:
-    """A wide innocent query is in flight when a server crashes under it.
+def test_harmless_request_beside_poison_request_continues_alone() -> None:
+    """A harmless query is in flight on several servers when one crashes.
 
-    Its parts on other servers are taken back and go on one at a time, so it
-    loses time and the part on the crashed server, and nothing else.
+    Its parts on other servers are requeued and run one at a time, so it loses
+    only some time and the part on the crashed server.
     """
 
     async def scenario() -> None:
@@ -267,12 +283,12 @@
     owning.run(scenario())
 
 
-def test_what_a_poison_request_runs_on_elsewhere_is_saved_in_time() -> None:
-    """A poison request runs on a quick server and on two slow ones.
+def test_poison_request_is_cancelled_on_other_servers_after_a_crash() -> None:
+    """A poison request runs on a fast server and on two slow ones.
 
-    The quick one crashes first. The slow ones must be rid of the request
-    before it has crashed them too: it goes on alone on one of them, and once
-    that has crashed no more.
+    The fast one crashes first. The request must be cancelled on the slow ones
+    before it crashes them too: it then runs on one of them alone, and after
+    that server's crash it doesn't run again.
     """
 
     async def scenario() -> None:
@@ -297,10 +313,11 @@
     owning.run(scenario())
 
 
-def test_an_isolated_request_runs_one_part_at_a_time_on_an_owner() -> None:
-    """A suspect comes for three searchers of one owner: one after another.
+def test_isolated_request_runs_one_part_at_a_time_per_owner() -> None:
+    """A suspect request is sent to three searchers of one owner.
 
-    Were it poison, all three servers would go down together.
+    If they ran it concurrently, a poison request would crash all three
+    servers.
     """
 
     async def scenario() -> None:
@@ -323,11 +340,12 @@
     owning.run(scenario())
 
 
-def test_a_suspect_waits_until_a_second_crash_would_count() -> None:
-    """A server is back 50 ms after its crash, and the caller sends again.
+def test_suspect_request_waits_until_second_crash_is_counted() -> None:
+    """A server restarts 50 ms after its crash, and the request is sent again.
 
-    Crashes of one server so close together are taken for one, told by two
-    owners. A suspect that could use this would get a try for nothing.
+    Crashes of one server this close together are merged, as reports of two
+    owners about one crash. A suspect request must not get an additional
+    attempt that isn't counted.
     """
 
     async def scenario() -> None:
@@ -347,11 +365,11 @@
     owning.run(scenario())
 
 
-def test_a_call_given_up_just_before_a_crash_is_charged_too() -> None:
-    """A caller hangs up, and a moment later the server crashes of its call.
+def test_crash_is_also_attributed_to_recently_cancelled_call() -> None:
+    """A call is cancelled and crashes its server shortly afterwards.
 
-    The searcher had not yet heard of the end. Only an innocent call is in
-    flight any more, and would be charged alone.
+    The searcher had not noticed the cancellation yet. Only a harmless call is
+    still in flight, and the crash would be attributed to it alone.
     """
 
     async def scenario() -> None:
@@ -373,8 +391,8 @@
     owning.run(scenario())
 
 
-def test_a_suspect_runs_alone_on_its_searcher() -> None:
-    """One in flight beside a poison request would be blamed with it."""
+def test_suspect_request_runs_alone_on_its_searcher() -> None:
+    """A crash is attributed to all calls in flight, so a suspect runs alone."""
 
     async def scenario() -> None:
         bench = owning.make_bench(
@@ -395,7 +413,7 @@
     owning.run(scenario())
 
 
-def test_a_vm_that_comes_up_later_learns_of_quarantines() -> None:
+def test_vm_started_later_receives_quarantines() -> None:
     async def scenario() -> None:
         deployment = Deployment()
         late = deployment.benches["vm8"]
@@ -423,8 +441,8 @@
     owning.run(scenario())
 
 
-def test_a_connection_that_something_cut_is_no_crash() -> None:
-    """A middlebox resets a connection; the searcher is well and answers."""
+def test_connection_lost_in_network_is_not_a_crash() -> None:
+    """A connection is reset in the network; the searcher keeps running."""
 
     async def scenario() -> None:
         searcher = owning.make_searcher("s1")
