--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -15,7 +15,7 @@
 from azureramp import blackboard, errors, messages, resources
 from azureramp.policy import snapshots, topology
 
-REMEMBER_S = 2.0
+STATE_MEMORY_S = 2.0
 """How long the state announced by a searcher's last owner is used until the
 next owner announces one, in seconds."""
 
@@ -125,9 +125,9 @@
             announced = self._announced.get(name)
             if name in states or announced is None:
                 continue
-            if now_s < announced[1] + REMEMBER_S:
+            if now_s < announced[1] + STATE_MEMORY_S:
                 states[name] = announced[0]
-                until_s = min(until_s, announced[1] + REMEMBER_S)
+                until_s = min(until_s, announced[1] + STATE_MEMORY_S)
             else:
                 del self._announced[name]
         return until_s
