--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -108,7 +108,7 @@
             if not batch.repeatable and not self._once.add(key, _now_s()):
                 self._runner.fail(part, errors.Failure(errors.Kind.OVERLOADED))
             else:
-                self._runner.take(part)
+                self._runner.enqueue(part)
 
     def receive_cancel(self, sender: str, message: messages.Cancel) -> None:
         """Cancels sub-requests whose results are no longer needed."""
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -77,7 +77,7 @@
         self._trials = trial_queue.TrialQueue(suspects)
         self.on_released: Callable[[OwnedSearcher], None] = _ignore
 
-    def take(self, part: Part) -> None:
+    def enqueue(self, part: Part) -> None:
         """Queues a sub-request or refuses it immediately."""
         owned = self._holdings.owned.get(part.request.searcher)
         if owned is None:
@@ -212,7 +212,7 @@
             part.watch = None
         entry = self._holdings.parts.get(part.key)
         if part.again:
-            self.take(part)
+            self.enqueue(part)
         elif entry is not None and entry[1] is part:
             self.fail(part, errors.Failure(errors.Kind.CANCELLED))
         self._free(owned)
@@ -289,7 +289,7 @@
         trial.
         """
         for part in self._trials.take(fingerprint):
-            self.take(part)
+            self.enqueue(part)
 
 
 def _ignore(owned: OwnedSearcher) -> None:
