--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -138,7 +138,7 @@
                 self._handoffs.receive_done(sender, name)
             else:
                 owned.held.pop(sender, None)
-                self._runner.pump(owned)
+                self._runner.start_waiting(owned)
 
     def receive_crash_notice(
         self, sender: str, message: messages.CrashNotice
@@ -194,7 +194,7 @@
         self._poisoning.repeat_quarantines()
         queued = 0
         for owned in list(self._holdings.owned.values()):
-            self._runner.pump(owned)
+            self._runner.start_waiting(owned)
             self._prober.probe_if_due(owned)
             queued += len(owned.queue)
         self._board.metrics.set_gauge("searcher.queued", queued)
@@ -204,7 +204,7 @@
         if not owned.reachable:
             failure = errors.Failure(errors.Kind.CONNECTION_LOST, "down")
             self._runner.fail_waiting(owned, failure)
-        self._runner.pump(owned)
+        self._runner.start_waiting(owned)
         self._publish()
 
     def _publish(self) -> None:
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -90,7 +90,7 @@
         self._holdings.parts[part.key] = (owned, part)
         if self._trials.admit(part):
             self._push(owned, part)
-            self.pump(owned)
+            self.start_waiting(owned)
 
     def cancel(self, owned: OwnedSearcher, part: Part) -> None:
         """Cancels a sub-request whose result is no longer needed.
@@ -128,7 +128,7 @@
                 part.again = True
                 part.task.cancel()
 
-    def pump(self, owned: OwnedSearcher) -> None:
+    def start_waiting(self, owned: OwnedSearcher) -> None:
         """Starts as many queued sub-requests as there are free slots."""
         now_s = _now_s()
         for expired in owned.queue.expire(now_s):
@@ -266,7 +266,7 @@
         """Reuses the slot that a sub-request has freed."""
         if self._holdings.owned.get(owned.get_name()) is owned:
             self._prober.note(owned)
-            self.pump(owned)
+            self.start_waiting(owned)
         elif not owned.running:
             self.on_released(owned)
 
