--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -109,7 +109,7 @@
         owned.queue.remove(part)
         self.fail(part, errors.Failure(errors.Kind.CANCELLED))
 
-    def isolate(self, fingerprint: int, server: str) -> None:
+    def requeue_suspect(self, fingerprint: int, server: str) -> None:
         """Requeues the sub-requests of a new suspect so that they run alone.
 
         A request's sub-requests run concurrently on many servers when the
