--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -82,7 +82,7 @@
             return
         self._received[message.searcher] = Received(sender, message, _now_s())
 
-    def take(self, searcher: str) -> Received | None:
+    def pop_valid(self, searcher: str) -> Received | None:
         """Removes and returns a valid handoff; None if there is none."""
         received = self._received.pop(searcher, None)
         if received is None:
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -81,7 +81,7 @@
 
     def _try_acquire(self, name: str, place: directory.Place) -> None:
         """Acquires a searcher if its former owner can no longer use it."""
-        received = self._handoffs.take(name)
+        received = self._handoffs.pop_valid(name)
         if received is None and not self._handoffs.may_start(name):
             return
         owned = OwnedSearcher(place)
