--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -106,7 +106,7 @@
             del self._released[searcher]
         return may_start_s is not None and now_s >= may_start_s
 
-    def give(self, owned: OwnedSearcher, vm: str) -> None:
+    def hand_off(self, owned: OwnedSearcher, vm: str) -> None:
         """Hands a searcher off to its new owner."""
         released = Released(vm, owned, _now_s())
         self._released[owned.get_name()] = released
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -143,7 +143,7 @@
         self._record_owner(name, False, "released")
         vm = self._board.owners.get(name, "")
         if vm not in ("", self._board.settings.vm):
-            self._handoffs.give(owned, vm)
+            self._handoffs.hand_off(owned, vm)
 
     def _record_owner(self, name: str, owned: bool, reason: str) -> None:
         """Records that this VM acquired or released a searcher."""
