--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -112,7 +112,7 @@
         self._released[owned.get_name()] = released
         self._send(released)
 
-    def tend(self) -> None:
+    def resend_and_report(self) -> None:
         """Resends handoffs that may be lost and reports completed ones."""
         now_s = _now_s()
         for name, released in list(self._released.items()):
@@ -141,13 +141,13 @@
         released = self._released.get(searcher)
         if released is not None:
             released.owned.held.pop(sender, None)
-            self.tend()
+            self.resend_and_report()
 
     def end_part(self, owned: OwnedSearcher) -> None:
         """Notifies the new owner immediately when the last call has ended."""
         released = self._released.get(owned.get_name())
         if released is not None and released.owned is owned:
-            self.tend()
+            self.resend_and_report()
 
     def _send(self, released: Released) -> None:
         """Sends a handoff."""
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -183,14 +183,14 @@
             for task in tasks:
                 task.cancel()
             await asyncio.wait(tasks, timeout=1.0)
-        self._handoffs.tend()
+        self._handoffs.resend_and_report()
         self._prober.close()
         self._poisoning.close()
 
     def _tick(self) -> None:
         """Runs the periodic work once."""
         self.update_ownership()
-        self._handoffs.tend()
+        self._handoffs.resend_and_report()
         self._poisoning.repeat_quarantines()
         queued = 0
         for owned in list(self._holdings.owned.values()):
