--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -143,7 +143,7 @@
             released.owned.held.pop(sender, None)
             self.resend_and_report()
 
-    def end_part(self, owned: OwnedSearcher) -> None:
+    def handle_calls_ended(self, owned: OwnedSearcher) -> None:
         """Notifies the new owner immediately when the last call has ended."""
         released = self._released.get(owned.get_name())
         if released is not None and released.owned is owned:
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -83,7 +83,7 @@
             late_notices.LateNotices(outbox),
         )
         self._poisoning.on_charged = self._runner.requeue_suspect
-        self._runner.on_released = self._handoffs.end_part
+        self._runner.on_released = self._handoffs.handle_calls_ended
         self._once: once.Once[tuple[str, int]] = once.Once(
             DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
         )
