--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Received:
+class ReceivedHandoff:
     """A handoff received from a former owner.
 
     Attributes:
@@ -60,7 +60,7 @@
         """Creates it without handoffs."""
         self._board = board
         self._outbox = outbox
-        self._received: dict[str, Received] = {}
+        self._received: dict[str, ReceivedHandoff] = {}
         self._released: dict[str, Released] = {}
 
     def receive(self, sender: str, message: messages.Handoff) -> None:
@@ -80,9 +80,11 @@
             and _now_s() - released.at_s < self._get_memory_s()
         ):
             return
-        self._received[message.searcher] = Received(sender, message, _now_s())
+        self._received[message.searcher] = ReceivedHandoff(
+            sender, message, _now_s()
+        )
 
-    def pop_valid(self, searcher: str) -> Received | None:
+    def pop_valid(self, searcher: str) -> ReceivedHandoff | None:
         """Removes and returns a valid handoff; None if there is none."""
         received = self._received.pop(searcher, None)
         if received is None:
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -94,7 +94,7 @@
         self._prober.probe(owned)
 
     def _resume(
-        self, owned: OwnedSearcher, received: handoffs.Received
+        self, owned: OwnedSearcher, received: handoffs.ReceivedHandoff
     ) -> None:
         """Continues with the state that the former owner handed off."""
         message = received.message
