--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Released:
+class SentHandoff:
     """A searcher that this VM has handed off.
 
     Attributes:
@@ -61,7 +61,7 @@
         self._board = board
         self._outbox = outbox
         self._received: dict[str, ReceivedHandoff] = {}
-        self._released: dict[str, Released] = {}
+        self._released: dict[str, SentHandoff] = {}
 
     def receive(self, sender: str, message: messages.Handoff) -> None:
         """Stores a handoff until this VM sees itself as the owner.
@@ -110,7 +110,7 @@
 
     def hand_off(self, owned: OwnedSearcher, vm: str) -> None:
         """Hands a searcher off to its new owner."""
-        released = Released(vm, owned, _now_s())
+        released = SentHandoff(vm, owned, _now_s())
         self._released[owned.get_name()] = released
         self._send(released)
 
@@ -151,7 +151,7 @@
         if released is not None and released.owned is owned:
             self.resend_and_report()
 
-    def _send(self, released: Released) -> None:
+    def _send(self, released: SentHandoff) -> None:
         """Sends a handoff."""
         owned = released.owned
         now_s = _now_s()
