--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -92,7 +92,7 @@
         match failure.kind:
             case errors.Kind.CONNECTION_LOST:
                 owned.ramp.fail(part.epoch)
-                if await self._poisoning.judge(owned, part):
+                if await self._poisoning.check_server(owned, part):
                     self._prober.lose(owned, "crashed")
                     return errors.Failure(errors.Kind.BACKEND_CRASHED)
             case errors.Kind.DEADLINE_PASSED:
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -134,7 +134,7 @@
             (_now_s(), owned.place.server.name, part.batch.fingerprint)
         )
 
-    async def judge(self, owned: OwnedSearcher, part: Part) -> bool:
+    async def check_server(self, owned: OwnedSearcher, part: Part) -> bool:
         """Determines whether a connection was lost by its server's crash.
 
         All calls that lost their connections share one check of the server.
