--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -63,7 +63,7 @@
         """Handles a call that was abandoned before its reply."""
         now_s = asyncio.get_running_loop().time()
         owned.ramp.end_unanswered((now_s - part.sent_s) * 1000, part.epoch)
-        self._poisoning.give_up(owned, part)
+        self._poisoning.record_abandoned(owned, part)
         if owned.is_cold():
             owned.lingering_s.append(now_s + ABANDONED_CALL_S)
 
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -128,7 +128,7 @@
         """Clears a request's crashes after a successful call."""
         self._board.blame.clear(part.batch.fingerprint)
 
-    def give_up(self, owned: OwnedSearcher, part: Part) -> None:
+    def record_abandoned(self, owned: OwnedSearcher, part: Part) -> None:
         """Remembers a call that was abandoned before its reply."""
         self._abandoned.append(
             (_now_s(), owned.place.server.name, part.batch.fingerprint)
