--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -74,7 +74,7 @@
         owned.succeeded_s = asyncio.get_running_loop().time()
         took_ms = (owned.succeeded_s - part.sent_s) * 1000
         owned.ramp.succeed(took_ms, part.epoch)
-        self._poisoning.succeed(part)
+        self._poisoning.record_success(part)
         self._board.metrics.record_ms("searcher.took_ms", took_ms)
         return messages.PartDone(
             part.request.part,
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -124,7 +124,7 @@
             return errors.Failure(errors.Kind.COLD, "just crashed")
         return None
 
-    def succeed(self, part: Part) -> None:
+    def record_success(self, part: Part) -> None:
         """Clears a request's crashes after a successful call."""
         self._board.blame.clear(part.batch.fingerprint)
 
