--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -82,7 +82,7 @@
             replies.Replies(outbox),
             late_notices.LateNotices(outbox),
         )
-        self._poisoning.on_charged = self._runner.requeue_suspect
+        self._poisoning.on_attributed = self._runner.requeue_suspect
         self._runner.on_released = self._handoffs.handle_calls_ended
         self._once: once.Once[tuple[str, int]] = once.Once(
             DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -64,7 +64,7 @@
         "_outbox",
         "_port",
         "_repeated_s",
-        "on_charged",
+        "on_attributed",
         "trials",
     )
 
@@ -78,7 +78,7 @@
     ) -> None:
         """Creates it without suspect requests."""
         self.trials = trials.Trials()
-        self.on_charged: Callable[[int, str], None] = _ignore
+        self.on_attributed: Callable[[int, str], None] = _ignore
         self._board = board
         self._outbox = outbox
         self._port = port
@@ -267,7 +267,7 @@
                 now_s,
             )
             if blame.crashes(fingerprint, now_s) > 0:
-                self.on_charged(fingerprint, notice.server)
+                self.on_attributed(fingerprint, notice.server)
 
     def _broadcast(self, notice: messages.CrashNotice) -> None:
         """Sends a notice to every other VM."""
