--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -62,7 +62,7 @@
         self,
         board: blackboard.Blackboard,
         holdings: owned_searcher.Holdings,
-        suspects: poisoning.Poisoning,
+        suspects: poisoning.PoisonDetector,
         prober: probing.Prober,
     ) -> None:
         """Creates the rules of a process."""
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -69,7 +69,7 @@
         self._prober = probing.Prober(
             board, port, self._holdings, rng, self._handle_probe
         )
-        self._poisoning = poisoning.Poisoning(
+        self._poisoning = poisoning.PoisonDetector(
             board, outbox, port, self._directory, self._holdings
         )
         self._runner = part_runner.PartRunner(
--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -28,7 +28,7 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        suspects: poisoning.Poisoning,
+        suspects: poisoning.PoisonDetector,
         prober: probing.Prober,
     ) -> None:
         """Creates the handler of one process."""
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -57,7 +57,7 @@
         port: searchers_api.Searchers,
         places: directory.Directory,
         holdings: owned_searcher.Holdings,
-        suspects: poisoning.Poisoning,
+        suspects: poisoning.PoisonDetector,
         prober: probing.Prober,
         answers: replies.Replies,
         late: late_notices.LateNotices,
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -42,7 +42,7 @@
     verdict: asyncio.Task[bool]
 
 
-class Poisoning:
+class PoisonDetector:
     """Attributes crashes to requests and isolates suspect requests.
 
     A request is suspect while a crash is attributed to its fingerprint. A
--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -12,7 +12,7 @@
 
     __slots__ = ("_poisoning", "_waiting")
 
-    def __init__(self, suspects: poisoning.Poisoning) -> None:
+    def __init__(self, suspects: poisoning.PoisonDetector) -> None:
         """Creates an empty queue."""
         self._poisoning = suspects
         self._waiting: dict[int, list[Part]] = {}
