--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Incident:
+class CrashCheck:
     """A check of a backend server to which connections were lost.
 
     Attributes:
@@ -84,7 +84,7 @@
         self._port = port
         self._directory = places
         self._holdings = holdings
-        self._incidents: dict[str, Incident] = {}
+        self._incidents: dict[str, CrashCheck] = {}
         self._crashed_s: dict[str, float] = {}
         self._abandoned: collections.deque[tuple[float, str, int]] = (
             collections.deque(maxlen=MAX_ABANDONED)
@@ -152,7 +152,7 @@
         server = owned.place.server.name
         incident = self._incidents.get(server)
         if incident is None:
-            incident = Incident(
+            incident = CrashCheck(
                 self._get_in_flight(server),
                 asyncio.ensure_future(self._check_crash(owned)),
             )
