--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -39,7 +39,7 @@
     """
 
     fingerprints: set[int]
-    verdict: asyncio.Task[bool]
+    task: asyncio.Task[bool]
 
 
 class PoisonDetector:
@@ -158,7 +158,7 @@
             )
             self._incidents[server] = incident
         incident.fingerprints.add(part.batch.fingerprint)
-        return await asyncio.shield(incident.verdict)
+        return await asyncio.shield(incident.task)
 
     def receive_notice(self, message: messages.CrashNotice) -> None:
         """Handles another VM's notice of a crash or of quarantines."""
@@ -191,7 +191,7 @@
     def close(self) -> None:
         """Cancels all running checks."""
         for incident in self._incidents.values():
-            incident.verdict.cancel()
+            incident.task.cancel()
 
     async def _check_crash(self, owned: OwnedSearcher) -> bool:
         """Checks a searcher over a new connection; returns True if it crashed.
