--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -36,7 +36,7 @@
         self._poisoning = suspects
         self._prober = prober
 
-    async def take(
+    async def handle(
         self, owned: OwnedSearcher, part: Part, result: CallResult
     ) -> Outcome:
         """Handles the outcome of a call.
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -243,7 +243,7 @@
         self, owned: OwnedSearcher, part: Part, result: CallResult
     ) -> None:
         """Processes a call's result and replies to the coordinator."""
-        outcome = await self._outcomes.take(owned, part, result)
+        outcome = await self._outcomes.handle(owned, part, result)
         match outcome:
             case messages.PartDone():
                 self._reply(part, outcome)
