--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -59,7 +59,7 @@
             case expression.Result(error=failed):
                 return await self._handle_failure(owned, part, failed.failure)
 
-    def take_unanswered(self, owned: OwnedSearcher, part: Part) -> None:
+    def handle_abandoned(self, owned: OwnedSearcher, part: Part) -> None:
         """Handles a call that was abandoned before its reply."""
         now_s = asyncio.get_running_loop().time()
         owned.ramp.end_unanswered((now_s - part.sent_s) * 1000, part.epoch)
@@ -96,7 +96,7 @@
                     self._prober.lose(owned, "crashed")
                     return errors.Failure(errors.Kind.BACKEND_CRASHED)
             case errors.Kind.DEADLINE_PASSED:
-                self.take_unanswered(owned, part)
+                self.handle_abandoned(owned, part)
             case errors.Kind.VERSION_GONE:
                 self._prober.probe(owned)
             case _:
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -255,7 +255,7 @@
     def _handle_unanswered(self, owned: OwnedSearcher, part: Part) -> None:
         """Handles a call that was cancelled before its reply."""
         if part.sent:
-            self._outcomes.take_unanswered(owned, part)
+            self._outcomes.handle_abandoned(owned, part)
         if owned.lingering_s:
             abandoned_s = part_outcomes.ABANDONED_CALL_S
             asyncio.get_running_loop().call_later(
