--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -101,7 +101,7 @@
         if part.sent and not part.batch.repeatable:
             return
         part.unwanted = True
-        part.again = False
+        part.requeue = False
         if part.task is not None:
             part.task.cancel()
             return
@@ -125,7 +125,7 @@
                 and not part.alone
                 and owned.place.server.name != server
             ):
-                part.again = True
+                part.requeue = True
                 part.task.cancel()
 
     def start_waiting(self, owned: OwnedSearcher) -> None:
@@ -182,7 +182,7 @@
         that is cancelled before its first step never runs its code and would
         occupy the slot forever.
         """
-        part.again = False
+        part.requeue = False
         owned.running[part.key] = part
         part.task = asyncio.ensure_future(self._run(owned, part))
         part.task.add_done_callback(lambda task: self._finish(owned, part))
@@ -194,7 +194,7 @@
                 owned.make_call(part, _now_s(), self._rules.get_lease_s()),
                 lambda: self._may_write(owned, part),
             )
-            if not part.again:
+            if not part.requeue:
                 await self._end(owned, part, result)
         except asyncio.CancelledError:
             self._handle_unanswered(owned, part)
@@ -211,7 +211,7 @@
             self._late.end(part.watch)
             part.watch = None
         entry = self._holdings.parts.get(part.key)
-        if part.again:
+        if part.requeue:
             self.enqueue(part)
         elif entry is not None and entry[1] is part:
             self.fail(part, errors.Failure(errors.Kind.CANCELLED))
@@ -234,7 +234,7 @@
                 )
                 return True
             case dispatch_rules.Postponed():
-                part.again = True
+                part.requeue = True
             case dispatch_rules.Refused(failure):
                 part.refusal = failure
         return False
--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -42,7 +42,7 @@
     sent_s: float = 0.0
     epoch: int = 0
     refusal: errors.Failure | None = None
-    again: bool = False
+    requeue: bool = False
     unwanted: bool = False
     task: asyncio.Task[None] | None = None
     watch: late_notices.Running | None = None
