--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -100,7 +100,7 @@
         """
         if part.sent and not part.batch.repeatable:
             return
-        part.unwanted = True
+        part.cancelled = True
         part.requeue = False
         if part.task is not None:
             part.task.cancel()
@@ -157,7 +157,7 @@
 
     def fail(self, part: Part, failure: errors.Failure) -> None:
         """Ends a sub-request without a result and replies with the failure."""
-        if part.unwanted and part.batch.repeatable:
+        if part.cancelled and part.batch.repeatable:
             self._remove(part)
             return
         self._reply(
--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -43,7 +43,7 @@
     epoch: int = 0
     refusal: errors.Failure | None = None
     requeue: bool = False
-    unwanted: bool = False
+    cancelled: bool = False
     task: asyncio.Task[None] | None = None
     watch: late_notices.Running | None = None
 
