--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -207,9 +207,9 @@
         """Frees a sub-request's slot and replies if no reply was sent yet."""
         owned.running.pop(part.key, None)
         part.task = None
-        if part.watch is not None:
-            self._late.end(part.watch)
-            part.watch = None
+        if part.late_notice is not None:
+            self._late.end(part.late_notice)
+            part.late_notice = None
         entry = self._holdings.parts.get(part.key)
         if part.requeue:
             self.enqueue(part)
@@ -224,7 +224,7 @@
                 part.sent = True
                 part.sent_s = _now_s()
                 part.epoch = owned.ramp.epoch
-                part.watch = self._late.begin(
+                part.late_notice = self._late.begin(
                     owned.get_name(), part.coordinator, part.key
                 )
                 self._board.metrics.count("searcher.calls")
