--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -41,11 +41,11 @@
         "held",
         "lingering_s",
         "misses",
-        "noted",
         "place",
         "queue",
         "ramp",
         "reachable",
+        "recorded_state",
         "running",
         "succeeded_s",
     )
@@ -64,7 +64,7 @@
         self.succeeded_s = 0.0
         self.held: dict[str, tuple[int, float]] = {}
         self.lingering_s: list[float] = []
-        self.noted: tuple[str, int] | None = None
+        self.recorded_state: tuple[str, int] | None = None
 
     def get_name(self) -> str:
         """Returns the searcher's name."""
--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -116,9 +116,9 @@
         """Records a searcher's state in the timeline if it has changed."""
         incarnation = owned.health.incarnation if owned.health else 0
         state = owned.ramp.state.value if owned.reachable else "lost"
-        if owned.noted == (state, incarnation):
+        if owned.recorded_state == (state, incarnation):
             return
-        owned.noted = (state, incarnation)
+        owned.recorded_state = (state, incarnation)
         self._board.timeline.record(
             events.SearcherChanged(
                 searcher=owned.get_name(),
