--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -40,7 +40,7 @@
         "health",
         "held",
         "lingering_s",
-        "misses",
+        "missed_reads",
         "place",
         "queue",
         "ramp",
@@ -59,7 +59,7 @@
         self.running: dict[tuple[str, int], Part] = {}
         self.health: searchers_api.Health | None = None
         self.reachable = False
-        self.misses = 0
+        self.missed_reads = 0
         self.confirmed_lost = 0
         self.succeeded_s = 0.0
         self.held: dict[str, tuple[int, float]] = {}
--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -163,7 +163,7 @@
         elif known is not None and owned.reachable and lost_all:
             owned.ramp.turn_cold("lost")
         owned.health = health
-        owned.misses = 0
+        owned.missed_reads = 0
         owned.reachable = True
         owned.confirmed_lost = before.lost
         self._apply_reported_cold(owned, health.cold)
@@ -177,8 +177,8 @@
         if failure.kind is errors.Kind.DEADLINE_PASSED:
             if owned.succeeded_s >= began_s:
                 return
-            owned.misses += 1
-            if owned.misses < MAX_MISSES:
+            owned.missed_reads += 1
+            if owned.missed_reads < MAX_MISSES:
                 return
         self.lose(owned, "lost")
 
