--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -36,10 +36,10 @@
     """
 
     __slots__ = (
+        "abandoned_until_s",
         "confirmed_lost",
         "health",
         "held",
-        "lingering_s",
         "missed_reads",
         "place",
         "queue",
@@ -63,7 +63,7 @@
         self.confirmed_lost = 0
         self.succeeded_s = 0.0
         self.held: dict[str, tuple[int, float]] = {}
-        self.lingering_s: list[float] = []
+        self.abandoned_until_s: list[float] = []
         self.recorded_state: tuple[str, int] | None = None
 
     def get_name(self) -> str:
@@ -83,11 +83,11 @@
         held = sum(
             slots for slots, until_s in self.held.values() if now_s < until_s
         )
-        if self.lingering_s:
-            self.lingering_s = [
-                until_s for until_s in self.lingering_s if until_s > now_s
+        if self.abandoned_until_s:
+            self.abandoned_until_s = [
+                until_s for until_s in self.abandoned_until_s if until_s > now_s
             ]
-        return len(self.running) + held + len(self.lingering_s)
+        return len(self.running) + held + len(self.abandoned_until_s)
 
     def hold(self, former: str, slots: int, until_s: float) -> None:
         """Reserves the slots that a former owner still uses."""
@@ -96,7 +96,7 @@
     def get_longest_s(self, now_s: float) -> float:
         """Returns the longest remaining time of a slot in use, in seconds."""
         ends_s = [part.deadline_s for part in self.running.values()]
-        ends_s += self.lingering_s
+        ends_s += self.abandoned_until_s
         ends_s += [until_s for _, until_s in self.held.values()]
         return max(0.0, max(ends_s, default=now_s) - now_s)
 
--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -65,7 +65,7 @@
         owned.ramp.end_unanswered((now_s - part.sent_s) * 1000, part.epoch)
         self._poisoning.record_abandoned(owned, part)
         if owned.is_cold():
-            owned.lingering_s.append(now_s + ABANDONED_CALL_S)
+            owned.abandoned_until_s.append(now_s + ABANDONED_CALL_S)
 
     def _handle_reply(
         self, owned: OwnedSearcher, part: Part, reply: searchers_api.Reply
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -256,7 +256,7 @@
         """Handles a call that was cancelled before its reply."""
         if part.sent:
             self._outcomes.handle_abandoned(owned, part)
-        if owned.lingering_s:
+        if owned.abandoned_until_s:
             abandoned_s = part_outcomes.ABANDONED_CALL_S
             asyncio.get_running_loop().call_later(
                 abandoned_s, self._free, owned
