--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -142,7 +142,7 @@
         """
         released = self._released.get(searcher)
         if released is not None:
-            released.owned.held.pop(sender, None)
+            released.owned.reserved.pop(sender, None)
             self.resend_and_report()
 
     def handle_calls_ended(self, owned: OwnedSearcher) -> None:
--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -39,13 +39,13 @@
         "abandoned_until_s",
         "confirmed_lost",
         "health",
-        "held",
         "missed_reads",
         "place",
         "queue",
         "ramp",
         "reachable",
         "recorded_state",
+        "reserved",
         "running",
         "succeeded_s",
     )
@@ -62,7 +62,7 @@
         self.missed_reads = 0
         self.confirmed_lost = 0
         self.succeeded_s = 0.0
-        self.held: dict[str, tuple[int, float]] = {}
+        self.reserved: dict[str, tuple[int, float]] = {}
         self.abandoned_until_s: list[float] = []
         self.recorded_state: tuple[str, int] | None = None
 
@@ -81,7 +81,9 @@
     def count_in_use(self, now_s: float) -> int:
         """Returns the number of slots in use, including former owners'."""
         held = sum(
-            slots for slots, until_s in self.held.values() if now_s < until_s
+            slots
+            for slots, until_s in self.reserved.values()
+            if now_s < until_s
         )
         if self.abandoned_until_s:
             self.abandoned_until_s = [
@@ -91,13 +93,13 @@
 
     def hold(self, former: str, slots: int, until_s: float) -> None:
         """Reserves the slots that a former owner still uses."""
-        self.held[former] = (slots, until_s)
+        self.reserved[former] = (slots, until_s)
 
     def get_longest_s(self, now_s: float) -> float:
         """Returns the longest remaining time of a slot in use, in seconds."""
         ends_s = [part.deadline_s for part in self.running.values()]
         ends_s += self.abandoned_until_s
-        ends_s += [until_s for _, until_s in self.held.values()]
+        ends_s += [until_s for _, until_s in self.reserved.values()]
         return max(0.0, max(ends_s, default=now_s) - now_s)
 
     def has_room(self, part: Part, now_s: float) -> bool:
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -137,7 +137,7 @@
             if owned is None:
                 self._handoffs.receive_done(sender, name)
             else:
-                owned.held.pop(sender, None)
+                owned.reserved.pop(sender, None)
                 self._runner.start_waiting(owned)
 
     def receive_crash_notice(
