--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -91,7 +91,7 @@
             ]
         return len(self.running) + held + len(self.abandoned_until_s)
 
-    def hold(self, former: str, slots: int, until_s: float) -> None:
+    def reserve(self, former: str, slots: int, until_s: float) -> None:
         """Reserves the slots that a former owner still uses."""
         self.reserved[former] = (slots, until_s)
 
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -158,7 +158,7 @@
 ) -> None:
     """Reserves the slots that the former owner still uses."""
     running_s = message.running_ms / 1000 + HELD_MARGIN_S
-    owned.hold(former, message.in_use, _now_s() + running_s)
+    owned.reserve(former, message.in_use, _now_s() + running_s)
 
 
 def _now_s() -> float:
