--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -126,7 +126,7 @@
         else:
             # This VM started without the handoff, but the former owner's
             # running calls still occupy slots.
-            ownership_changes.hold_slots(owned, sender, message)
+            ownership_changes.reserve_slots(owned, sender, message)
 
     def receive_handoff_done(
         self, sender: str, message: messages.HandoffDone
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -107,7 +107,7 @@
                 message.incarnation, False, message.in_use, message.versions
             )
             owned.reachable = True
-        hold_slots(owned, received.sender, message)
+        reserve_slots(owned, received.sender, message)
 
     def _open(self, owned: OwnedSearcher) -> None:
         """Allows connections to a searcher: half of those it accepts."""
@@ -153,7 +153,7 @@
         )
 
 
-def hold_slots(
+def reserve_slots(
     owned: OwnedSearcher, former: str, message: messages.Handoff
 ) -> None:
     """Reserves the slots that the former owner still uses."""
