--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -159,7 +159,7 @@
             fingerprint=part.batch.fingerprint,
         )
 
-    def is_known(self) -> bool:
+    def has_state(self) -> bool:
         """Returns True if its state was determined since this VM owns it."""
         return not self.reachable or bool(self.health and self.health.versions)
 
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -221,7 +221,7 @@
                 and (has_lease or not owned.is_cold())
             )
             for name, owned in self._holdings.owned.items()
-            if owned.is_known()
+            if owned.has_state()
         }
 
 
