--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -95,7 +95,7 @@
         """Reserves the slots that a former owner still uses."""
         self.reserved[former] = (slots, until_s)
 
-    def get_longest_s(self, now_s: float) -> float:
+    def get_longest_remaining_s(self, now_s: float) -> float:
         """Returns the longest remaining time of a slot in use, in seconds."""
         ends_s = [part.deadline_s for part in self.running.values()]
         ends_s += self.abandoned_until_s
