--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -197,7 +197,7 @@
         self.owned: dict[str, OwnedSearcher] = {}
         self.parts: dict[tuple[str, int], tuple[OwnedSearcher, Part]] = {}
 
-    def get_sent(self, server: str) -> set[int]:
+    def get_fingerprints_in_flight(self, server: str) -> set[int]:
         """Returns the fingerprints of the calls in flight on a server."""
         return {
             part.batch.fingerprint
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -286,7 +286,7 @@
             for at_s, name, fingerprint in self._abandoned
             if name == server and at_s >= since_s
         }
-        return self._holdings.get_sent(server) | abandoned
+        return self._holdings.get_fingerprints_in_flight(server) | abandoned
 
 
 def _ignore(fingerprint: int, server: str) -> None:
