--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -123,10 +123,10 @@
         searcher = place.searcher
         if before.searcher.address != searcher.address:
             self._port.set_limit(before.searcher.address, 0)
-            self._prober.lose(owned, "moved")
+            self._prober.mark_unreachable(owned, "moved")
         owned.ramp.resize(searcher.slots, searcher.cold_limit)
         if place.refusal is not None:
-            self._prober.lose(owned, "out")
+            self._prober.mark_unreachable(owned, "out")
             self._prober.forget(owned.get_name())
             self._port.set_limit(owned.get_address(), 0)
             self._runner.fail_waiting(owned, errors.Failure(place.refusal))
--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -54,7 +54,7 @@
                 return self._handle_reply(owned, part, reply)
             case expression.Result(error=failed) if not failed.sent:
                 if failed.failure.kind is errors.Kind.CONNECTION_LOST:
-                    self._prober.lose(owned, "refused")
+                    self._prober.mark_unreachable(owned, "refused")
                 return part.refusal or failed.failure
             case expression.Result(error=failed):
                 return await self._handle_failure(owned, part, failed.failure)
@@ -93,7 +93,7 @@
             case errors.Kind.CONNECTION_LOST:
                 owned.ramp.fail(part.epoch)
                 if await self._poisoning.check_server(owned, part):
-                    self._prober.lose(owned, "crashed")
+                    self._prober.mark_unreachable(owned, "crashed")
                     return errors.Failure(errors.Kind.BACKEND_CRASHED)
             case errors.Kind.DEADLINE_PASSED:
                 self.handle_abandoned(owned, part)
--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -105,7 +105,7 @@
         for name in list(self._probes):
             self.forget(name)
 
-    def lose(self, owned: OwnedSearcher, reason: str) -> None:
+    def mark_unreachable(self, owned: OwnedSearcher, reason: str) -> None:
         """Treats a searcher as unreachable until its next health report."""
         if owned.reachable:
             owned.reachable = False
@@ -180,7 +180,7 @@
             owned.missed_reads += 1
             if owned.missed_reads < MAX_MISSES:
                 return
-        self.lose(owned, "lost")
+        self.mark_unreachable(owned, "lost")
 
     def _apply_reported_cold(
         self, owned: OwnedSearcher, reported_cold: bool
