--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -265,7 +265,7 @@
     def _free(self, owned: OwnedSearcher) -> None:
         """Reuses the slot that a sub-request has freed."""
         if self._holdings.owned.get(owned.get_name()) is owned:
-            self._prober.note(owned)
+            self._prober.record_state(owned)
             self.start_waiting(owned)
         elif not owned.running:
             self.on_released(owned)
--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -110,9 +110,9 @@
         if owned.reachable:
             owned.reachable = False
             owned.ramp.turn_cold(reason)
-        self.note(owned)
+        self.record_state(owned)
 
-    def note(self, owned: OwnedSearcher) -> None:
+    def record_state(self, owned: OwnedSearcher) -> None:
         """Records a searcher's state in the timeline if it has changed."""
         incarnation = owned.health.incarnation if owned.health else 0
         state = owned.ramp.state.value if owned.reachable else "lost"
@@ -143,7 +143,7 @@
                 self._apply_report(owned, health, before)
             case expression.Result(error=failure):
                 self._handle_probe_failure(owned, failure, began_s)
-        self.note(owned)
+        self.record_state(owned)
         self.on_change(owned)
 
     def _apply_report(
