--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -123,7 +123,7 @@
             return False
         return not owned.is_cold() or self.get_lease_s() > 0
 
-    def is_useless(self, owned: OwnedSearcher, part: Part) -> bool:
+    def is_too_late(self, owned: OwnedSearcher, part: Part) -> bool:
         """Returns True if a sub-request is unlikely to finish in time."""
         least_ms = owned.ramp.get_expected_ms() * MIN_TIME_SHARE
         return (part.deadline_s - _now_s()) * 1000 <= least_ms
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -140,7 +140,7 @@
             if not owned.has_room(part, now_s):
                 return
             owned.queue.pop()
-            if self._rules.is_useless(owned, part):
+            if self._rules.is_too_late(owned, part):
                 late = errors.Failure(errors.Kind.DEADLINE_TOO_SHORT)
                 self.fail(part, late)
                 continue
