--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -132,7 +132,7 @@
         """Returns the maximum duration of a cold call, in seconds."""
         return self._board.lease_until_s - LEASE_MARGIN_S - _now_s()
 
-    def decide_writing(self, owned: OwnedSearcher, part: Part) -> Decision:
+    def decide_write(self, owned: OwnedSearcher, part: Part) -> Decision:
         """Decides immediately before the first byte is written.
 
         Between the start of a call and its first byte a connection may have
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -219,7 +219,7 @@
 
     def _may_write(self, owned: OwnedSearcher, part: Part) -> bool:
         """Decides immediately before the first byte; records the dispatch."""
-        match self._rules.decide_writing(owned, part):
+        match self._rules.decide_write(owned, part):
             case dispatch_rules.Allowed():
                 part.sent = True
                 part.sent_s = _now_s()
