--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -71,7 +71,7 @@
         self._poisoning = suspects
         self._prober = prober
 
-    def refuse_waiting(
+    def check_queueing(
         self, owned: OwnedSearcher, part: Part
     ) -> errors.Failure | None:
         """Returns why a sub-request can't be queued; None if it can."""
--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -24,15 +24,15 @@
         running: Sub-requests that run on it, by key.
         health: Its last health report; None before the first.
         reachable: False while it is down or not yet probed.
-        misses: Consecutive health reads that timed out.
+        missed_reads: Consecutive health reads that timed out.
         confirmed_lost: Number of lost connections when its incarnation was
             last confirmed.
         succeeded_s: Loop time of its last successful call, in seconds.
-        held: Slots that former owners still use and the loop time, in
+        reserved: Slots that former owners still use and the loop time, in
             seconds, by which they are free, by the VM that reported them.
-        lingering_s: Loop times, in seconds, at which the slots of abandoned
-            calls become free.
-        noted: The state and incarnation that were recorded last.
+        abandoned_until_s: Loop times, in seconds, at which the slots of
+            abandoned calls become free.
+        recorded_state: The state and incarnation that were recorded last.
     """
 
     __slots__ = (
@@ -80,7 +80,7 @@
 
     def count_in_use(self, now_s: float) -> int:
         """Returns the number of slots in use, including former owners'."""
-        held = sum(
+        reserved = sum(
             slots
             for slots, until_s in self.reserved.values()
             if now_s < until_s
@@ -89,7 +89,7 @@
             self.abandoned_until_s = [
                 until_s for until_s in self.abandoned_until_s if until_s > now_s
             ]
-        return len(self.running) + held + len(self.abandoned_until_s)
+        return len(self.running) + reserved + len(self.abandoned_until_s)
 
     def reserve(self, former: str, slots: int, until_s: float) -> None:
         """Reserves the slots that a former owner still uses."""
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -83,7 +83,7 @@
         if owned is None:
             self.fail(part, errors.Failure(errors.Kind.NOT_OWNER))
             return
-        refusal = self._rules.refuse_waiting(owned, part)
+        refusal = self._rules.check_queueing(owned, part)
         if refusal is not None:
             self.fail(part, refusal)
             return
--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -26,10 +26,10 @@
         sent_s: Loop time at which it was sent, in seconds.
         epoch: The ramp's epoch at that time.
         refusal: The reason if the check before the first byte refused it.
-        again: True if it must be queued again.
-        unwanted: True if its coordinator has cancelled it.
+        requeue: True if it must be queued again.
+        cancelled: True if its coordinator has cancelled it.
         task: The task that runs it; None while it waits.
-        watch: Notifies the coordinator if it runs long; None while unsent.
+        late_notice: Notifies the coordinator if it runs long; None while unsent.
     """
 
     coordinator: str
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -35,7 +35,7 @@
 
     Attributes:
         fingerprints: The fingerprints of the calls that were in flight.
-        verdict: Returns True if the server crashed.
+        task: The check; it returns True if the server crashed.
     """
 
     fingerprints: set[int]
@@ -50,7 +50,7 @@
 
     Attributes:
         trials: The trials that run on this VM.
-        on_charged: Called with each fingerprint to which a crash was
+        on_attributed: Called with each fingerprint to which a crash was
             attributed and the server that crashed.
     """
 
