--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -56,19 +56,19 @@
 class DispatchRules:
     """Decides at each step of a sub-request whether it may proceed."""
 
-    __slots__ = ("_board", "_holdings", "_poisoning", "_prober")
+    __slots__ = ("_board", "_detector", "_holdings", "_prober")
 
     def __init__(
         self,
         board: blackboard.Blackboard,
         holdings: owned_searcher.Holdings,
-        suspects: poisoning.PoisonDetector,
+        detector: poisoning.PoisonDetector,
         prober: probing.Prober,
     ) -> None:
         """Creates the rules of a process."""
         self._board = board
         self._holdings = holdings
-        self._poisoning = suspects
+        self._detector = detector
         self._prober = prober
 
     def check_queueing(
@@ -84,7 +84,7 @@
         left_ms = (part.deadline_s - _now_s()) * 1000
         if left_ms <= 0:
             return errors.Failure(errors.Kind.DEADLINE_TOO_SHORT)
-        suspicion = self._poisoning.get_refusal(part, owned)
+        suspicion = self._detector.get_refusal(part, owned)
         if suspicion is not None:
             return suspicion
         before = owned.queue.count_before(part.batch.priority)
@@ -151,12 +151,12 @@
         if _now_s() >= self._board.work_until_s:
             kind = errors.Kind.STALE_CONFIGURATION
             return Refused(errors.Failure(kind))
-        suspicion = self._poisoning.get_refusal(part, owned)
+        suspicion = self._detector.get_refusal(part, owned)
         if suspicion is not None:
             return Refused(suspicion)
         if not self._prober.is_confirmed(owned):
             return Postponed("the searcher may have restarted")
-        if self._poisoning.is_suspect(part) and not part.alone:
+        if self._detector.is_suspect(part) and not part.alone:
             return Postponed("the request is now suspect and must run alone")
         if not owned.is_cold():
             return Allowed()
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -45,11 +45,11 @@
     __slots__ = (
         "_board",
         "_changes",
+        "_detector",
         "_directory",
         "_handoffs",
         "_holdings",
         "_once",
-        "_poisoning",
         "_prober",
         "_runner",
     )
@@ -69,7 +69,7 @@
         self._prober = probing.Prober(
             board, port, self._holdings, rng, self._handle_probe
         )
-        self._poisoning = poisoning.PoisonDetector(
+        self._detector = poisoning.PoisonDetector(
             board, outbox, port, self._directory, self._holdings
         )
         self._runner = part_runner.PartRunner(
@@ -77,12 +77,12 @@
             port,
             self._directory,
             self._holdings,
-            self._poisoning,
+            self._detector,
             self._prober,
             replies.Replies(outbox),
             late_notices.LateNotices(outbox),
         )
-        self._poisoning.on_attributed = self._runner.requeue_suspect
+        self._detector.on_attributed = self._runner.requeue_suspect
         self._runner.on_released = self._handoffs.handle_calls_ended
         self._once: once.Once[tuple[str, int]] = once.Once(
             DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
@@ -144,7 +144,7 @@
         self, sender: str, message: messages.CrashNotice
     ) -> None:
         """Handles the notice of a crash that another owner detected."""
-        self._poisoning.receive_notice(message)
+        self._detector.receive_notice(message)
 
     def update_ownership(self) -> None:
         """Starts owning newly assigned searchers and hands off the others.
@@ -185,13 +185,13 @@
             await asyncio.wait(tasks, timeout=1.0)
         self._handoffs.resend_and_report()
         self._prober.close()
-        self._poisoning.close()
+        self._detector.close()
 
     def _tick(self) -> None:
         """Runs the periodic work once."""
         self.update_ownership()
         self._handoffs.resend_and_report()
-        self._poisoning.repeat_quarantines()
+        self._detector.repeat_quarantines()
         queued = 0
         for owned in list(self._holdings.owned.values()):
             self._runner.start_waiting(owned)
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -46,7 +46,7 @@
         port: searchers_api.Searchers,
         places: directory.Directory,
         holdings: owned_searcher.Holdings,
-        given: handoffs.Handoffs,
+        transfers: handoffs.Handoffs,
         prober: probing.Prober,
         runner: part_runner.PartRunner,
     ) -> None:
@@ -56,7 +56,7 @@
         self._port = port
         self._directory = places
         self._holdings = holdings
-        self._handoffs = given
+        self._handoffs = transfers
         self._prober = prober
         self._runner = runner
 
--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -23,17 +23,17 @@
 class PartOutcomes:
     """Applies outcomes of calls to ramps and to crash attribution."""
 
-    __slots__ = ("_board", "_poisoning", "_prober")
+    __slots__ = ("_board", "_detector", "_prober")
 
     def __init__(
         self,
         board: blackboard.Blackboard,
-        suspects: poisoning.PoisonDetector,
+        detector: poisoning.PoisonDetector,
         prober: probing.Prober,
     ) -> None:
         """Creates the handler of one process."""
         self._board = board
-        self._poisoning = suspects
+        self._detector = detector
         self._prober = prober
 
     async def handle(
@@ -63,7 +63,7 @@
         """Handles a call that was abandoned before its reply."""
         now_s = asyncio.get_running_loop().time()
         owned.ramp.end_unanswered((now_s - part.sent_s) * 1000, part.epoch)
-        self._poisoning.record_abandoned(owned, part)
+        self._detector.record_abandoned(owned, part)
         if owned.is_cold():
             owned.abandoned_until_s.append(now_s + ABANDONED_CALL_S)
 
@@ -74,7 +74,7 @@
         owned.succeeded_s = asyncio.get_running_loop().time()
         took_ms = (owned.succeeded_s - part.sent_s) * 1000
         owned.ramp.succeed(took_ms, part.epoch)
-        self._poisoning.record_success(part)
+        self._detector.record_success(part)
         self._board.metrics.record_ms("searcher.took_ms", took_ms)
         return messages.PartDone(
             part.request.part,
@@ -92,7 +92,7 @@
         match failure.kind:
             case errors.Kind.CONNECTION_LOST:
                 owned.ramp.fail(part.epoch)
-                if await self._poisoning.check_server(owned, part):
+                if await self._detector.check_server(owned, part):
                     self._prober.mark_unreachable(owned, "crashed")
                     return errors.Failure(errors.Kind.BACKEND_CRASHED)
             case errors.Kind.DEADLINE_PASSED:
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -57,7 +57,7 @@
         port: searchers_api.Searchers,
         places: directory.Directory,
         holdings: owned_searcher.Holdings,
-        suspects: poisoning.PoisonDetector,
+        detector: poisoning.PoisonDetector,
         prober: probing.Prober,
         answers: replies.Replies,
         late: late_notices.LateNotices,
@@ -71,10 +71,10 @@
         self._prober = prober
         self._replies = answers
         self._rules = dispatch_rules.DispatchRules(
-            board, holdings, suspects, prober
+            board, holdings, detector, prober
         )
-        self._outcomes = part_outcomes.PartOutcomes(board, suspects, prober)
-        self._trials = trial_queue.TrialQueue(suspects)
+        self._outcomes = part_outcomes.PartOutcomes(board, detector, prober)
+        self._trials = trial_queue.TrialQueue(detector)
         self.on_released: Callable[[OwnedSearcher], None] = _ignore
 
     def enqueue(self, part: Part) -> None:
--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -29,7 +29,7 @@
         requeue: True if it must be queued again.
         cancelled: True if its coordinator has cancelled it.
         task: The task that runs it; None while it waits.
-        late_notice: Notifies the coordinator if it runs long; None while unsent.
+        late_notice: Notifies the coordinator of a long run; None while unsent.
     """
 
     coordinator: str
--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -10,20 +10,20 @@
 class TrialQueue:
     """Admits one sub-request per suspect request at a time; see `trials`."""
 
-    __slots__ = ("_poisoning", "_waiting")
+    __slots__ = ("_detector", "_waiting")
 
-    def __init__(self, suspects: poisoning.PoisonDetector) -> None:
+    def __init__(self, detector: poisoning.PoisonDetector) -> None:
         """Creates an empty queue."""
-        self._poisoning = suspects
+        self._detector = detector
         self._waiting: dict[int, list[Part]] = {}
 
     def admit(self, part: Part) -> bool:
         """Returns True if a sub-request may run now; queues it otherwise."""
-        if not self._poisoning.needs_trial(part):
+        if not self._detector.needs_trial(part):
             return True
-        part.alone = part.batch.isolated or self._poisoning.is_suspect(part)
+        part.alone = part.batch.isolated or self._detector.is_suspect(part)
         fingerprint = part.batch.fingerprint
-        if self._poisoning.trials.try_begin(fingerprint, part.key):
+        if self._detector.trials.try_begin(fingerprint, part.key):
             return True
         self._waiting.setdefault(fingerprint, []).append(part)
         return False
@@ -48,7 +48,7 @@
 
     def end(self, part: Part) -> bool:
         """Ends a sub-request's trial; returns False if it had none."""
-        return self._poisoning.trials.end(part.batch.fingerprint, part.key)
+        return self._detector.trials.end(part.batch.fingerprint, part.key)
 
     def take(self, fingerprint: int) -> list[Part]:
         """Removes and returns all that waited for a request's trial."""
