--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -117,7 +117,7 @@
         """Handles the result of one sub-request."""
         if self._finished.done():
             return
-        taken = self._attempts.take(result)
+        taken = self._attempts.apply_result(result)
         match taken:
             case assembly.Merged():
                 self._start_held_back()
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -208,7 +208,7 @@
         except TimeoutError:
             self._attempts.end(self._attempts.state.get_running())
             return assembly.Unknown()
-        taken = self._attempts.take(result)
+        taken = self._attempts.apply_result(result)
         if isinstance(taken, assembly.Failed):
             self._dispatched = taken.ran
             if taken.kind is errors.Kind.NOT_OWNER and not taken.sent:
