--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -153,7 +153,7 @@
                 self._record_failed(taken)
         return taken
 
-    def drop(self, attempt: assembly.Attempt) -> assembly.Failed | None:
+    def fail_lost(self, attempt: assembly.Attempt) -> assembly.Failed | None:
         """Fails a running attempt whose owner VM is lost."""
         if not self.state.remove(attempt):
             return None
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -67,7 +67,7 @@
         """Checks every running attempt once."""
         for attempt in self._attempts.state.get_running():
             if self._attempts.dispatcher.is_owner_lost(attempt):
-                failed = self._attempts.drop(attempt)
+                failed = self._attempts.fail_lost(attempt)
                 if failed is not None:
                     self._on_lost(failed)
         for progress in self._attempts.state.get_open():
