--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -183,7 +183,7 @@
             self.tally.add_unanswered((now_s - attempt.sent_s) * 1000)
         self.cancel(ended)
 
-    def readopt(self, state: assembly.Assembly) -> None:
+    def restore(self, state: assembly.Assembly) -> None:
         """Returns to the results that were kept of another version."""
         self.state = state
         version = state.ledger.shard_map.version
--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -301,7 +301,7 @@
         chosen = outcomes.choose(self._previous, self._attempts.state)
         if chosen is not self._attempts.state:
             self._on_pinned(chosen.ledger.shard_map.version)
-            self._attempts.readopt(chosen)
+            self._attempts.restore(chosen)
         permitted = bool(chosen.progress)
         ledger = chosen.ledger
         failure = outcomes.judge(ledger, self._minimum, self.tally, permitted)
