--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -127,7 +127,7 @@
 
     def receive_late(self, part: int) -> None:
         """Handles the notice that a sub-request runs unusually long."""
-        self._watch.help_running_long(part)
+        self._watch.hedge_long_running(part)
 
     def _begin(self) -> None:
         """Sends the first attempts on the pinned version.
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -75,7 +75,7 @@
                 self._handle_late(progress)
         self.schedule()
 
-    def help_running_long(self, part: int) -> None:
+    def hedge_long_running(self, part: int) -> None:
         """Hedges a sub-request that runs long according to its owner.
 
         This includes deferrable requests, and the hedge goes ahead of the
