--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -84,7 +84,7 @@
             header,
             assembly.Assembly(snapshot.shard_map, permits),
         )
-        self._watch = lateness.Watch(
+        self._watch = lateness.AttemptMonitor(
             board, self._attempts, self._handle_lost_owner
         )
         self._finished = asyncio.get_running_loop().create_future()
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -16,7 +16,7 @@
 """Minimum delay before a check of the running attempts, in seconds."""
 
 
-class Watch:
+class AttemptMonitor:
     """A timer that checks for attempts that are late or lost."""
 
     __slots__ = ("_attempts", "_board", "_on_lost", "_timer")
