--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -165,7 +165,7 @@
         self._attempts.start(waiting, "first", replicas)
         for progress in waiting:
             if not progress.running:
-                self._lose(progress)
+                self._give_up(progress)
 
     def _handle_lost_owner(self, failed: assembly.Failed) -> None:
         """Replaces an attempt whose owner VM is lost.
@@ -206,7 +206,7 @@
                 failed.attempt.searcher,
             )
         elif failed.kind is not errors.Kind.VERSION_GONE or not self._restart():
-            self._lose(progress)
+            self._give_up(progress)
 
     def _may_retry(self, failed: assembly.Failed, paid: bool) -> bool:
         """Returns True if a failed attempt may be retried.
@@ -230,10 +230,10 @@
         progress.waiting = False
         progress.tried.discard(searcher)
         if not self._attempts.start((progress,), "retry"):
-            self._lose(progress)
+            self._give_up(progress)
         self._check_finished()
 
-    def _lose(self, progress: assembly.Progress) -> None:
+    def _give_up(self, progress: assembly.Progress) -> None:
         """Gives up a shard; sends the next held-back part if none runs."""
         state = self._attempts.state
         state.give_up(progress)
