--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -111,7 +111,7 @@
             self._watch.stop()
             self._dispatcher.unregister(header.request_id)
             self._attempts.end(self._attempts.state.get_running())
-        return self._conclude()
+        return self._determine_answer()
 
     def receive(self, result: messages.PartResult) -> None:
         """Handles the result of one sub-request."""
@@ -296,7 +296,7 @@
         if not self._finished.done():
             self._finished.set_result(None)
 
-    def _conclude(self) -> coverage.Ledger | errors.Failure:
+    def _determine_answer(self) -> coverage.Ledger | errors.Failure:
         """Determines the answer from the better version's results."""
         chosen = outcomes.choose(self._previous, self._attempts.state)
         if chosen is not self._attempts.state:
