--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -40,11 +40,11 @@
         "_finished",
         "_held_back",
         "_minimum",
+        "_monitor",
         "_on_pinned",
         "_permits",
         "_previous",
         "_snapshot",
-        "_watch",
         "tally",
     )
 
@@ -84,7 +84,7 @@
             header,
             assembly.Assembly(snapshot.shard_map, permits),
         )
-        self._watch = lateness.AttemptMonitor(
+        self._monitor = lateness.AttemptMonitor(
             board, self._attempts, self._handle_lost_owner
         )
         self._finished = asyncio.get_running_loop().create_future()
@@ -108,7 +108,7 @@
             await self._finished
         finally:
             timer.cancel()
-            self._watch.stop()
+            self._monitor.stop()
             self._dispatcher.unregister(header.request_id)
             self._attempts.end(self._attempts.state.get_running())
         return self._determine_answer()
@@ -127,7 +127,7 @@
 
     def receive_late(self, part: int) -> None:
         """Handles the notice that a sub-request runs unusually long."""
-        self._watch.hedge_long_running(part)
+        self._monitor.hedge_long_running(part)
 
     def _begin(self) -> None:
         """Sends the first attempts on the pinned version.
@@ -147,7 +147,7 @@
         self._start_first(waiting, self._snapshot.replicas)
         self._check_finished()
         if not self._finished.done():
-            self._watch.schedule()
+            self._monitor.schedule()
 
     def _start_held_back(self) -> None:
         """Sends the parts that waited for the first result."""
