--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -78,7 +78,7 @@
         )
 
 
-class Memory:
+class StateMemory:
     """The last announced states, from whichever owner announced them.
 
     While a searcher changes its owner, the old owner no longer announces its
@@ -155,7 +155,7 @@
         self._rolled_out: dict[str, int] = {}
         self._table: topology.Topology | None = None
         self._view: View | None = None
-        self._memory = Memory()
+        self._memory = StateMemory()
         self._until_s = math.inf
 
     def get(self) -> View:
--- a/tests/controllers/test_searcher_view.py
+++ b/tests/controllers/test_searcher_view.py
@@ -15,7 +15,7 @@
     A query that treated them as gone would get an incomplete answer although
     both searchers are idle.
     """
-    memory = searcher_view.Memory()
+    memory = searcher_view.StateMemory()
     memory.fill({"s": STATE}, ["s"], 0.0)
     shortly: dict[str, messages.SearcherState] = {}
     until_s = memory.fill(shortly, ["s"], 100.0)
@@ -28,7 +28,7 @@
 
 
 def test_searcher_without_owner_is_not_remembered() -> None:
-    memory = searcher_view.Memory()
+    memory = searcher_view.StateMemory()
     memory.fill({"s": STATE}, ["s"], 0.0)
     states: dict[str, messages.SearcherState] = {}
     memory.fill(states, [], 1.0)
