--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -288,7 +288,7 @@
         After a success all of them start; otherwise the first begins the next
         trial.
         """
-        for part in self._trials.take(fingerprint):
+        for part in self._trials.pop_all(fingerprint):
             self.enqueue(part)
 
 
--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -50,6 +50,6 @@
         """Ends a sub-request's trial; returns False if it had none."""
         return self._detector.trials.end(part.batch.fingerprint, part.key)
 
-    def take(self, fingerprint: int) -> list[Part]:
+    def pop_all(self, fingerprint: int) -> list[Part]:
         """Removes and returns all that waited for a request's trial."""
         return self._waiting.pop(fingerprint, [])
