--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -152,7 +152,7 @@
         """Fails all sub-requests that wait for a searcher, without sending."""
         for waiting in owned.queue.clear():
             self.fail(waiting.content, failure)
-        for part in self._trials.remove_all(owned.get_name()):
+        for part in self._trials.pop_all_of_searcher(owned.get_name()):
             self.fail(part, failure)
 
     def fail(self, part: Part, failure: errors.Failure) -> None:
--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -34,7 +34,7 @@
         if part in waiting:
             waiting.remove(part)
 
-    def remove_all(self, searcher: str) -> list[Part]:
+    def pop_all_of_searcher(self, searcher: str) -> list[Part]:
         """Removes and returns all that wait for a searcher."""
         removed = [
             part
