--- a/src/azureramp/controllers/late_notices.py
+++ b/src/azureramp/controllers/late_notices.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Running:
+class RunningCall:
     """A running call.
 
     Attributes:
@@ -48,7 +48,7 @@
 
     def begin(
         self, searcher: str, coordinator: str, key: tuple[str, int]
-    ) -> Running:
+    ) -> RunningCall:
         """Starts monitoring a call whose first byte is about to be written.
 
         Args:
@@ -69,9 +69,9 @@
             timer = loop.call_later(
                 long_ms / 1000, self._outbox.send, coordinator, late
             )
-        return Running(searcher, loop.time(), timer)
+        return RunningCall(searcher, loop.time(), timer)
 
-    def end(self, running: Running) -> None:
+    def end(self, running: RunningCall) -> None:
         """Stops monitoring a call that has ended in any way.
 
         A cancelled call counts with its duration until then: it was already
--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -45,7 +45,7 @@
     requeue: bool = False
     cancelled: bool = False
     task: asyncio.Task[None] | None = None
-    late_notice: late_notices.Running | None = None
+    late_notice: late_notices.RunningCall | None = None
 
     def make_call(
         self, address: str, left_s: float, expected_ms: float, cold: bool
