--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -87,7 +87,7 @@
         self._once: once.Once[tuple[str, int]] = once.Once(
             DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
         )
-        self._changes = ownership_changes.OwnershipChanges(
+        self._changes = ownership_changes.OwnershipReconciler(
             board,
             port,
             self._directory,
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -22,7 +22,7 @@
 OwnedSearcher = owned_searcher.OwnedSearcher
 
 
-class OwnershipChanges:
+class OwnershipReconciler:
     """Reconciles the searchers that this VM holds with the assigned ones.
 
     Attributes:
