--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -44,13 +44,13 @@
 
     __slots__ = (
         "_board",
-        "_changes",
         "_detector",
         "_directory",
         "_handoffs",
         "_holdings",
         "_once",
         "_prober",
+        "_reconciler",
         "_runner",
     )
 
@@ -87,7 +87,7 @@
         self._once: once.Once[tuple[str, int]] = once.Once(
             DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
         )
-        self._changes = ownership_changes.OwnershipReconciler(
+        self._reconciler = ownership_changes.OwnershipReconciler(
             board,
             port,
             self._directory,
@@ -151,7 +151,7 @@
 
         Also applies a changed configuration.
         """
-        self._changes.update()
+        self._reconciler.update()
         self._publish()
 
     async def run(self) -> None:
@@ -171,7 +171,7 @@
             limit_s: Maximum wait, in seconds; calls that still run after it
                 are cancelled.
         """
-        self._changes.draining = True
+        self._reconciler.draining = True
         self.update_ownership()
         tasks = [
             part.task
