--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -107,7 +107,7 @@
         pinned = self._dispatcher.viewer.pin(asked.index)
         if pinned.is_error():
             return expression.Error(pinned.error)
-        short = check_reach(asked, checked.ok, pinned.ok)
+        short = check_reachable_coverage(asked, checked.ok, pinned.ok)
         if short is not None:
             return expression.Error(errors.Failure(short))
         answer_s = deadlines.get_answer_s(now_s, asked.deadline_s)
@@ -176,7 +176,7 @@
         measured.level.observe(header.priority, ratio, now_s)
 
 
-def check_reach(
+def check_reachable_coverage(
     asked: Asked, service: resources.Service, snapshot: snapshots.Snapshot
 ) -> errors.Kind | None:
     """Checks whether the minimum coverage can be reached.
