--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -63,7 +63,7 @@
     allowed_ms: float
 
 
-class Gate:
+class AdmissionController:
     """Admits or refuses requests."""
 
     __slots__ = ("_board", "_dispatcher")
--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -65,7 +65,7 @@
         self,
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
-        gate: admitting.Gate,
+        gate: admitting.AdmissionController,
         executor: execution.Executor,
         log: request_log.RequestLog,
     ) -> None:
@@ -196,7 +196,7 @@
     """
     measured = measurements.Measurements(rng)
     dispatcher = dispatching.Dispatcher(board, outbox, measured)
-    gate = admitting.Gate(board, dispatcher)
+    gate = admitting.AdmissionController(board, dispatcher)
     log = request_log.RequestLog(board)
     executor = execution.Executor(board, dispatcher, gate, records, log)
     return Coordinator(board, dispatcher, gate, executor, log)
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -80,7 +80,7 @@
         self,
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
-        gate: admitting.Gate,
+        gate: admitting.AdmissionController,
         records: Records,
         log: request_log.RequestLog,
     ) -> None:
