--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -59,7 +59,7 @@
 class Coordinator:
     """Runs queries and non-repeatable requests."""
 
-    __slots__ = ("_board", "_dispatcher", "_executor", "_gate", "_log")
+    __slots__ = ("_admission", "_board", "_dispatcher", "_executor", "_log")
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         """Creates a coordinator; see `make`."""
         self._board = board
         self._dispatcher = dispatcher
-        self._gate = gate
+        self._admission = gate
         self._executor = executor
         self._log = log
 
@@ -126,7 +126,7 @@
             repeatable=True,
             minimum_coverage=query.minimum_coverage,
         )
-        admitted = self._gate.admit(asked)
+        admitted = self._admission.admit(asked)
         result: Answered
         if admitted.is_error():
             result = expression.Error(admitted.error)
@@ -162,7 +162,7 @@
             outcome = await running.run()
         finally:
             self._dispatcher.measured.running -= 1
-        self._gate.observe(admitted, running.tally)
+        self._admission.observe(admitted, running.tally)
         if isinstance(outcome, errors.Failure):
             return expression.Error(outcome)
         took_s = asyncio.get_running_loop().time() - started_s
