--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -74,7 +74,14 @@
 class Executor:
     """Runs non-repeatable requests."""
 
-    __slots__ = ("_board", "_dispatcher", "_gate", "_log", "_records", "_tasks")
+    __slots__ = (
+        "_admission",
+        "_board",
+        "_dispatcher",
+        "_log",
+        "_records",
+        "_tasks",
+    )
 
     def __init__(
         self,
@@ -87,7 +94,7 @@
         """Creates an executor without running requests."""
         self._board = board
         self._dispatcher = dispatcher
-        self._gate = gate
+        self._admission = gate
         self._records = records
         self._log = log
         self._tasks: set[asyncio.Task[None]] = set()
@@ -145,7 +152,7 @@
             request.deadline_s,
             repeatable=False,
         )
-        admitted = self._gate.admit(asked)
+        admitted = self._admission.admit(asked)
         if admitted.is_error():
             return expression.Error(admitted.error), 0
         shard = find_shard(admitted.ok.snapshot, request.key)
