--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -144,15 +144,13 @@
             running=measured.running,
             share=measured.level.get_share(priority, now_s),
         )
-        kind = admission.decide(demand, measured.random.random())
+        kind = admission.decide(demand, measured.rng.random())
         if kind is None:
             return None
         drain_ms = admission.estimate_drain_ms(
             snapshot.shard_map.shards, self._dispatcher.viewer.get().states
         )
-        retry_ms = admission.compute_retry_ms(
-            drain_ms, measured.random.random()
-        )
+        retry_ms = admission.compute_retry_ms(drain_ms, measured.rng.random())
         return errors.Failure(kind, retry_after_ms=retry_ms)
 
     def observe(self, admitted: Admitted, tally: outcomes.Tally) -> None:
--- a/src/azureramp/controllers/dispatching.py
+++ b/src/azureramp/controllers/dispatching.py
@@ -137,7 +137,7 @@
             apart or known,
             view.states,
             asyncio.get_running_loop().time(),
-            self.measured.random,
+            self.measured.rng,
         )
 
     def make_attempt(
--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -26,8 +26,8 @@
         "delays",
         "hedges",
         "level",
-        "random",
         "retries",
+        "rng",
         "running",
         "scoreboard",
         "times",
@@ -42,7 +42,7 @@
         self.level = admission.Level()
         self.times = admission.Times()
         self.running = 0
-        self.random = rng
+        self.rng = rng
 
     def earn(self, needed: int, policy: resources.Policy) -> None:
         """Adds the budgets' shares for a number of needed calls."""
