--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -51,7 +51,7 @@
     minimum_coverage: float = 0.0
 
 
-Execute = execution.Execute
+Execute = execution.ExecuteRequest
 
 Answered = expression.Result[responses.QueryAnswer, errors.Failure]
 
@@ -91,7 +91,7 @@
         self._dispatcher.receive_late(sender, late)
 
     async def execute(
-        self, request: execution.Execute
+        self, request: execution.ExecuteRequest
     ) -> expression.Result[responses.ExecuteAnswer, errors.Failure]:
         """Runs a non-repeatable request; see `execution`."""
         return await self._executor.execute(request)
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Execute:
+class ExecuteRequest:
     """A non-repeatable request of an authenticated caller.
 
     Attributes:
@@ -99,7 +99,7 @@
         self._log = log
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def execute(self, request: Execute) -> Answered:
+    async def execute(self, request: ExecuteRequest) -> Answered:
         """Runs a request at most once.
 
         Returns by the deadline even if the store or a searcher does not
@@ -135,7 +135,7 @@
             await asyncio.wait(set(self._tasks), timeout=limit_s)
 
     async def _execute(
-        self, request: Execute, started_s: float
+        self, request: ExecuteRequest, started_s: float
     ) -> tuple[Answered, int]:
         """Checks the request and waits for its outcome.
 
@@ -193,7 +193,7 @@
         return expression.Ok(answer), 0 if replayed else header.version
 
     async def _claim_and_run(
-        self, request: Execute, run: single_run.SingleRun
+        self, request: ExecuteRequest, run: single_run.SingleRun
     ) -> None:
         """Claims the key and runs the request if the claim is granted."""
         claim = await self._records.claim(
@@ -215,7 +215,7 @@
                 run.answer(failure)
 
 
-def compute_request_hash(request: Execute) -> int:
+def compute_request_hash(request: ExecuteRequest) -> int:
     """Hashes the fields that must match when an idempotency key is reused."""
     where = f"{request.service}\0{request.index}\0{request.key}"
     fingerprint = fingerprints.compute(request.index, request.body)
