--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -287,7 +287,7 @@
                 low=low,
                 high=high,
                 size=high - low,
-                searchers=self.replicas_of(number % count),
+                searchers=self.get_replicas(number % count),
             )
             for number, (low, high) in enumerate(itertools.pairwise(edges))
         )
@@ -300,7 +300,7 @@
             )
         )
 
-    def replicas_of(self, shard: int) -> tuple[str, ...]:
+    def get_replicas(self, shard: int) -> tuple[str, ...]:
         """Returns the names of a shard's searchers."""
         return tuple(f"s{shard}-{n}" for n in range(self.shape.replicas))
 
--- a/tests/controllers/test_admitting.py
+++ b/tests/controllers/test_admitting.py
@@ -173,7 +173,7 @@
         for name, searcher in cell.searchers.items():
             searcher.behaviour = (
                 query_cell.stay_silent()
-                if name in cell.replicas_of(0)
+                if name in cell.get_replicas(0)
                 else query_cell.fail(errors.Kind.OVERLOADED, False)
             )
         return (await cell.coordinator.query(cell.make_query())).error
--- a/tests/controllers/test_coordinator.py
+++ b/tests/controllers/test_coordinator.py
@@ -34,7 +34,7 @@
 
     async def main() -> responses.QueryAnswer:
         cell = query_cell.Cell()
-        for name in cell.replicas_of(2):
+        for name in cell.get_replicas(2):
             cell.searchers[name].behaviour = query_cell.stay_silent()
         result = await cell.coordinator.query(cell.make_query())
         return result.ok
@@ -50,7 +50,7 @@
 def test_part_failed_on_all_replicas_gives_answer_immediately() -> None:
     async def main() -> responses.QueryAnswer:
         cell = query_cell.Cell()
-        for name in cell.replicas_of(0):
+        for name in cell.get_replicas(0):
             cell.searchers[name].behaviour = query_cell.fail(
                 errors.Kind.BACKEND_FAILED, sent=True
             )
--- a/tests/controllers/test_gathering.py
+++ b/tests/controllers/test_gathering.py
@@ -77,12 +77,12 @@
     """
     cell = query_cell.Cell()
     cell.put_version(2, BOUNDS)
-    for name in cell.replicas_of(1):
+    for name in cell.get_replicas(1):
         cell.searchers[name].behaviour = reload(cell, 2)
 
     def advertise() -> None:
         for shard in serving:
-            for name in cell.replicas_of(shard):
+            for name in cell.get_replicas(shard):
                 names = tuple(f"cover.{version}" for version in versions)
                 cell.advertise_one(name, names)
 
@@ -145,7 +145,7 @@
     async def main() -> tuple[responses.QueryAnswer, list[int]]:
         cell = make_repartitioned(range(6), (1, 2, 3))
         cell.delay_s = 0.001
-        for name in cell.replicas_of(1):
+        for name in cell.get_replicas(1):
             cell.searchers[name].behaviour = reload(cell, 3)
         loop = asyncio.get_running_loop()
         loop.call_later(0.010, cell.put_version, 3)
@@ -179,9 +179,9 @@
             return await cell.answer_whole(batch, part)
 
         for name, searcher in cell.searchers.items():
-            if name not in cell.replicas_of(1):
+            if name not in cell.get_replicas(1):
                 searcher.behaviour = answer_old_version
-        for name in cell.replicas_of(1):
+        for name in cell.get_replicas(1):
             cell.searchers[name].behaviour = reload(cell, 9, 0.005)
         return (await cell.coordinator.query(cell.make_query())).ok
 
@@ -268,7 +268,7 @@
     async def main() -> tuple[errors.Kind | None, float]:
         cell = query_cell.Cell()
         cell.delay_s = 0.3
-        for name in cell.replicas_of(0):
+        for name in cell.get_replicas(0):
             cell.searchers[name].behaviour = query_cell.fail(
                 errors.Kind.BACKEND_FAILED, sent=True
             )
@@ -293,7 +293,7 @@
 ) -> None:
     async def main() -> tuple[errors.Failure | None, int]:
         cell = query_cell.Cell()
-        for name in cell.replicas_of(0):
+        for name in cell.get_replicas(0):
             cell.advertise_one(name, usable=False)
         query = cell.make_query(minimum_coverage=minimum)
         result = await cell.coordinator.query(query)
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -302,7 +302,7 @@
     async def main() -> query_cell.Cell:
         cell = query_cell.Cell()
         await warm_up(cell)
-        for name in cell.replicas_of(0):
+        for name in cell.get_replicas(0):
             straggle(cell, name)
         force_choice(cell, "s0-0")
         task = asyncio.ensure_future(cell.coordinator.query(cell.make_query()))
@@ -408,7 +408,7 @@
 
     async def main() -> query_cell.Cell:
         cell = query_cell.Cell()
-        for name in cell.replicas_of(0):
+        for name in cell.get_replicas(0):
 
             async def behave(
                 batch: messages.QueryBatch, part: messages.PartRequest
