--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -209,7 +209,7 @@
         self.outbox.local = lambda sender, message: self._deliver(
             OWN_VM, sender, message
         )
-        self.network.attach(address_of(OWN_VM), self.inbox.receive)
+        self.network.attach(get_peer_address(OWN_VM), self.inbox.receive)
 
     def _declare(self) -> None:
         """Declares zones, servers, the index and the searchers' owners."""
@@ -217,7 +217,9 @@
         for number in range(shape.vms):
             name = f"vm-{number}"
             zone = f"zone-{number % shape.zones}"
-            vm = vmlist_api.Vm(name, zone, f"http-{name}", address_of(name))
+            vm = vmlist_api.Vm(
+                name, zone, f"http-{name}", get_peer_address(name)
+            )
             self.board.members[name] = blackboard.Member(
                 vm, blackboard.MemberState.LIVE, 1, 0.0, True
             )
@@ -240,7 +242,7 @@
             vm_name = f"vm-{number}"
             self._make_link(vm_name)
             self.network.attach(
-                address_of(vm_name), self._make_handler(vm_name)
+                get_peer_address(vm_name), self._make_handler(vm_name)
             )
         self.advertise()
 
@@ -423,7 +425,7 @@
     def _make_link(self, vm: str) -> memory.MemoryPeers:
         """Creates the sending end of a VM's peer link."""
         link = memory.MemoryPeers(
-            self.network, vm, address_of(vm), 1, self.board.timeline
+            self.network, vm, get_peer_address(vm), 1, self.board.timeline
         )
         self._links[vm] = link
         return link
@@ -449,7 +451,7 @@
             if vm == OWN_VM:
                 self.coordinator.receive_results(vm, results)
             else:
-                self._links[vm].send(address_of(OWN_VM), results)
+                self._links[vm].send(get_peer_address(OWN_VM), results)
 
         match message:
             case messages.QueryBatch():
@@ -482,13 +484,13 @@
         vm=vm,
         zone="zone-0",
         http_address=f"http-{vm}",
-        peer_address=address_of(vm),
+        peer_address=get_peer_address(vm),
         store_address="store",
         vmlist_address="vmlist",
     )
 
 
-def address_of(vm: str) -> str:
+def get_peer_address(vm: str) -> str:
     """Returns the address of a VM's peer link."""
     return f"peer-{vm}"
 
