--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -263,7 +263,7 @@
         number = shard * self.shape.replicas + replica
         self.board.owners[name] = f"vm-{number % self.shape.vms}"
         self.searchers[name] = FakeSearcher(
-            name, self.shape.slots, self.answer_whole
+            name, self.shape.slots, self.reply_complete
         )
 
     def put(self, *declared: resources.AnyResource) -> None:
@@ -333,7 +333,7 @@
         others = tuple(s for s in member.searchers if s.searcher != name)
         member.searchers = (*others, state)
 
-    async def answer_whole(
+    async def reply_complete(
         self, batch: messages.QueryBatch, part: messages.PartRequest
     ) -> messages.PartResult | None:
         """Replies with a complete result, as a healthy searcher does."""
--- a/tests/controllers/test_gathering.py
+++ b/tests/controllers/test_gathering.py
@@ -58,7 +58,7 @@
         batch: messages.QueryBatch, part: messages.PartRequest
     ) -> messages.PartResult | None:
         if batch.version == number:
-            return await cell.answer_whole(batch, part)
+            return await cell.reply_complete(batch, part)
         await asyncio.sleep(after_s)
         kind = errors.Kind.VERSION_GONE.value
         return messages.PartFailed(part.part, kind, True)
@@ -176,7 +176,7 @@
         ) -> messages.PartResult | None:
             if batch.version == 2:
                 await asyncio.sleep(3600)
-            return await cell.answer_whole(batch, part)
+            return await cell.reply_complete(batch, part)
 
         for name, searcher in cell.searchers.items():
             if name not in cell.get_replicas(1):
