--- a/tests/controllers/owning.py
+++ b/tests/controllers/owning.py
@@ -282,7 +282,7 @@
     return Bench(memory.Fleet([searcher]), [make_server("s1", **fields)])
 
 
-def join(benches: list[Bench]) -> None:
+def connect(benches: list[Bench]) -> None:
     """Connects VMs so that they exchange messages."""
     for source in benches:
         for target in benches:
--- a/tests/controllers/test_handoffs.py
+++ b/tests/controllers/test_handoffs.py
@@ -26,7 +26,7 @@
     second = owning.Bench(fleet, servers, "vm2")
     second.board.owners["s1"] = "vm1"
     second.board.may_start_s.clear()
-    owning.join([first, second])
+    owning.connect([first, second])
     return first, second
 
 
--- a/tests/controllers/test_poisoning.py
+++ b/tests/controllers/test_poisoning.py
@@ -66,7 +66,7 @@
         }
         for bench in self.benches.values():
             bench.board.owners = dict(self.owners)
-        owning.join(list(self.benches.values()))
+        owning.connect(list(self.benches.values()))
         self.rng = random.Random(3)
         self.number = 0
 
