--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -65,14 +65,14 @@
         self,
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
-        gate: admitting.AdmissionController,
+        admission: admitting.AdmissionController,
         executor: execution.Executor,
         log: request_log.RequestLog,
     ) -> None:
         """Creates a coordinator; see `make`."""
         self._board = board
         self._dispatcher = dispatcher
-        self._admission = gate
+        self._admission = admission
         self._executor = executor
         self._log = log
 
@@ -196,7 +196,7 @@
     """
     measured = measurements.Measurements(rng)
     dispatcher = dispatching.Dispatcher(board, outbox, measured)
-    gate = admitting.AdmissionController(board, dispatcher)
+    admission = admitting.AdmissionController(board, dispatcher)
     log = request_log.RequestLog(board)
-    executor = execution.Executor(board, dispatcher, gate, records, log)
-    return Coordinator(board, dispatcher, gate, executor, log)
+    executor = execution.Executor(board, dispatcher, admission, records, log)
+    return Coordinator(board, dispatcher, admission, executor, log)
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -87,14 +87,14 @@
         self,
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
-        gate: admitting.AdmissionController,
+        admission: admitting.AdmissionController,
         records: Records,
         log: request_log.RequestLog,
     ) -> None:
         """Creates an executor without running requests."""
         self._board = board
         self._dispatcher = dispatcher
-        self._admission = gate
+        self._admission = admission
         self._records = records
         self._log = log
         self._tasks: set[asyncio.Task[None]] = set()
--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -39,7 +39,7 @@
         owned: The searcher's last state on this VM.
         at_s: Loop time of the handoff, in seconds.
         resends: Remaining number of times to resend the handoff.
-        done: True once none of this VM's calls run on the searcher.
+        done: True once this VM and former owners use no slots any more.
     """
 
     vm: str
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -27,7 +27,7 @@
         attempts: attempts_module.Attempts,
         on_lost: Callable[[assembly.Failed], None],
     ) -> None:
-        """Creates a watch that is not scheduled yet.
+        """Creates a monitor that is not scheduled yet.
 
         Args:
             board: The process's state.
--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -19,7 +19,7 @@
         level: The share of requests that is admitted.
         times: Service times and waiting times.
         running: Number of requests that are running.
-        random: Source of randomness for load shedding and equal choices.
+        rng: Source of randomness for load shedding and equal choices.
     """
 
     __slots__ = (
