--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of a call means for its searcher and its request."""
+"""Effects of a call's outcome on its searcher and its request."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from azureramp.controllers import owned_searcher, poisoning, probing
 from azureramp.ports.searchers import api as searchers_api
 
-SETTLE_S = 0.05
-"""How long a cold searcher may still run a call that was given up, in
-seconds: the time until it learns of the end."""
+ABANDONED_CALL_S = 0.05
+"""How long a cold searcher may still run an abandoned call, in seconds: the
+time until it notices that the call was abandoned."""
 
 OwnedSearcher = owned_searcher.OwnedSearcher
 Part = owned_searcher.Part
@@ -21,60 +21,60 @@
 
 
 class PartOutcomes:
-    """Takes the ends of calls in: for ramps, for blame, for the answer."""
+    """Applies outcomes of calls to ramps and to crash attribution."""
 
-    __slots__ = ("_board", "_poisoning", "_prober")
+    __slots__ = ("_board", "_detector", "_prober")
 
     def __init__(
         self,
         board: blackboard.Blackboard,
-        suspects: poisoning.Poisoning,
+        detector: poisoning.PoisonDetector,
         prober: probing.Prober,
     ) -> None:
-        """Makes it for one process."""
+        """Creates the handler of one process."""
         self._board = board
-        self._poisoning = suspects
+        self._detector = detector
         self._prober = prober
 
-    async def take(
+    async def handle(
         self, owned: OwnedSearcher, part: Part, result: CallResult
     ) -> Outcome:
-        """Takes a call's end in.
+        """Handles the outcome of a call.
 
         Args:
             owned: The searcher.
             part: The sub-request.
-            result: How its call ended.
+            result: The outcome of its call.
 
         Returns:
-            What the coordinator is told.
+            The result to report to the coordinator.
         """
         match result:
             case expression.Result(tag="ok", ok=reply):
-                return self._take_reply(owned, part, reply)
+                return self._handle_reply(owned, part, reply)
             case expression.Result(error=failed) if not failed.sent:
                 if failed.failure.kind is errors.Kind.CONNECTION_LOST:
-                    self._prober.lose(owned, "refused")
+                    self._prober.mark_unreachable(owned, "refused")
                 return part.refusal or failed.failure
             case expression.Result(error=failed):
-                return await self._take_failure(owned, part, failed.failure)
+                return await self._handle_failure(owned, part, failed.failure)
 
-    def take_unanswered(self, owned: OwnedSearcher, part: Part) -> None:
-        """Takes a call that was given up before its reply."""
+    def handle_abandoned(self, owned: OwnedSearcher, part: Part) -> None:
+        """Handles a call that was abandoned before its reply."""
         now_s = asyncio.get_running_loop().time()
         owned.ramp.end_unanswered((now_s - part.sent_s) * 1000, part.epoch)
-        self._poisoning.give_up(owned, part)
+        self._detector.record_abandoned(owned, part)
         if owned.is_cold():
-            owned.lingering_s.append(now_s + SETTLE_S)
+            owned.abandoned_until_s.append(now_s + ABANDONED_CALL_S)
 
-    def _take_reply(
+    def _handle_reply(
         self, owned: OwnedSearcher, part: Part, reply: searchers_api.Reply
     ) -> messages.PartDone:
-        """Takes a whole reply."""
+        """Handles a complete reply."""
         owned.succeeded_s = asyncio.get_running_loop().time()
         took_ms = (owned.succeeded_s - part.sent_s) * 1000
         owned.ramp.succeed(took_ms, part.epoch)
-        self._poisoning.succeed(part)
+        self._detector.record_success(part)
         self._board.metrics.record_ms("searcher.took_ms", took_ms)
         return messages.PartDone(
             part.request.part,
@@ -85,18 +85,18 @@
             took_ms,
         )
 
-    async def _take_failure(
+    async def _handle_failure(
         self, owned: OwnedSearcher, part: Part, failure: errors.Failure
     ) -> errors.Failure:
-        """Takes the failure of a call whose bytes may have arrived."""
+        """Handles the failure of a call that the searcher may have got."""
         match failure.kind:
             case errors.Kind.CONNECTION_LOST:
                 owned.ramp.fail(part.epoch)
-                if await self._poisoning.judge(owned, part):
-                    self._prober.lose(owned, "crashed")
+                if await self._detector.check_server(owned, part):
+                    self._prober.mark_unreachable(owned, "crashed")
                     return errors.Failure(errors.Kind.BACKEND_CRASHED)
             case errors.Kind.DEADLINE_PASSED:
-                self.take_unanswered(owned, part)
+                self.handle_abandoned(owned, part)
             case errors.Kind.VERSION_GONE:
                 self._prober.probe(owned)
             case _:
