--- a/src/azureramp/ports/web/__init__.py
+++ b/src/azureramp/ports/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP on both sides, by h11."""
+"""HTTP client and server built on h11."""
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -1,4 +1,4 @@
-"""HTTP requests and responses, apart from any transport."""
+"""HTTP requests and responses, independent of the transport."""
 
 from __future__ import annotations
 
@@ -6,26 +6,28 @@
 from collections.abc import Awaitable, Callable, Mapping
 
 UNREADABLE = "BAD"
-"""The method under which a handler is asked to answer what the server could
-not read, or what failed in the handler itself; the path is `/{status}`."""
+"""Pseudo-method of the requests with which the server asks the handler for an
+error response: to a request that could not be read, or after an unhandled
+exception in the handler. The path is `/{status}`."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Request:
-    """One HTTP request, its body whole.
+    """One HTTP request with its complete body.
 
     Attributes:
         method: The method, upper case.
         path: The decoded path, without the query.
-        query: The query's parameters, the last of each name.
-        headers: The headers, names in lower case, the last of each name.
+        query: The query parameters; the last value of a repeated name wins.
+        headers: The headers by lower-case name; the last value of a repeated
+            name wins.
         body: The body.
-        target: The path with its query as the client sent it.
-        fields: The headers as the client sent them, names in lower case.
-        began_s: When its first byte was read, on the loop's clock.
-        round_trip_s: The kernel's estimate of the connection's round trip,
-            in seconds; 0 if there is none.
-        first: True if it is the first request on its connection.
+        target: The raw request target (path and query).
+        fields: The raw headers, in order, names in lower case.
+        began_s: Event loop time at which its first byte was read, in seconds.
+        round_trip_s: The kernel's round-trip time estimate for the
+            connection, in seconds; 0 if there is none.
+        first: True if this is the first request on its connection.
     """
 
     method: str
@@ -42,16 +44,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Limits:
-    """What a server takes from its clients; it may be changed at any time.
+    """Limits that a server applies to its clients; mutable at any time.
 
     Attributes:
-        header_bytes: Most bytes of a request's line and headers.
-        body_bytes: Most bytes of a request's body.
-        header_s: Longest time for a request's headers, in seconds.
-        request_s: Longest time from the headers to the body's end, in
-            seconds.
-        idle_s: Longest time between two requests, in seconds.
-        connections: Most connections at once.
+        header_bytes: Maximum size of the request line and headers, in bytes.
+        body_bytes: Maximum size of a request body, in bytes.
+        header_s: Maximum time to receive the request headers, in seconds.
+        request_s: Maximum time from the end of the headers to the end of the
+            body, in seconds.
+        idle_s: Maximum time between two requests on a connection, in seconds.
+        connections: Maximum number of concurrent connections.
     """
 
     header_bytes: int = 16_384
@@ -67,11 +69,12 @@
     """One HTTP response.
 
     Attributes:
-        status: The status.
+        status: The status code.
         body: The body.
-        content_type: The body's media type; empty if `headers` hold it.
-        headers: Further headers.
-        closes: True if the connection must close after this response.
+        content_type: The media type of the body; empty if `headers` contain
+            it.
+        headers: Additional headers.
+        closes: True if the connection must be closed after this response.
     """
 
     status: int
