--- a/src/azureramp/ports/web/connection.py
+++ b/src/azureramp/ports/web/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 client connection, by h11 over asyncio streams."""
+"""An HTTP/1.1 client connection: h11 over asyncio streams."""
 
 from __future__ import annotations
 
@@ -15,28 +15,29 @@
 from azureramp.ports.web import api
 
 MAX_BODY_BYTES = 4_000_000
-"""Largest response body that is taken."""
+"""Maximum size of a response body, in bytes."""
 
 READ_BYTES = 65536
 
 USER_TIMEOUT_MS = 3000
-"""Longest time that bytes or probes may stay without acknowledgement. A watch
-on a connection that went silent must be given up while there is still time to
-hear of a change that has to be in force within some 4 s."""
+"""Maximum time that sent data or keepalive probes may stay unacknowledged, in
+milliseconds. A configuration change must take effect within about 4 s, so a
+watch on a dead connection has to fail early enough for the change to be
+received on a new one."""
 
 PROBE_S = 1
-"""Time between keepalive probes of an idle connection, in seconds."""
+"""Interval between keepalive probes on an idle connection, in seconds."""
 
 PROBES = 3
-"""Unanswered probes after which a connection is given up."""
+"""Number of unanswered keepalive probes after which a connection fails."""
 
 
-_ROUND_TRIP_AT = 68
-"""Where `tcpi_rtt` stands in Linux's `struct tcp_info`, in bytes."""
+_TCPI_RTT_OFFSET = 68
+"""Byte offset of `tcpi_rtt` in Linux's `struct tcp_info`."""
 
 
 class UnsentError(Exception):
-    """The exchange ended before any byte was written."""
+    """The exchange failed before any byte was written."""
 
 
 class BrokenError(Exception):
@@ -44,17 +45,17 @@
 
 
 def set_socket_options(writer: asyncio.StreamWriter) -> None:
-    """Sets the options of a stream; see `set_transport_options`."""
+    """Sets the socket options of a stream; see `set_transport_options`."""
     set_transport_options(writer.transport)
 
 
 def set_transport_options(transport: asyncio.BaseTransport) -> None:
-    """Makes a connection that went silent for good fail soon.
+    """Makes the kernel detect a half-open connection quickly.
 
-    A middlebox that has forgotten a connection drops its packets without a
-    word, so a write succeeds locally and no reply ever comes. The user
-    timeout makes the kernel fail it once bytes stay unacknowledged, and the
-    keepalive finds an idle one.
+    A middlebox that has lost its state for a connection silently drops the
+    packets, so a write succeeds locally and no reply ever arrives. The TCP
+    user timeout makes the kernel fail the connection when sent data stays
+    unacknowledged; keepalive probes detect an idle half-open connection.
     """
     sock = transport.get_extra_info("socket")
     if not isinstance(sock, socket.socket) and not hasattr(sock, "setsockopt"):
@@ -71,37 +72,38 @@
 
 
 def measure_round_trip_s(transport: asyncio.BaseTransport) -> float:
-    """Returns the kernel's estimate of a connection's round trip, in seconds.
+    """Returns the kernel's round-trip time estimate for a connection.
 
     Returns:
-        The estimate; 0 if the transport has none.
+        The estimate, in seconds; 0 if the transport has none.
     """
     sock = transport.get_extra_info("socket")
     if not hasattr(sock, "getsockopt"):
         return 0.0
     with contextlib.suppress(OSError, AttributeError, struct.error):
         info = sock.getsockopt(
-            socket.IPPROTO_TCP, socket.TCP_INFO, _ROUND_TRIP_AT + 4
+            socket.IPPROTO_TCP, socket.TCP_INFO, _TCPI_RTT_OFFSET + 4
         )
-        (microseconds,) = struct.unpack_from("I", info, _ROUND_TRIP_AT)
+        (microseconds,) = struct.unpack_from("I", info, _TCPI_RTT_OFFSET)
         return float(microseconds) / 1e6
     return 0.0
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Splits `IP:port`."""
+    """Splits `IP:port` into host and port; brackets of IPv6 are removed."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class Connection:
-    """One connection, for one exchange at a time.
+    """A client connection that carries one exchange at a time.
 
     Attributes:
         address: `IP:port` of the server.
-        opened_s: When it was opened, on the loop's clock.
-        used_s: When it last ended an exchange, on the loop's clock.
-        exchanges: How many exchanges it has ended.
+        opened_s: Event loop time at which it was opened, in seconds.
+        used_s: Event loop time at which the last exchange completed, in
+            seconds.
+        exchanges: Number of completed exchanges.
     """
 
     __slots__ = (
@@ -120,7 +122,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Takes over an open stream; see `connect`."""
+        """Wraps an open stream; see `connect`."""
         self.address = address
         self._reader = reader
         self._writer = writer
@@ -130,7 +132,7 @@
         self.exchanges = 0
 
     def is_reusable(self) -> bool:
-        """Tells whether another exchange may begin on it."""
+        """Returns True if another exchange may start on this connection."""
         return (
             self._http.our_state is h11.IDLE
             and not self._reader.at_eof()
@@ -146,30 +148,31 @@
         may_write: Callable[[], bool] | None = None,
         host: str = "",
     ) -> api.Response:
-        """Sends a request and reads its whole response.
+        """Sends a request and reads the complete response.
 
         Args:
             method: The HTTP method.
-            target: The path with its query, encoded.
-            headers: Further headers.
-            body: The request's body.
-            may_write: Asked with no wait before the first write.
-            host: The host to name; the address if empty.
+            target: The encoded path and query.
+            headers: Additional headers.
+            body: The request body.
+            may_write: Called immediately before the first write, without
+                yielding to the event loop in between; False cancels the
+                exchange.
+            host: The value of the Host header; the address if empty.
 
         Returns:
-            The response; the connection is reusable afterwards unless
-            `is_reusable` says otherwise.
+            The response. Check `is_reusable` before the next exchange.
 
         Raises:
-            UnsentError: `may_write` said no, or the connection was closed
-                before; nothing was written.
+            UnsentError: `may_write` returned False, or the connection was
+                already closed; nothing was written.
             BrokenError: The connection failed; bytes may have been written.
         """
         data = self._encode(method, target, headers, body, host)
         if self._writer.is_closing() or self._reader.at_eof():
             raise UnsentError("closed")
         if may_write is not None and not may_write():
-            # Nothing was written, so the connection is as good as new.
+            # Nothing was written, so the connection can be reused as if new.
             self._http = h11.Connection(h11.CLIENT)
             raise UnsentError("not allowed")
         try:
@@ -194,7 +197,7 @@
         body: bytes,
         host: str,
     ) -> bytes:
-        """Encodes a request by h11."""
+        """Encodes a request with h11."""
         request = h11.Request(
             method=method,
             target=target,
@@ -210,7 +213,7 @@
         return data + (self._http.send(h11.EndOfMessage()) or b"")
 
     async def _read_response(self) -> api.Response:
-        """Reads one response to its end, and makes ready for the next."""
+        """Reads one complete response and resets the state for the next one."""
         head: h11.Response | None = None
         body = bytearray()
         while True:
@@ -225,11 +228,11 @@
                 case h11.Data() as event:
                     body += event.data
                     if len(body) > MAX_BODY_BYTES:
-                        raise EOFError("the body is too large")
+                        raise EOFError("the response body is too large")
                 case h11.EndOfMessage() if head is not None:
                     break
                 case event:
-                    raise EOFError(f"{event} instead of a response")
+                    raise EOFError(f"{event} received instead of a response")
         if self._http.our_state is h11.MUST_CLOSE or self._has_surplus():
             self.abort()
         else:
@@ -237,20 +240,20 @@
         return make_response(head, bytes(body))
 
     def _has_surplus(self) -> bool:
-        """Tells whether bytes came past the end of the response.
+        """Returns True if bytes were received past the end of the response.
 
-        A server, or something before it, that sends more than was asked for
-        would have the surplus read as the next request's response.
+        If the server or a proxy sends more than one response, the surplus
+        bytes would be read as the response to the next request.
         """
         return bool(self._http.trailing_data[0])
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection immediately."""
         self._writer.transport.abort()
 
 
 def make_response(head: h11.Response, body: bytes) -> api.Response:
-    """Makes a response of h11's."""
+    """Converts an h11 response and its body."""
     headers = tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in head.headers
@@ -271,10 +274,11 @@
 
     Args:
         address: `IP:port`.
-        timeout_s: Longest wait, in seconds.
+        timeout_s: Maximum wait, in seconds.
 
     Returns:
-        The connection, or `CONNECTION_LOST`.
+        The connection, or `CONNECTION_LOST` if it could not be opened in
+        time.
     """
     host, port = split_address(address)
     try:
