--- a/src/azureramp/ports/web/pool.py
+++ b/src/azureramp/ports/web/pool.py
@@ -1,4 +1,4 @@
-"""Reused client connections to one server of the platform."""
+"""A pool of client connections to one server of the platform."""
 
 from __future__ import annotations
 
@@ -12,29 +12,30 @@
 from azureramp.ports.web import connection as web_connection
 
 CONNECT_S = 1.0
-"""Longest wait for a new connection, in seconds."""
+"""Maximum wait for a new connection, in seconds."""
 
 MAX_IDLE_S = 2.0
-"""Longest idle time after which a connection is used again, in seconds."""
+"""Maximum idle time of a connection that may be reused, in seconds."""
 
 MAX_IDLE = 16
-"""Most idle connections that are kept."""
+"""Maximum number of idle connections."""
 
 
 class Pool:
-    """Makes exchanges with one address, over reused connections.
-
-    A connection that a box in between has forgotten swallows what is written
-    to it, so an exchange on it ends by its timeout, or by its caller's. Two
-    rules bound that: a connection idle for longer than `MAX_IDLE_S` is not
-    used again, and an exchange that was given up drops every idle connection,
-    since they went the same way.
+    """Makes exchanges with one address over pooled connections.
+
+    After a middlebox has lost its state for a connection, everything written
+    to the connection is dropped and an exchange on it ends only by timeout or
+    by cancellation. Two rules limit the damage: a connection that was idle
+    for longer than `MAX_IDLE_S` is not reused, and an exchange that timed out
+    or was cancelled closes every idle connection, since these used the same
+    network path.
     """
 
     __slots__ = ("_address", "_idle")
 
     def __init__(self, address: str) -> None:
-        """Makes a pool without connections.
+        """Makes an empty pool.
 
         Args:
             address: `IP:port` of the server.
@@ -50,15 +51,16 @@
         timeout_s: float = 2.0,
         headers: Sequence[tuple[str, str]] = (),
     ) -> expression.Result[api.Response, errors.Failure]:
-        """Makes one exchange; it is never repeated once bytes were written.
+        """Makes one exchange; it is not retried once bytes were written.
 
         Returns:
             The response; `STORE_UNAVAILABLE` if nothing was written, or
-            `STORE_OUTCOME_UNKNOWN` if the server may have taken it.
+            `STORE_OUTCOME_UNKNOWN` if the server may have processed the
+            request.
         """
         until_s = asyncio.get_running_loop().time() + timeout_s
         while True:
-            connection = self._take()
+            connection = self._pop_idle()
             if connection is None:
                 opened = await web_connection.connect(self._address, CONNECT_S)
                 if opened.is_error():
@@ -82,17 +84,21 @@
             except asyncio.CancelledError:
                 self.close()
                 raise
-            self._keep(connection)
+            self._release(connection)
             return expression.Ok(response)
 
     def close(self) -> None:
-        """Closes the idle connections."""
+        """Closes all idle connections."""
         for connection in self._idle:
             connection.abort()
         self._idle.clear()
 
-    def _take(self) -> web_connection.Connection | None:
-        """Takes the idle connection that was used last, if any is fit."""
+    def _pop_idle(self) -> web_connection.Connection | None:
+        """Removes and returns the most recently used reusable connection.
+
+        Returns:
+            The connection; None if no idle connection can be reused.
+        """
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
@@ -102,8 +108,8 @@
             connection.abort()
         return None
 
-    def _keep(self, connection: web_connection.Connection) -> None:
-        """Keeps a connection for the next exchange, within the bound."""
+    def _release(self, connection: web_connection.Connection) -> None:
+        """Returns a connection to the pool; closes it if the pool is full."""
         if connection.is_reusable() and len(self._idle) < MAX_IDLE:
             self._idle.append(connection)
         else:
@@ -113,5 +119,5 @@
 def _fail(
     kind: errors.Kind, detail: str
 ) -> expression.Result[api.Response, errors.Failure]:
-    """Makes a failed exchange."""
+    """Makes the result of a failed exchange."""
     return expression.Error(errors.Failure(kind, detail))
--- a/src/azureramp/ports/web/pools.py
+++ b/src/azureramp/ports/web/pools.py
@@ -1,4 +1,4 @@
-"""Reused client connections to a few servers."""
+"""Client connection pools for a limited number of servers."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 
 class Pools:
-    """Pools by address, no more than a given number."""
+    """Connection pools by address, up to a maximum number."""
 
-    __slots__ = ("_by_address", "_most")
+    __slots__ = ("_by_address", "_max_pools")
 
-    def __init__(self, most: int) -> None:
-        """Makes it without connections.
+    def __init__(self, max_pools: int) -> None:
+        """Makes a set without any pool.
 
         Args:
-            most: Most servers that connections are kept to; those of the one
-                first asked are closed for another.
+            max_pools: Maximum number of pools. When it is reached, the
+                pool that was created first is closed to make room.
         """
         self._by_address: dict[str, pool.Pool] = {}
-        self._most = most
+        self._max_pools = max_pools
 
     def get(self, address: str) -> pool.Pool:
-        """Returns the connections to the server at `IP:port`."""
-        found = self._by_address.get(address)
-        if found is None:
-            if len(self._by_address) >= self._most:
+        """Returns the pool for the server at `IP:port`; makes it if needed."""
+        existing = self._by_address.get(address)
+        if existing is None:
+            if len(self._by_address) >= self._max_pools:
                 oldest = next(iter(self._by_address))
                 self._by_address.pop(oldest).close()
-            found = self._by_address[address] = pool.Pool(address)
-        return found
+            existing = self._by_address[address] = pool.Pool(address)
+        return existing
 
     def close(self) -> None:
-        """Closes every idle connection."""
+        """Closes all idle connections."""
         for each in self._by_address.values():
             each.close()
--- a/tests/ports/web/test_pool.py
+++ b/tests/ports/web/test_pool.py
@@ -1,4 +1,4 @@
-"""Reused connections, and a box in between that forgets them."""
+"""Tests of the client connection pool behind a failing middlebox."""
 
 from __future__ import annotations
 
@@ -14,80 +14,80 @@
 from azureramp_standins import platform, virtual
 
 SERVER = "127.0.0.1:7001"
-BOX = "127.0.0.1:7002"
+MIDDLEBOX = "127.0.0.1:7002"
 
 
-class Box:
-    """Passes connections on, until it forgets those that it has."""
+class Middlebox:
+    """A proxy that forwards connections until it drops their state."""
 
     def __init__(self) -> None:
-        """Makes a box that knows no connection."""
+        """Makes a middlebox without connections."""
         self.connections = 0
-        self._known: set[int] = set()
+        self._forwarded: set[int] = set()
 
     async def start(self) -> asyncio.Server:
-        """Begins to listen."""
+        """Starts listening."""
         return await asyncio.start_server(self._accept, "127.0.0.1", 7002)
 
-    def forget(self) -> None:
-        """Drops all packets of the present connections, without a word."""
-        self._known.clear()
+    def drop_connections(self) -> None:
+        """Silently drops all further packets of the current connections."""
+        self._forwarded.clear()
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.connections += 1
         number = self.connections
-        self._known.add(number)
-        onward = await asyncio.open_connection("127.0.0.1", 7001)
+        self._forwarded.add(number)
+        upstream = await asyncio.open_connection("127.0.0.1", 7001)
         await asyncio.gather(
-            self._pass(number, reader, onward[1]),
-            self._pass(number, onward[0], writer),
+            self._forward(number, reader, upstream[1]),
+            self._forward(number, upstream[0], writer),
         )
 
-    async def _pass(
+    async def _forward(
         self,
         number: int,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         while data := await reader.read(65536):
-            if number in self._known:
+            if number in self._forwarded:
                 writer.write(data)
         writer.close()
 
 
-async def use_with_box(
-    check: Callable[[http.HttpStore, Box], asyncio.Future[None]],
+async def run_with_middlebox(
+    check: Callable[[http.HttpStore, Middlebox], asyncio.Future[None]],
 ) -> None:
     standin = platform.make(SERVER)
     await standin.server.start()
-    box = Box()
-    listening = await box.start()
-    store = http.HttpStore(BOX)
+    middlebox = Middlebox()
+    middlebox_server = await middlebox.start()
+    store = http.HttpStore(MIDDLEBOX)
     try:
-        await check(store, box)
+        await check(store, middlebox)
     finally:
         await store.close()
-        listening.close()
+        middlebox_server.close()
         await standin.server.stop(0.1)
 
 
-@pytest.mark.parametrize("gives_up", ["pool", "caller"])
-def test_forgotten_connections_cost_one_exchange(gives_up: str) -> None:
-    """A middlebox forgets the connections to the platform, which stay open.
+@pytest.mark.parametrize("times_out", ["pool", "caller"])
+def test_dead_connections_cost_one_exchange(times_out: str) -> None:
+    """A middlebox drops its state for open connections to the platform.
 
-    What is written on them vanishes. The first call finds that out by its
-    timeout, or its caller's shorter one; the next must not try another of
-    the forgotten ones, since a claim has only a few seconds.
+    Everything written on them is lost. The first call fails by its own
+    timeout or by its caller's shorter one. The next call must not use another
+    of the dead connections, since a claim has only a few seconds.
     """
 
-    async def check(store: http.HttpStore, box: Box) -> None:
+    async def check(store: http.HttpStore, middlebox: Middlebox) -> None:
         await asyncio.gather(*(store.read(f"/{n}") for n in range(5)))
-        assert box.connections == 5
-        box.forget()
+        assert middlebox.connections == 5
+        middlebox.drop_connections()
 
-        if gives_up == "pool":
+        if times_out == "pool":
             failed = await store.write("/k", b"1", api.CREATE)
             assert failed.error.kind is errors.Kind.STORE_OUTCOME_UNKNOWN
         else:
@@ -101,28 +101,32 @@
         assert isinstance(written.ok, api.Written)
         assert loop.time() - began_s < 0.1
 
-    async def go() -> None:
-        await use_with_box(
-            lambda store, box: asyncio.ensure_future(check(store, box))
+    async def run_check() -> None:
+        await run_with_middlebox(
+            lambda store, middlebox: asyncio.ensure_future(
+                check(store, middlebox)
+            )
         )
 
-    virtual.run(go())
+    virtual.run(run_check())
 
 
-def test_a_connection_that_was_idle_for_long_is_not_used_again() -> None:
-    async def check(store: http.HttpStore, box: Box) -> None:
+def test_connection_idle_past_the_limit_is_not_reused() -> None:
+    async def check(store: http.HttpStore, middlebox: Middlebox) -> None:
         await store.read("/k")
         await store.read("/k")
-        assert box.connections == 1
-        box.forget()
+        assert middlebox.connections == 1
+        middlebox.drop_connections()
         await asyncio.sleep(pool.MAX_IDLE_S + 0.1)
 
         assert (await store.read("/k")).is_ok()
-        assert box.connections == 2
+        assert middlebox.connections == 2
 
-    async def go() -> None:
-        await use_with_box(
-            lambda store, box: asyncio.ensure_future(check(store, box))
+    async def run_check() -> None:
+        await run_with_middlebox(
+            lambda store, middlebox: asyncio.ensure_future(
+                check(store, middlebox)
+            )
         )
 
-    virtual.run(go())
+    virtual.run(run_check())
