--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -1,4 +1,4 @@
-"""Reading whole HTTP requests from a client, by h11."""
+"""Reads complete HTTP requests from a client connection with h11."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from azureramp.ports.web import connection as web_connection
 
 LINGER_S = 0.25
-"""Longest time that a stopping server waits on an idle connection for a
-request that is on its way, in seconds."""
+"""How long a stopping server keeps an idle connection open for a request that
+is already in transit, in seconds."""
 
 READ_BYTES = 65536
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Arrival:
-    """How a request came.
+    """Connection data of a received request.
 
     Attributes:
-        began_s: When its first byte was read, on the loop's clock.
+        began_s: Event loop time at which its first byte was read, in seconds.
         round_trip_s: See `api.Request`.
         first: See `api.Request`.
     """
@@ -37,25 +37,25 @@
 UNKNOWN_ARRIVAL = Arrival()
 
 Parse = Callable[[h11.Request, bytes, Arrival], api.Request]
-"""Makes a request of its head, its body and how it came."""
+"""Makes a request from its h11 head, its body and its arrival data."""
 
 
 class BadRequestError(Exception):
-    """A request that can't be taken; the connection closes after it."""
+    """The request is invalid; the connection is closed after the response."""
 
     def __init__(self, status: int, detail: str) -> None:
-        """Keeps the HTTP status and the words."""
+        """Makes an error with the HTTP status to return and a log detail."""
         super().__init__(detail)
         self.status = status
         self.detail = detail
 
 
 class IdleError(Exception):
-    """The client has gone, or sent nothing for too long."""
+    """The client disconnected or exceeded the idle timeout."""
 
 
 class RequestReader:
-    """Reads one client's requests, one after another."""
+    """Reads the requests on one client connection sequentially."""
 
     __slots__ = (
         "_began",
@@ -80,7 +80,7 @@
         limits: api.Limits,
         parse: Parse,
     ) -> None:
-        """Makes a reader of one connection."""
+        """Makes a reader for one connection."""
         self._http = http
         self._reader = reader
         self._writer = writer
@@ -97,10 +97,11 @@
         self._timeout: asyncio.Timeout | None = None
 
     def stop(self) -> None:
-        """Ends the wait for the next request soon; one begun is read.
+        """Shortens the wait for the next request to `LINGER_S`.
 
-        A request may be on its way on a connection that looks idle here.
-        Closing at once would cut it off unread, so it gets a moment.
+        A request that has started to arrive is read to its end. A request may
+        also be in transit on a connection that is idle on this side; closing
+        the connection immediately would drop it unread.
         """
         self._stopping = True
         if self._timeout is not None and not self._began:
@@ -111,9 +112,10 @@
         """Reads one request.
 
         Raises:
-            IdleError: The client closed, or sent nothing in time.
+            IdleError: The client closed the connection or sent nothing in
+                time.
             BadRequestError: The request is too large, too slow or invalid.
-            h11.RemoteProtocolError: It is not HTTP.
+            h11.RemoteProtocolError: The data is not valid HTTP.
         """
         loop = asyncio.get_running_loop()
         self._began = False
@@ -129,42 +131,46 @@
                 case h11.Request() as event:
                     head = event
                     check_framing(head)
-                    self._begin()
+                    self._record_start()
                     self._until_s = loop.time() + self._limits.request_s
                 case h11.Data() as event:
                     body += event.data
                     if len(body) > self._limits.body_bytes:
-                        raise BadRequestError(413, "the body is too large")
+                        raise BadRequestError(
+                            413, "the request body is too large"
+                        )
                 case h11.EndOfMessage() if head is not None:
-                    return self._parse(head, bytes(body), self._arrive())
+                    return self._parse(head, bytes(body), self._make_arrival())
                 case _:
                     raise IdleError
 
-    def _arrive(self) -> Arrival:
-        """Tells how a request came that has been read."""
+    def _make_arrival(self) -> Arrival:
+        """Returns the arrival data of the request that was just read."""
         first, self._first = self._first, False
         return Arrival(self._began_s, self._round_trip_s, first)
 
     async def _receive(self) -> None:
-        """Waits for bytes and gives them to h11."""
+        """Waits for bytes and passes them to h11."""
         if self._http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._writer.write(self._http.send(go_on) or b"")
+            continue_response = h11.InformationalResponse(
+                status_code=100, headers=[]
+            )
+            self._writer.write(self._http.send(continue_response) or b"")
         try:
             async with asyncio.timeout_at(self._until_s) as self._timeout:
                 data = await self._reader.read(READ_BYTES)
         except TimeoutError:
             if not self._began:
                 raise IdleError from None
-            raise BadRequestError(408, "the request took too long") from None
+            raise BadRequestError(408, "request timeout") from None
         finally:
             self._timeout = None
         if data:
-            self._begin()
+            self._record_start()
         self._http.receive_data(data)
 
-    def _begin(self) -> None:
-        """Takes in that a request's first bytes have come."""
+    def _record_start(self) -> None:
+        """Records the arrival of a request's first bytes."""
         if not self._began:
             self._began = True
             self._began_s = asyncio.get_running_loop().time()
@@ -172,27 +178,29 @@
 
 
 def check_framing(head: h11.Request) -> None:
-    """Refuses a request whose end two readers may see in two places.
+    """Rejects a request with ambiguous framing (request smuggling).
 
-    With both a length and chunks, one reader takes for the next request what
-    another takes for the body: a request hidden in a body would be forwarded
-    as one of its own. h11 goes by the chunks without a word.
+    If both Content-Length and Transfer-Encoding are present, two parsers may
+    disagree on where the body ends, and a request hidden in the body would
+    be forwarded as a separate one. h11 silently prefers Transfer-Encoding.
 
     Raises:
-        BadRequestError: The request has both.
+        BadRequestError: Both headers are present.
     """
     names = {name for name, _ in head.headers}
     if b"content-length" in names and b"transfer-encoding" in names:
-        raise BadRequestError(400, "both a length and a transfer encoding")
+        raise BadRequestError(
+            400, "both Content-Length and Transfer-Encoding are present"
+        )
 
 
 def keep_request(
     head: h11.Request, body: bytes, arrival: Arrival
 ) -> api.Request:
-    """Makes a request of h11's that is forwarded as it came.
+    """Converts an h11 request that is to be forwarded unchanged.
 
-    Its path and its headers are not decoded, so that nothing that a server
-    behind understands is refused or changed here.
+    The target and the headers are not decoded, so that anything the upstream
+    server accepts is neither rejected nor altered here.
     """
     return api.Request(
         method=head.method.decode("ascii"),
@@ -211,7 +219,7 @@
 def parse_request(
     head: h11.Request, body: bytes, arrival: Arrival = UNKNOWN_ARRIVAL
 ) -> api.Request:
-    """Makes a request of h11's.
+    """Converts an h11 request, decoding its target and headers.
 
     Raises:
         BadRequestError: The target or a header is not valid text.
@@ -224,7 +232,7 @@
             parts.query, keep_blank_values=True, errors="strict"
         )
     except ValueError as error:
-        raise BadRequestError(400, f"bad target: {error}") from None
+        raise BadRequestError(400, f"invalid request target: {error}") from None
     headers = {
         name.decode("latin-1").lower(): value.decode("latin-1")
         for name, value in head.headers
