--- a/src/azureramp/ports/web/server.py
+++ b/src/azureramp/ports/web/server.py
@@ -1,8 +1,9 @@
-"""An HTTP/1.1 server by h11 over asyncio streams.
+"""An HTTP/1.1 server: h11 over asyncio streams.
 
-Bounds: header bytes by h11, body bytes, connections, and the time that a
-client may take for one request or one response. A graceful stop answers what
-was received, says `Connection: close` with it, and closes idle connections.
+Limits apply to the header size (enforced by h11), the body size, the number
+of connections, and the time a client takes to send a request or to read a
+response. A graceful stop completes received requests, answers them with
+`Connection: close`, and closes idle connections.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 from azureramp.ports.web import connection as web_connection
 
 ACCEPTED_S = 0.05
-"""Time in which a connection that was accepted is known, in seconds: a few
-turns of the event loop, each of some milliseconds under load."""
+"""Time within which an accepted connection is registered, in seconds: a few
+event loop iterations, each of which takes some milliseconds under load."""
 
 BACKLOG = 1024
 
 
 class Server:
-    """Accepts connections and calls one handler for each request.
+    """Accepts connections and calls a handler for each request.
 
     Attributes:
         address: `IP:port` that it listens on.
-        running: Requests that run now.
-        closing: True once each answer says that its connection closes; new
-            connections are still taken.
+        running: Number of requests in progress.
+        closing: True if each response closes its connection; new connections
+            are still accepted.
     """
 
     __slots__ = (
@@ -51,15 +52,15 @@
         limits: api.Limits | None = None,
         parse: request_reader.Parse = request_reader.parse_request,
     ) -> None:
-        """Makes a server that does not listen yet.
+        """Makes a server that is not listening yet.
 
         Args:
             address: `IP:port` to listen on.
-            handler: Called for each request; cancelled if the client goes.
-                A request that can't be read is told to it by the method
-                `UNREADABLE` and the status as the path.
-            limits: What is taken from clients; those of `api.Limits` if None.
-            parse: Makes the requests that the handler gets.
+            handler: Called for each request; cancelled if the client
+                disconnects. For a request that can't be read, it is called
+                with the method `UNREADABLE` and the status as the path.
+            limits: Limits for clients; the defaults of `api.Limits` if None.
+            parse: Makes the requests that are passed to the handler.
         """
         self.address = address
         self.running = 0
@@ -74,7 +75,7 @@
         ] = {}
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts listening."""
         loop = asyncio.get_running_loop()
         host, port = web_connection.split_address(self.address)
         self._server = await loop.create_server(
@@ -84,14 +85,14 @@
     async def stop(self, limit_s: float) -> int:
         """Stops gracefully.
 
-        New connections are refused, running requests end and idle
-        connections close.
+        New connections are refused, requests in progress are completed and
+        idle connections are closed.
 
         Args:
             limit_s: Hard limit, in seconds.
 
         Returns:
-            How many requests were cut since the limit was reached.
+            The number of requests aborted at the limit.
         """
         loop = asyncio.get_running_loop()
         until_s = loop.time() + limit_s
@@ -101,24 +102,24 @@
             loop.remove_reader(each.fileno())
         for served in self._connections.values():
             served.stop()
-        # A connection that was accepted in this very moment is not among those
-        # known yet. Its request would be cut as soon as the process ends, and
-        # asyncio would drop it where its server is closed first.
+        # A connection accepted just now is not in `_connections` yet. Without
+        # this wait its request would be aborted when the process exits, and
+        # asyncio drops the connection if its server is closed first.
         await asyncio.sleep(min(limit_s, ACCEPTED_S))
         if self._server is not None:
             self._server.close()
         while self._connections and loop.time() < until_s:
             left_s = until_s - loop.time()
             await asyncio.wait(self._connections, timeout=left_s)
-        cut = self.running
+        aborted = self.running
         for task in list(self._connections):
             task.cancel()
         if self._connections:
             await asyncio.wait(self._connections, timeout=1.0)
-        return cut
+        return aborted
 
     async def _handle(self, request: api.Request) -> api.Response:
-        """Runs the handler, and counts."""
+        """Runs the handler and counts the requests in progress."""
         self.running += 1
         try:
             response = await self._handler(request)
@@ -129,7 +130,7 @@
             self.running -= 1
 
     def _make_protocol(self) -> server_connection.ClientProtocol:
-        """Makes the protocol of a connection that was accepted."""
+        """Makes the protocol instance for an accepted connection."""
         protocol: server_connection.ClientProtocol
 
         async def accept(
@@ -148,7 +149,7 @@
         writer: asyncio.StreamWriter,
         protocol: server_connection.ClientProtocol,
     ) -> None:
-        """Serves one connection to its end."""
+        """Serves one connection until it is closed."""
         task = asyncio.current_task()
         if task is None or len(self._connections) >= self._limits.connections:
             writer.transport.abort()
@@ -165,8 +166,9 @@
         except (OSError, TimeoutError, h11.LocalProtocolError):
             writer.transport.abort()
         except asyncio.CancelledError:
-            # Only `stop` cancels, past its limit. The stream's own callback
-            # would take a cancelled task for a fault and print a traceback.
+            # Only `stop` cancels this task, at its limit. asyncio's stream
+            # callback would treat the cancellation as an error and print a
+            # traceback.
             writer.transport.abort()
         finally:
             del self._connections[task]
--- a/src/azureramp/ports/web/server_connection.py
+++ b/src/azureramp/ports/web/server_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection to the server."""
+"""The server side of one client connection."""
 
 from __future__ import annotations
 
@@ -12,45 +12,46 @@
 from azureramp.ports.web import api, request_reader
 
 WRITE_S = 10.0
-"""Longest time that a client may take to read a response, in seconds."""
+"""Maximum time that a client may take to read a response, in seconds."""
 
 _logger = logbook.Logger("azureramp.web")
 
 
 class ClientProtocol(asyncio.StreamReaderProtocol):
-    """A stream's protocol that tells at once that the client has gone.
+    """A stream protocol that reports a client disconnect immediately.
 
     Attributes:
-        on_gone: Called in that moment, once; None while nobody asks.
+        on_disconnect: Called once when the client disconnects; None if there
+            is no callback.
     """
 
-    on_gone: Callable[[], object] | None = None
-    _gone = False
+    on_disconnect: Callable[[], object] | None = None
+    _disconnected = False
 
-    def has_gone(self) -> bool:
-        """Tells whether the client has closed its side, or was lost."""
-        return self._gone
+    def has_disconnected(self) -> bool:
+        """Returns True if the client disconnected or closed its side."""
+        return self._disconnected
 
     def eof_received(self) -> bool | None:
-        """Takes the end of the client's stream."""
-        self._go()
+        """Handles the end of the client's stream."""
+        self._report_disconnect()
         return super().eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Takes the connection's end."""
-        self._go()
+        """Handles the end of the connection."""
+        self._report_disconnect()
         super().connection_lost(exc)
 
-    def _go(self) -> None:
-        """Tells whoever asks."""
-        self._gone = True
-        on_gone, self.on_gone = self.on_gone, None
-        if on_gone is not None:
-            on_gone()
+    def _report_disconnect(self) -> None:
+        """Records the disconnect and calls the callback once."""
+        self._disconnected = True
+        on_disconnect, self.on_disconnect = self.on_disconnect, None
+        if on_disconnect is not None:
+            on_disconnect()
 
 
 class ServerConnection:
-    """Serves one client until it goes or the server stops."""
+    """Serves one client until it disconnects or the server stops."""
 
     __slots__ = (
         "_handler",
@@ -70,7 +71,7 @@
         limits: api.Limits,
         parse: request_reader.Parse,
     ) -> None:
-        """Makes the server's side of a connection."""
+        """Makes the server side of a connection."""
         self._handler = handler
         self._writer = writer
         self._protocol = protocol
@@ -83,26 +84,26 @@
         )
 
     def stop(self) -> None:
-        """Closes after the request that runs or is on its way."""
+        """Closes the connection after the request in progress or in transit."""
         self._stopping = True
         self._requests.stop()
 
     async def serve(self) -> None:
-        """Reads requests and writes responses, one after another."""
+        """Reads requests and writes responses sequentially."""
         while await self._serve_one():
             self._http.start_next_cycle()
 
     async def _serve_one(self) -> bool:
-        """Serves one request; False if it was the last."""
+        """Serves one request; returns False if the connection must close."""
         try:
             request = await self._requests.read()
         except request_reader.IdleError:
             return False
         except request_reader.BadRequestError as error:
-            await self._refuse(error.status, error.detail)
+            await self._reject(error.status, error.detail)
             return False
         except h11.RemoteProtocolError as error:
-            await self._refuse(error.error_status_hint, str(error))
+            await self._reject(error.error_status_hint, str(error))
             return False
         response = await self._handle(request)
         if response is None:
@@ -112,34 +113,35 @@
         return not closes and self._http.our_state is not h11.MUST_CLOSE
 
     async def _handle(self, request: api.Request) -> api.Response | None:
-        """Runs the handler; None if the client went away meanwhile.
+        """Runs the handler; returns None if the client disconnected.
 
-        An abandoned request must not go on using slots, so the end of the
+        An abandoned request must not keep using slots, so the end of the
         client's stream cancels the handler.
         """
         task = asyncio.current_task()
-        if task is None or self._protocol.has_gone():
+        if task is None or self._protocol.has_disconnected():
             return None
-        self._protocol.on_gone = task.cancel
+        self._protocol.on_disconnect = task.cancel
         try:
             return await self._handler(request)
         except asyncio.CancelledError:
-            if not self._protocol.has_gone():
+            if not self._protocol.has_disconnected():
                 raise
             task.uncancel()
             return None
         except Exception:
-            # The outermost place of a request: the client gets an answer.
-            _logger.exception("a request failed by a fault")
+            # Outermost exception handler of a request: the client still gets
+            # a response.
+            _logger.exception("unhandled exception while handling a request")
             return await self._handler(
                 api.Request(api.UNREADABLE, "/500", {}, {})
             )
         finally:
-            self._protocol.on_gone = None
+            self._protocol.on_disconnect = None
 
-    async def _refuse(self, status: int, detail: str) -> None:
-        """Answers a request that couldn't be read, and closes."""
-        _logger.info("refused a request: {}", detail)
+    async def _reject(self, status: int, detail: str) -> None:
+        """Responds to a request that could not be read, and closes."""
+        _logger.info("rejected a request: {}", detail)
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             request = api.Request(api.UNREADABLE, f"/{status}", {}, {})
             await self._write(await self._handler(request), True)
@@ -148,7 +150,7 @@
         """Writes one response.
 
         Raises:
-            TimeoutError: The client didn't read it in time.
+            TimeoutError: The client did not read it in time.
         """
         self._writer.write(self._encode(response, closes))
         async with asyncio.timeout(WRITE_S):
@@ -159,7 +161,7 @@
                     self._writer.write_eof()
 
     def _encode(self, response: api.Response, closes: bool) -> bytes:
-        """Encodes a response by h11."""
+        """Encodes a response with h11."""
         headers = [
             ("Content-Length", str(len(response.body))),
             *response.headers,
--- a/tests/ports/web/test_server.py
+++ b/tests/ports/web/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: bounds, clients that go, and graceful stops."""
+"""Tests of the HTTP server: limits, client disconnects, graceful stops."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 
 class Handler:
-    """Answers after a while, and keeps what it saw.
+    """Responds after a delay and records the requests.
 
     Attributes:
-        seen: The requests' methods and paths.
-        cancelled: How many requests were cancelled.
-        takes_s: How long a request takes, in seconds.
+        seen: The methods and paths of the requests.
+        cancelled: Number of cancelled requests.
+        delay_s: Duration of a request, in seconds.
     """
 
     def __init__(self) -> None:
         self.seen: list[tuple[str, str]] = []
         self.cancelled = 0
-        self.takes_s = 0.0
+        self.delay_s = 0.0
 
     async def handle(self, request: api.Request) -> api.Response:
-        """Answers a request with its path."""
+        """Responds with the request body, or with `hello` if it is empty."""
         self.seen.append((request.method, request.path))
         if request.path == "/fault":
             raise ZeroDivisionError
         if request.method == "BAD":
             return api.Response(status=int(request.path[1:]))
         try:
-            await asyncio.sleep(self.takes_s)
+            await asyncio.sleep(self.delay_s)
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
@@ -51,7 +51,7 @@
 def run(scenario: Scenario) -> None:
     """Runs a scenario against a server over in-memory streams."""
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         handler = Handler()
         served = server.Server(ADDRESS, handler.handle)
         await served.start()
@@ -62,17 +62,17 @@
         assert served.running == 0
 
     with asyncio.Runner(loop_factory=async_solipsism.EventLoop) as runner:
-        runner.run(whole())
+        runner.run(run_scenario())
 
 
 async def connect() -> web_connection.Connection:
-    """Opens a client's connection."""
+    """Opens a client connection."""
     opened = await web_connection.connect(ADDRESS, 1.0)
     return opened.ok
 
 
 async def send_raw(data: bytes) -> bytes:
-    """Sends bytes and reads all that comes back."""
+    """Sends bytes and reads until the connection is closed."""
     reader, writer = await asyncio.open_connection("127.0.0.1", 8000)
     writer.write(data)
     try:
@@ -81,7 +81,7 @@
         writer.transport.abort()
 
 
-def test_requests_follow_one_another_on_a_connection() -> None:
+def test_connection_serves_several_requests() -> None:
     async def scenario(handler: Handler, served: server.Server) -> None:
         client = await connect()
         for body in (b"a", b"b" * 200_000, b""):
@@ -93,20 +93,20 @@
     run(scenario)
 
 
-def test_a_client_that_goes_cancels_its_request_at_once() -> None:
-    """A caller hangs up while its query runs.
+def test_client_disconnect_cancels_its_request_immediately() -> None:
+    """A caller disconnects while its query is running.
 
-    The query must stop using slots in that moment, not at its deadline; and
-    the server waits for the news, it doesn't ask for it.
+    The query must stop using slots immediately, not at its deadline. The
+    server is notified of the disconnect and does not poll for it.
     """
 
     async def scenario(handler: Handler, served: server.Server) -> None:
-        handler.takes_s = 100.0
+        handler.delay_s = 100.0
         client = await connect()
-        asked = asyncio.ensure_future(client.exchange("GET", "/x", ()))
+        pending = asyncio.ensure_future(client.exchange("GET", "/x", ()))
         await asyncio.sleep(1.0)
         running = served.running
-        asked.cancel()
+        pending.cancel()
         await asyncio.sleep(0.01)
 
         assert running == 1
@@ -116,7 +116,7 @@
     run(scenario)
 
 
-def test_a_fault_in_the_handler_is_answered() -> None:
+def test_handler_exception_is_answered_with_status_500() -> None:
     async def scenario(handler: Handler, served: server.Server) -> None:
         client = await connect()
         response = await client.exchange("GET", "/fault", ())
@@ -128,17 +128,17 @@
     run(scenario)
 
 
-def test_a_stop_lets_the_running_request_end_and_closes_after_it() -> None:
+def test_stop_completes_the_running_request_and_closes_the_connection() -> None:
     async def scenario(handler: Handler, served: server.Server) -> None:
-        handler.takes_s = 5.0
+        handler.delay_s = 5.0
         busy, idle = await connect(), await connect()
         await idle.exchange("GET", "/idle", ())
-        asked = asyncio.ensure_future(busy.exchange("GET", "/busy", ()))
+        pending = asyncio.ensure_future(busy.exchange("GET", "/busy", ()))
         await asyncio.sleep(1.0)
-        cut = await served.stop(30.0)
-        response = await asked
+        aborted = await served.stop(30.0)
+        response = await pending
 
-        assert cut == 0
+        assert aborted == 0
         assert response.status == 200
         headers = {k.lower(): v.lower() for k, v in response.headers}
         assert headers["connection"] == "close"
@@ -149,8 +149,8 @@
     run(scenario)
 
 
-def test_a_request_on_its_way_when_the_server_stops_is_answered() -> None:
-    """A client sends on an idle connection in the moment of the stop."""
+def test_request_in_transit_when_the_server_stops_is_answered() -> None:
+    """A client sends on an idle connection while the server stops."""
 
     async def scenario(handler: Handler, served: server.Server) -> None:
         client = await connect()
@@ -158,25 +158,25 @@
         stopping = asyncio.ensure_future(served.stop(30.0))
         await asyncio.sleep(request_reader.LINGER_S / 2)
         response = await client.exchange("GET", "/second", ())
-        cut = await stopping
+        aborted = await stopping
 
-        assert (response.status, cut) == (200, 0)
+        assert (response.status, aborted) == (200, 0)
         client.abort()
 
     run(scenario)
 
 
-def test_the_hard_limit_cuts_and_says_how_much() -> None:
+def test_stop_aborts_requests_at_its_limit_and_returns_their_number() -> None:
     async def scenario(handler: Handler, served: server.Server) -> None:
-        handler.takes_s = 100.0
+        handler.delay_s = 100.0
         client = await connect()
-        asked = asyncio.ensure_future(client.exchange("GET", "/x", ()))
+        pending = asyncio.ensure_future(client.exchange("GET", "/x", ()))
         await asyncio.sleep(1.0)
-        cut = await served.stop(2.0)
+        aborted = await served.stop(2.0)
         with pytest.raises(web_connection.BrokenError):
-            await asked
+            await pending
 
-        assert cut == 1
+        assert aborted == 1
 
     run(scenario)
 
@@ -198,9 +198,7 @@
     ],
     ids=["nonsense", "path", "host", "header", "body", "slow", "length"],
 )
-def test_a_request_that_cannot_be_read_is_refused(
-    data: bytes, status: bytes
-) -> None:
+def test_unreadable_request_is_rejected(data: bytes, status: bytes) -> None:
     async def scenario(handler: Handler, served: server.Server) -> None:
         answer = await send_raw(data)
 
@@ -210,7 +208,7 @@
     run(scenario)
 
 
-def test_an_idle_connection_is_closed_and_a_slow_reader_is_cut() -> None:
+def test_idle_connection_and_slow_reader_are_closed() -> None:
     async def scenario(handler: Handler, served: server.Server) -> None:
         idle = await send_raw(b"")
         _, writer = await asyncio.open_connection("127.0.0.1", 8000)
@@ -226,7 +224,7 @@
     run(scenario)
 
 
-def test_random_bytes_neither_end_the_server_nor_leak_connections() -> None:
+def test_random_bytes_neither_stop_the_server_nor_leak_connections() -> None:
     async def scenario(handler: Handler, served: server.Server) -> None:
         rng = random.Random(2)
         valid = b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
@@ -247,12 +245,12 @@
     run(scenario)
 
 
-def test_a_callers_connection_that_goes_silent_is_found_by_the_kernel() -> None:
-    """Something between a caller and us has lost track of the connection.
+def test_accepted_connection_has_keepalive_and_user_timeout() -> None:
+    """A middlebox drops its state for a caller's connection.
 
-    What we write is never acknowledged, and nothing comes. Only the kernel
-    can tell: by its probes on an idle connection, and by its limit for
-    unacknowledged bytes on a busy one. Both must be set on what we accept.
+    Sent data is never acknowledged and nothing is received. Only the kernel
+    can detect this: by keepalive probes on an idle connection, and by the TCP
+    user timeout on a busy one. Both must be set on accepted connections.
     """
 
     async def scenario() -> None:
@@ -264,12 +262,12 @@
         accepted: list[asyncio.StreamWriter] = []
         set_options = web_connection.set_socket_options
 
-        def keep(writer: asyncio.StreamWriter) -> None:
+        def record_writer(writer: asyncio.StreamWriter) -> None:
             set_options(writer)
             accepted.append(writer)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(web_connection, "set_socket_options", keep)
+            patch.setattr(web_connection, "set_socket_options", record_writer)
             await served.start()
             opened = await web_connection.connect(served.address, 1.0)
             await opened.ok.exchange("GET", "/x", ())
@@ -287,19 +285,19 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("turns", range(16))
-def test_a_connection_made_while_the_server_stops_is_served(
-    turns: int,
+@pytest.mark.parametrize("loop_iterations", range(16))
+def test_connection_accepted_while_the_server_stops_is_served(
+    loop_iterations: int,
 ) -> None:
-    """A VM stops by plan, and a caller's lookup on a new connection is cut.
+    """A planned stop must not abort a request on a new connection.
 
-    The connection was accepted in the very moment in which the server began
-    to wait for those that it had. The new one was not among them, so the
-    process ended while its request ran on a searcher.
+    A connection accepted just as the server starts to wait for its registered
+    connections is not among them, so the process could exit while the request
+    is running on a searcher.
     """
 
     async def scenario(handler: Handler, served: server.Server) -> None:
-        handler.takes_s = 0.1
+        handler.delay_s = 0.1
 
         async def ask() -> int:
             async with asyncio.timeout(3.0):
@@ -308,13 +306,13 @@
                 client.abort()
                 return response.status
 
-        asked = asyncio.ensure_future(ask())
-        for _ in range(turns):
+        pending = asyncio.ensure_future(ask())
+        for _ in range(loop_iterations):
             await asyncio.sleep(0)
         await served.stop(5.0)
         await asyncio.sleep(0.01)
         await served.stop(0.0)
-        (outcome,) = await asyncio.gather(asked, return_exceptions=True)
+        (outcome,) = await asyncio.gather(pending, return_exceptions=True)
         assert outcome == 200 or handler.cancelled == 0
 
     run(scenario)
