--- a/tests/ports/web/test_pool.py
+++ b/tests/ports/web/test_pool.py
@@ -29,7 +29,7 @@
         """Starts listening."""
         return await asyncio.start_server(self._accept, "127.0.0.1", 7002)
 
-    def drop_connections(self) -> None:
+    def drop_state(self) -> None:
         """Silently drops all further packets of the current connections."""
         self._forwarded.clear()
 
@@ -85,7 +85,7 @@
     async def check(store: http.HttpStore, middlebox: Middlebox) -> None:
         await asyncio.gather(*(store.read(f"/{n}") for n in range(5)))
         assert middlebox.connections == 5
-        middlebox.drop_connections()
+        middlebox.drop_state()
 
         if times_out == "pool":
             failed = await store.write("/k", b"1", api.CREATE)
@@ -116,7 +116,7 @@
         await store.read("/k")
         await store.read("/k")
         assert middlebox.connections == 1
-        middlebox.drop_connections()
+        middlebox.drop_state()
         await asyncio.sleep(pool.MAX_IDLE_S + 0.1)
 
         assert (await store.read("/k")).is_ok()
