--- a/src/azureramp/ports/searchers/__init__.py
+++ b/src/azureramp/ports/searchers/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to searchers."""
+"""The searchers port: calls and health reads."""
--- a/src/azureramp/ports/searchers/api.py
+++ b/src/azureramp/ports/searchers/api.py
@@ -1,4 +1,4 @@
-"""The interface to a searcher, one process of a backend server."""
+"""The interface to searchers, the processes of a backend server."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Call:
-    """One call of a searcher.
+    """One call to a searcher.
 
     Attributes:
         address: The searcher's `IP:port`.
-        call_id: Unique for the attempt; the reply must carry it.
+        call_id: The unique id of the attempt, which the reply must echo.
         index: The index.
         version: The index version.
         shard: The shard's name.
-        low: The first key of the shard.
-        high: The first key after the shard.
-        deadline_ms: Time left, in milliseconds, told to the searcher.
-        body: The query, JSON.
-        repeatable: False if the call has effects and may be made only once.
-        overdue_ms: After this time without a reply, in milliseconds, the
-            connection is suspect; 0 for never.
-        give_up_ms: After this time without a reply, in milliseconds, a
-            repeatable call on a suspect connection is given up; 0 for never.
+        low: The first key of the shard (inclusive).
+        high: The first key after the shard (exclusive).
+        deadline_ms: Remaining time, in milliseconds; sent to the searcher.
+        body: The query as JSON.
+        repeatable: False if the call has side effects and must not be repeated.
+        overdue_ms: Time without a reply, in milliseconds, after which the
+            connection is suspected to be half-open; 0 for never.
+        give_up_ms: Time without a reply, in milliseconds, after which a
+            repeatable call on a suspected connection is aborted; 0 for never.
     """
 
     address: str
@@ -48,14 +48,14 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A searcher's whole result.
+    """A searcher's complete result.
 
     Attributes:
-        call_id: The call's id, echoed.
+        call_id: The id of the call.
         version: The index version that the result was computed from.
-        low: The first key of the range that it covers.
-        high: The first key after that range.
-        items: The items, a JSON array.
+        low: The first key of the covered range (inclusive).
+        high: The first key after the covered range (exclusive).
+        items: The items as a JSON array.
     """
 
     call_id: str
@@ -67,10 +67,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class CallFailure:
-    """A call without a result.
+    """A failed call.
 
     Attributes:
-        failure: Why.
+        failure: The reason.
         sent: True if any byte of the call may have reached the searcher.
     """
 
@@ -79,12 +79,12 @@
 
 
 class Health(msgspec.Struct, frozen=True):
-    """What a searcher reports of itself; it lags or misleads.
+    """A searcher's own health report, which may be outdated or wrong.
 
     Attributes:
-        incarnation: Its start number; another one means a restart.
-        cold: True while it is in cold start.
-        in_flight: Requests that run or wait in it.
+        incarnation: Its start number; a different one means a restart.
+        cold: True during its cold start.
+        in_flight: Number of requests that it is running or queueing.
         versions: The `index.version` names that it serves.
     """
 
@@ -96,12 +96,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Links:
-    """The connections to one searcher.
+    """Connection counts for one searcher.
 
     Attributes:
-        open: How many are open.
-        lost: How many were lost since the start: closed by the searcher, or
-            broken, and not by this side.
+        open: Number of open connections.
+        lost: Number of connections lost since the start: closed by the
+            searcher or broken, not closed by this side.
     """
 
     open: int
@@ -109,32 +109,33 @@
 
 
 class Searchers(Protocol):
-    """Calls to searchers, over pooled connections.
+    """Makes calls to searchers over pooled connections.
 
     Each address has at most the number of connections set by `set_limit`.
-    Cancelling a call's task cancels the call at the searcher too.
+    Cancelling the task of a call also cancels the call at the searcher.
     """
 
     def set_limit(self, address: str, limit: int) -> None:
-        """Sets the most connections to hold open to an address.
+        """Sets the maximum number of open connections to an address.
 
-        Those for health reads count too; 0 closes all that are idle.
+        Connections for health reads are included. 0 closes all idle ones.
         """
         ...
 
     def get_links(self, address: str) -> Links:
-        """Returns what is known now of the connections to an address."""
+        """Returns the current connection counts for an address."""
         ...
 
     async def call(
         self, call: Call, may_write: Callable[[], bool]
     ) -> expression.Result[Reply, CallFailure]:
-        """Makes one call, once; it is never repeated by the port.
+        """Makes one call; the port never repeats it.
 
         Args:
             call: The call.
-            may_write: Asked right before the first byte is written, with no
-                wait between; False ends the call as `NOT_OWNER`, unsent.
+            may_write: Called immediately before the first byte is written,
+                without yielding to the event loop in between. False fails
+                the call with `NOT_OWNER`, unsent.
 
         Returns:
             The reply, or the failure: `SHED`, `VERSION_GONE`, `ZONE_OUT`,
@@ -146,18 +147,18 @@
     async def read_health(
         self, address: str, fresh: bool = False
     ) -> expression.Result[Health, errors.Failure]:
-        """Reads a searcher's own report, on its own connection.
+        """Reads a searcher's health report over a separate connection.
 
         Args:
             address: The searcher's `IP:port`.
-            fresh: True if the connection must be a new one.
+            fresh: True to use a new connection.
 
         Returns:
             The report; `CONNECTION_LOST` if the connection was refused or
-            broke; `DEADLINE_PASSED` if nothing came in time.
+            broken; `DEADLINE_PASSED` if there was no response in time.
         """
         ...
 
     async def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
         ...
