--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -1,4 +1,4 @@
-"""Making calls over pooled connections, whatever carries them."""
+"""Calls over pooled connections, independent of the transport."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from azureramp.ports.web import connection as web_connection
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest time that opening a connection may take, in seconds."""
+"""Maximum time to open a connection, in seconds."""
 
-ENCODE_S = 0.05
-"""Longest time between telling a deadline and writing it, in seconds."""
+MAX_ENCODE_S = 0.05
+"""Maximum time between computing a deadline and writing it, in seconds."""
 
 Outcome = expression.Result[api.Reply, errors.Failure]
 
@@ -33,7 +33,7 @@
 
         Args:
             call: The call.
-            left_ms: The deadline to tell, in milliseconds from now.
+            left_ms: The remaining time to send, in milliseconds.
             may_write: See `api.Searchers.call`.
 
         Raises:
@@ -47,72 +47,73 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Permission:
-    """Asks for the leave to write, once, and remembers the answer.
+class WritePermission:
+    """Asks once whether a call may be written and records the answer.
 
     Attributes:
-        may_write: Who is asked.
-        told_s: When the deadline that will be written was worked out.
-        asked: True once asked.
-        given: The answer.
+        may_write: Returns True if the call may be written.
+        computed_s: Event loop time at which the deadline to be written was
+            computed, in seconds.
+        asked: True if `may_write` was called.
+        granted: The result of `may_write`.
     """
 
     may_write: Callable[[], bool]
-    told_s: float = 0.0
+    computed_s: float = 0.0
     asked: bool = False
-    given: bool = False
+    granted: bool = False
 
     def ask(self) -> bool:
-        """Returns whether the first byte may be written now.
+        """Returns True if the first byte may be written now.
 
-        A process paused since it encoded the request would tell the searcher
-        a deadline that is later than meant by the pause, and the work could
-        outlast the lease that it was cut to. It shows by the clock, and the
-        request isn't written.
+        If the process was paused after the request was encoded, the searcher
+        would receive a deadline that is too late by the length of the pause,
+        and the work could outlast the lease that limits it. The clock shows
+        the pause, and the request is not written.
         """
-        late_s = asyncio.get_running_loop().time() - self.told_s
-        if late_s > ENCODE_S:
+        late_s = asyncio.get_running_loop().time() - self.computed_s
+        if late_s > MAX_ENCODE_S:
             return False
         self.asked = True
-        self.given = self.may_write()
-        return self.given
+        self.granted = self.may_write()
+        return self.granted
 
 
 class PooledSearchers(Generic[_L]):
-    """Calls to searchers over pools of links; see `api.Searchers`."""
+    """Makes calls over pools of connections; see `api.Searchers`."""
 
-    __slots__ = ("_health", "_judging", "_pools")
+    __slots__ = ("_health", "_overdue_checks", "_pools")
 
     def __init__(self, connect: pool.Connect[_L]) -> None:
-        """Makes it without any connection.
+        """Makes a port without connections.
 
         Args:
-            connect: Opens a link.
+            connect: Opens a connection.
         """
         self._pools: pool.Pools[_L] = pool.Pools(connect)
-        self._health: health.Reader[_L] = health.Reader(connect)
-        self._judging: set[asyncio.Task[None]] = set()
+        self._health: health.HealthReader[_L] = health.HealthReader(connect)
+        self._overdue_checks: set[asyncio.Task[None]] = set()
 
     def set_limit(self, address: str, limit: int) -> None:
-        """Sets the most connections to hold open; see `api.Searchers`."""
+        """Sets the maximum number of connections; see `api.Searchers`."""
         for_calls, for_health = connections.split_share(limit)
         self._health.set_limit(address, for_health)
         self._pools.get(address).set_limit(for_calls)
 
     def get_links(self, address: str) -> api.Links:
-        """Returns what is known of the connections to an address."""
+        """Returns the connection counts; see `api.Searchers`."""
         pooled = self._pools.get(address)
         pooled.prune()
-        watched = self._health.get_links(address)
+        health_links = self._health.get_links(address)
         return api.Links(
-            pooled.opened + watched.open, pooled.lost + watched.lost
+            pooled.opened + health_links.open, pooled.lost + health_links.lost
         )
 
     async def call(
         self, call: api.Call, may_write: Callable[[], bool]
     ) -> expression.Result[api.Reply, api.CallFailure]:
-        """Makes one call, once; see `api.Searchers`."""
-        permission = Permission(may_write)
+        """Makes one call; see `api.Searchers`."""
+        permission = WritePermission(may_write)
         until_s = asyncio.get_running_loop().time() + call.deadline_ms / 1000
         try:
             async with asyncio.timeout_at(until_s):
@@ -126,26 +127,26 @@
                 return expression.Ok(reply)
             case expression.Result(error=failure):
                 return expression.Error(
-                    api.CallFailure(failure, permission.given)
+                    api.CallFailure(failure, permission.granted)
                 )
 
     async def read_health(
         self, address: str, fresh: bool = False
     ) -> health.Report:
-        """Reads a searcher's own report; see `api.Searchers`."""
+        """Reads a searcher's health report; see `api.Searchers`."""
         return await self._health.read(address, fresh)
 
     async def close(self) -> None:
-        """Closes every idle connection."""
-        for task in self._judging:
+        """Closes all idle connections."""
+        for task in self._overdue_checks:
             task.cancel()
         self._health.close()
         self._pools.close()
 
     async def _call(
-        self, call: api.Call, permission: Permission, until_s: float
+        self, call: api.Call, permission: WritePermission, until_s: float
     ) -> Outcome:
-        """Makes a call on the first connection that takes its bytes."""
+        """Makes a call, trying other connections while nothing was written."""
         pooled = self._pools.get(call.address)
         while True:
             match await pooled.acquire(CONNECT_TIMEOUT_S):
@@ -163,22 +164,26 @@
         pooled: pool.AddressPool[_L],
         link: _L,
         call: api.Call,
-        permission: Permission,
+        permission: WritePermission,
         until_s: float,
     ) -> Outcome | None:
-        """Makes a call on one connection; None if it may go to another."""
+        """Makes a call on one connection.
+
+        Returns:
+            The outcome; None if the call may be made on another connection.
+        """
         loop = asyncio.get_running_loop()
-        permission.told_s = loop.time()
-        left_ms = (until_s - permission.told_s) * 1000
-        overdue = None
+        permission.computed_s = loop.time()
+        left_ms = (until_s - permission.computed_s) * 1000
+        timer = None
         if call.overdue_ms:
-            overdue = loop.call_later(
+            timer = loop.call_later(
                 call.overdue_ms / 1000,
-                self._begin_judging,
+                self._start_overdue_check,
                 pooled,
                 link,
                 call,
-                permission.told_s,
+                permission.computed_s,
             )
         broke = False
         try:
@@ -187,8 +192,8 @@
             )
         except web_connection.UnsentError:
             # The searcher closed an idle connection, or this process was
-            # paused: no byte was written, so the call may go to another
-            # connection, unless its owner has forbidden it.
+            # paused. No byte was written, so another connection may be used
+            # unless `may_write` returned False.
             broke = not link.is_reusable()
             if not permission.asked:
                 return None
@@ -201,49 +206,53 @@
                 errors.Failure(errors.Kind.CONNECTION_LOST, str(error))
             )
         finally:
-            if overdue is not None:
-                overdue.cancel()
+            if timer is not None:
+                timer.cancel()
             pooled.release(link, broke)
 
-    def _begin_judging(
+    def _start_overdue_check(
         self,
         pooled: pool.AddressPool[_L],
         link: _L,
         call: api.Call,
         began_s: float,
     ) -> None:
-        """Looks into an overdue reply, in the background."""
-        task = asyncio.ensure_future(self._judge(pooled, link, call, began_s))
-        self._judging.add(task)
-        task.add_done_callback(self._judging.discard)
+        """Starts a background check for half-open connections."""
+        task = asyncio.ensure_future(
+            self._check_overdue(pooled, link, call, began_s)
+        )
+        self._overdue_checks.add(task)
+        task.add_done_callback(self._overdue_checks.discard)
 
-    async def _judge(
+    async def _check_overdue(
         self,
         pooled: pool.AddressPool[_L],
         link: _L,
         call: api.Call,
         began_s: float,
     ) -> None:
-        """Judges the connections after a reply was overdue on one.
-
-        Something between the two ends may have lost track of them: bytes go
-        in and nothing comes out, for good. It shows by an overdue reply on
-        an old connection while a fresh one works. Then every idle connection
-        without proof of life since the call began is closed. The call itself
-        is given up too if it may be repeated, so that its slot comes free
-        and it can go elsewhere before its deadline: at once if the searcher
-        reports fewer calls than this side has there, since then it never
-        got this one; else, as reports mislead, after some more time.
+        """Detects half-open connections after a reply became overdue.
+
+        A middlebox may have lost its state for the connections, so that
+        everything sent on them is dropped. This is assumed if a reply is
+        overdue on an existing connection while a new one works. All idle
+        connections without activity since the call started are then closed.
+
+        A repeatable call is aborted as well, to free its slot and to allow a
+        retry elsewhere before its deadline. It is aborted immediately if the
+        searcher reports fewer calls in flight than this side has sent, since
+        it has then never received this call; otherwise, as reports may be
+        wrong, after `give_up_ms`.
         """
         report = await self.read_health(call.address, fresh=True)
         match report:
-            case expression.Result(tag="ok", ok=seen):
+            case expression.Result(tag="ok", ok=reported):
                 pooled.suspect(began_s)
             case _:
                 return
         if not call.repeatable:
             return
-        if seen.in_flight >= pooled.count_in_use():
+        if reported.in_flight >= pooled.count_in_use():
             if not call.give_up_ms:
                 return
             now_s = asyncio.get_running_loop().time()
@@ -253,12 +262,12 @@
 
 
 def check_reply(call: api.Call, outcome: Outcome, link: pool.Pooled) -> Outcome:
-    """Refuses a reply that belongs to another call.
+    """Rejects a reply that belongs to another call.
 
-    A searcher, or something before it, that gives one call's reply to
-    another would mix two callers' data. It shows by the call's id, version
-    or range; the connection is closed, since the replies that still come on
-    it are one off too.
+    A searcher or proxy that confuses replies would expose one caller's data
+    to another. A mismatch of the call id, the version or the key range
+    reveals it. The connection is closed, since all later replies on it would
+    be off by one as well.
     """
     match outcome:
         case expression.Result(tag="ok", ok=reply) if (
--- a/src/azureramp/ports/searchers/health.py
+++ b/src/azureramp/ports/searchers/health.py
@@ -1,8 +1,8 @@
-"""Health reads, on connections of their own.
+"""Health reads over separate connections.
 
-One connection to each searcher stays open between the reads. When the
-searcher's process ends, this connection ends with it, so a restart shows at
-once even where no call is under way.
+One connection to each searcher is kept open between reads. It breaks when the
+searcher's process exits, so a restart is detected immediately even if no call
+is in progress.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from azureramp.ports.web import connection as web_connection
 
 TIMEOUT_S = 0.25
-"""Longest time that a health read may take, in seconds."""
+"""Timeout of a health read, in seconds."""
 
 Report = expression.Result[api.Health, errors.Failure]
 
 
 class HealthLink(pool.Pooled, Protocol):
-    """A connection that health is read on."""
+    """A connection for health reads."""
 
     async def read_health(self) -> Report:
         """Reads the searcher's health.
@@ -40,142 +40,145 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Watch(Generic[_L]):
-    """The health reads of one address.
+class HealthLinks(Generic[_L]):
+    """The health connections to one address.
 
     Attributes:
-        limit: Connections allowed; 0 keeps none open.
-        opened: Connections open.
-        lost: Connections that the searcher has closed, ever.
-        kept: The one that stays open; None while it is in use.
-        fresh: The read on a fresh connection that is under way.
+        limit: Maximum number of connections; 0 keeps none open.
+        opened: Number of open connections.
+        lost: Number of connections lost since the start.
+        idle: The connection kept open; None while it is in use.
+        new_read: The read in progress on a new connection; None if there is
+            none.
     """
 
     limit: int = 2
     opened: int = 0
     lost: int = 0
-    kept: _L | None = None
-    fresh: asyncio.Task[Report] | None = None
+    idle: _L | None = None
+    new_read: asyncio.Task[Report] | None = None
 
 
-class Reader(Generic[_L]):
+class HealthReader(Generic[_L]):
     """Reads the health of searchers."""
 
-    __slots__ = ("_connect", "_watches")
+    __slots__ = ("_connect", "_links")
 
     def __init__(self, connect: pool.Connect[_L]) -> None:
-        """Makes it without any connection."""
+        """Makes a reader without connections."""
         self._connect = connect
-        self._watches: dict[str, Watch[_L]] = {}
+        self._links: dict[str, HealthLinks[_L]] = {}
 
     def get_links(self, address: str) -> api.Links:
-        """Returns what is known of the connections to an address."""
-        watch = self._get(address)
-        self._prune(watch)
-        return api.Links(watch.opened, watch.lost)
+        """Returns the connection counts for an address."""
+        links = self._get(address)
+        self._prune(links)
+        return api.Links(links.opened, links.lost)
 
     def set_limit(self, address: str, limit: int) -> None:
-        """Sets the most connections; 0 closes the one that stays open."""
-        watch = self._get(address)
-        watch.limit = limit
+        """Sets the maximum number of connections; 0 closes the idle one."""
+        links = self._get(address)
+        links.limit = limit
         if limit == 0:
-            self._drop(watch)
+            self._close_idle(links)
 
     async def read(self, address: str, fresh: bool) -> Report:
         """Reads a searcher's health; see `api.Searchers`."""
-        watch = self._get(address)
-        self._prune(watch)
-        if watch.kept is not None and not fresh:
-            link, watch.kept = watch.kept, None
-            report = await self._read_on(watch, link)
+        links = self._get(address)
+        self._prune(links)
+        if links.idle is not None and not fresh:
+            link, links.idle = links.idle, None
+            report = await self._read_on(links, link)
             if report.is_ok():
                 return report
-        return await self._read_fresh(watch, address)
+        return await self._read_on_new(links, address)
 
     def close(self) -> None:
-        """Closes every connection."""
-        for watch in self._watches.values():
-            self._drop(watch)
-            if watch.fresh is not None:
-                watch.fresh.cancel()
-
-    async def _read_fresh(self, watch: Watch[_L], address: str) -> Report:
-        """Reads on a fresh connection; concurrent readers share it."""
-        if watch.fresh is None:
-            watch.fresh = asyncio.ensure_future(self._open(watch, address))
-            watch.fresh.add_done_callback(lambda _: _forget_fresh(watch))
-        return await asyncio.shield(watch.fresh)
-
-    async def _open(self, watch: Watch[_L], address: str) -> Report:
-        """Opens a connection and reads on it."""
-        watch.opened += 1
+        """Closes all connections."""
+        for links in self._links.values():
+            self._close_idle(links)
+            if links.new_read is not None:
+                links.new_read.cancel()
+
+    async def _read_on_new(
+        self, links: HealthLinks[_L], address: str
+    ) -> Report:
+        """Reads over a new connection; concurrent reads share the result."""
+        if links.new_read is None:
+            links.new_read = asyncio.ensure_future(self._open(links, address))
+            links.new_read.add_done_callback(lambda _: _clear_new_read(links))
+        return await asyncio.shield(links.new_read)
+
+    async def _open(self, links: HealthLinks[_L], address: str) -> Report:
+        """Opens a connection and reads the health over it."""
+        links.opened += 1
         opened = False
         try:
             async with asyncio.timeout(TIMEOUT_S):
                 result = await self._connect(address, 2 * TIMEOUT_S)
             opened = result.is_ok()
         except TimeoutError:
-            return expression.Error(_make_late())
+            return expression.Error(_make_timeout())
         finally:
             if not opened:
-                watch.opened -= 1
+                links.opened -= 1
         match result:
             case expression.Result(tag="ok", ok=link):
-                return await self._read_on(watch, link)
+                return await self._read_on(links, link)
             case expression.Result(error=failure):
                 return expression.Error(failure)
 
-    async def _read_on(self, watch: Watch[_L], link: _L) -> Report:
-        """Reads on one connection, and keeps it if that went well."""
+    async def _read_on(self, links: HealthLinks[_L], link: _L) -> Report:
+        """Reads the health over a connection and keeps it if successful."""
         try:
             async with asyncio.timeout(TIMEOUT_S):
                 report = await link.read_health()
         except TimeoutError:
-            report = expression.Error(_make_late())
+            report = expression.Error(_make_timeout())
         except (
             web_connection.UnsentError,
             web_connection.BrokenError,
         ) as error:
-            watch.lost += 1
+            links.lost += 1
             failure = errors.Failure(errors.Kind.CONNECTION_LOST, str(error))
             report = expression.Error(failure)
         except asyncio.CancelledError:
-            self._close(watch, link)
+            self._close(links, link)
             raise
-        if report.is_ok() and link.is_reusable() and watch.limit > 0:
-            self._drop(watch)
-            watch.kept = link
+        if report.is_ok() and link.is_reusable() and links.limit > 0:
+            self._close_idle(links)
+            links.idle = link
         else:
-            self._close(watch, link)
+            self._close(links, link)
         return report
 
-    def _get(self, address: str) -> Watch[_L]:
-        """Returns an address's watch, made at the first use."""
-        return self._watches.setdefault(address, Watch())
+    def _get(self, address: str) -> HealthLinks[_L]:
+        """Returns the connections to an address; makes the entry if needed."""
+        return self._links.setdefault(address, HealthLinks())
 
-    def _prune(self, watch: Watch[_L]) -> None:
-        """Notices that the searcher has closed the open connection."""
-        if watch.kept is not None and not watch.kept.is_reusable():
-            watch.lost += 1
-            self._drop(watch)
+    def _prune(self, links: HealthLinks[_L]) -> None:
+        """Removes the idle connection if the searcher has closed it."""
+        if links.idle is not None and not links.idle.is_reusable():
+            links.lost += 1
+            self._close_idle(links)
 
-    def _drop(self, watch: Watch[_L]) -> None:
-        """Closes the connection that stays open."""
-        if watch.kept is not None:
-            self._close(watch, watch.kept)
-            watch.kept = None
+    def _close_idle(self, links: HealthLinks[_L]) -> None:
+        """Closes the idle connection."""
+        if links.idle is not None:
+            self._close(links, links.idle)
+            links.idle = None
 
-    def _close(self, watch: Watch[_L], link: _L) -> None:
-        """Closes a connection."""
+    def _close(self, links: HealthLinks[_L], link: _L) -> None:
+        """Closes a connection and updates the count."""
         link.abort()
-        watch.opened -= 1
+        links.opened -= 1
 
 
-def _forget_fresh(watch: Watch[_L]) -> None:
-    """Forgets a read that has ended."""
-    watch.fresh = None
+def _clear_new_read(links: HealthLinks[_L]) -> None:
+    """Removes a completed read."""
+    links.new_read = None
 
 
-def _make_late() -> errors.Failure:
-    """Makes the failure of a read that took too long."""
+def _make_timeout() -> errors.Failure:
+    """Makes the failure of a read that timed out."""
     return errors.Failure(errors.Kind.DEADLINE_PASSED, "no health in time")
--- a/tests/ports/searchers/test_contract.py
+++ b/tests/ports/searchers/test_contract.py
@@ -1,4 +1,4 @@
-"""What every implementation of the searchers port keeps."""
+"""Tests of the contract that every searchers port implementation fulfils."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_reply_is_that_of_its_call(kind: str) -> None:
+def test_reply_belongs_to_its_call(kind: str) -> None:
     async def scenario(harness: Harness) -> None:
         result = await harness.port.call(make_call(harness.address), allow)
 
@@ -44,14 +44,14 @@
     ("fail", 0.0, {"version": 9}, {errors.Kind.VERSION_GONE}, True),
     ("fail", 0.0, {"deadline_ms": 0.0}, {errors.Kind.DEADLINE_PASSED}, False),
 ]
-"""A fault, its value, the call's fields; the kinds, and whether sent."""
+"""Fault, its value and call fields; the expected kinds and `sent`."""
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize(
     ("fault", "value", "fields", "expected", "sent"), FAULTS
 )
-def test_a_fault_is_told_by_its_kind_and_the_next_call_works(
+def test_fault_returns_its_kind_and_the_next_call_works(
     kind: str,
     fault: str,
     value: Any,
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_refused_connection_is_unsent(kind: str) -> None:
+def test_call_is_unsent_if_the_connection_is_refused(kind: str) -> None:
     async def scenario(harness: Harness) -> None:
         await harness.stop()
         asked: list[bool] = []
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_without_leave_nothing_is_written_and_it_is_asked_once(
+def test_call_without_permission_is_unsent_and_asks_once(
     kind: str,
 ) -> None:
     async def scenario(harness: Harness) -> None:
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_cancelling_a_call_ends_it_at_the_searcher(kind: str) -> None:
+def test_cancelling_a_call_cancels_it_at_the_searcher(kind: str) -> None:
     async def scenario(harness: Harness) -> None:
         harness.fail("hang", 1)
         calling = asyncio.ensure_future(
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_no_more_connections_are_open_than_the_limit(kind: str) -> None:
+def test_open_connections_do_not_exceed_the_limit(kind: str) -> None:
     async def scenario(harness: Harness) -> None:
         harness.port.set_limit(harness.address, 5)
         for fresh in (False, True):
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_idle_connections_are_reused_and_a_limit_of_none_closes_them(
+def test_idle_connections_are_reused_and_limit_zero_closes_them(
     kind: str,
 ) -> None:
     async def scenario(harness: Harness) -> None:
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_restart_shows_by_lost_connections_and_the_incarnation(
+def test_restart_breaks_connections_and_changes_the_incarnation(
     kind: str,
 ) -> None:
     async def scenario(harness: Harness) -> None:
@@ -202,7 +202,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_calls_cut_by_a_crash_are_lost_and_may_have_run(kind: str) -> None:
+def test_calls_aborted_by_a_crash_are_lost_and_count_as_sent(kind: str) -> None:
     async def scenario(harness: Harness) -> None:
         harness.fail("hang", 2)
         calling = [
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_call_with_effects_runs_once(kind: str) -> None:
+def test_call_with_side_effects_runs_once(kind: str) -> None:
     async def scenario(harness: Harness) -> None:
         call = make_call(harness.address, repeatable=False)
         result = await harness.port.call(call, allow)
@@ -237,7 +237,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_closing_leaves_no_connection(kind: str) -> None:
+def test_close_leaves_no_open_connection(kind: str) -> None:
     async def scenario(harness: Harness) -> None:
         await harness.port.call(make_call(harness.address), allow)
         await harness.port.read_health(harness.address)
@@ -248,11 +248,12 @@
     harness_module.run(kind, scenario)
 
 
-def test_a_process_paused_after_it_told_a_deadline_does_not_write() -> None:
+def test_process_paused_after_computing_a_deadline_does_not_write() -> None:
     """A process is paused between encoding a call and writing it.
 
-    The deadline that it tells the searcher would be later than meant by the
-    pause, and the work could outlast the lease. It isn't even asked.
+    The searcher would receive a deadline that is too late by the length of
+    the pause, and its work could outlast the lease. `may_write` must not even
+    be called.
     """
 
     async def scenario() -> None:
@@ -263,8 +264,10 @@
             asked.append(now_s)
             return True
 
-        paused = calls.Permission(ask, told_s=now_s - 2 * calls.ENCODE_S)
-        prompt = calls.Permission(ask, told_s=now_s)
+        paused = calls.WritePermission(
+            ask, computed_s=now_s - 2 * calls.MAX_ENCODE_S
+        )
+        prompt = calls.WritePermission(ask, computed_s=now_s)
 
         assert not paused.ask()
         assert not paused.asked
