--- a/src/azureramp/ports/searchers/http.py
+++ b/src/azureramp/ports/searchers/http.py
@@ -1,4 +1,4 @@
-"""Calls to searchers over HTTP."""
+"""The searchers port over HTTP."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
     503: errors.Kind.SHED,
     504: errors.Kind.DEADLINE_PASSED,
 }
-"""The error kinds of a searcher's refusals; all others are failures."""
+"""Error kinds by response status; any other status is `BACKEND_FAILED`."""
 
 MAX_RETRY_AFTER_S = 60
-"""A searcher's Retry-After past this is cut to it, in seconds."""
+"""Upper bound for a searcher's Retry-After, in seconds."""
 
 
 class SearchBody(msgspec.Struct, frozen=True):
-    """The body of a call.
+    """The request body of a call.
 
     Attributes:
-        call_id: The call's id, to echo.
+        call_id: The id of the call, which the reply must echo.
         index: The index.
         version: The index version.
         shard: The shard's name.
-        low: The first key of the range.
-        high: The first key after it.
-        repeatable: False if the call has effects.
+        low: The first key of the range (inclusive).
+        high: The first key after the range (exclusive).
+        repeatable: False if the call has side effects.
         query: The caller's query.
     """
 
@@ -59,25 +59,25 @@
 
 
 class HttpLink:
-    """One HTTP connection to a searcher; see `calls.Link`."""
+    """An HTTP connection to a searcher; see `calls.Link`."""
 
     __slots__ = ("_connection",)
 
     def __init__(self, connection: web_connection.Connection) -> None:
-        """Takes over an open connection."""
+        """Wraps an open connection."""
         self._connection = connection
 
     @property
     def proven_s(self) -> float:
-        """When it last gave proof of life, on the loop's clock."""
+        """Event loop time of its opening or last response, in seconds."""
         return self._connection.used_s
 
     def is_reusable(self) -> bool:
-        """Tells whether another exchange may begin on it."""
+        """Returns True if another exchange may start on this connection."""
         return self._connection.is_reusable()
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection immediately."""
         self._connection.abort()
 
     async def call(
@@ -106,7 +106,7 @@
         try:
             return expression.Ok(_reply_decoder.decode(response.body))
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            # A truncated or garbled reply: nothing on this connection can be
+            # The reply is truncated or corrupt, so this connection can't be
             # trusted any more.
             self.abort()
             return expression.Error(
@@ -129,7 +129,7 @@
 
 
 def make_refusal(response: web_api.Response) -> errors.Failure:
-    """Makes the failure of a response that is no reply."""
+    """Converts an error response to a failure."""
     kind = STATUS_KINDS.get(response.status, errors.Kind.BACKEND_FAILED)
     fields = {name.lower(): value for name, value in response.headers}
     retry_after = fields.get("retry-after", "")
@@ -144,7 +144,7 @@
 async def connect(
     address: str, timeout_s: float
 ) -> expression.Result[HttpLink, errors.Failure]:
-    """Opens a link; see `pool.Connect`."""
+    """Opens a connection; see `pool.Connect`."""
     opened = await web_connection.connect(address, timeout_s)
     return opened.map(HttpLink)
 
--- a/tests/ports/searchers/test_replies.py
+++ b/tests/ports/searchers/test_replies.py
@@ -1,4 +1,4 @@
-"""Replies that are crossed, truncated, late or not HTTP at all."""
+"""Tests of replies that are crossed, truncated, late or not HTTP."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 ADDRESS = "127.0.0.1:8000"
 Responder = Callable[[int], bytes]
-"""Makes the bytes that answer the nth request; empty closes at once."""
+"""Returns the raw response to the nth request; empty closes the connection."""
 
 
 def encode_reply(**fields: Any) -> bytes:
-    """Encodes the reply to the harness's call, with some fields changed."""
+    """Encodes the reply to the harness's call with changed fields."""
     values: dict[str, Any] = {
         "call_id": "r1/1",
         "version": 1,
@@ -43,7 +43,7 @@
     respond: Responder,
     scenario: Callable[[Any], Coroutine[Any, Any, None]],
 ) -> None:
-    """Runs a scenario against a searcher that answers just any bytes."""
+    """Runs a scenario against a searcher that sends arbitrary bytes."""
     count = [0]
 
     async def serve(
@@ -64,7 +64,7 @@
         finally:
             writer.close()
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         server = await asyncio.start_server(serve, "127.0.0.1", 8000)
         port = http.make()
         await scenario(port)
@@ -74,18 +74,18 @@
         await asyncio.sleep(1)
 
     with asyncio.Runner(loop_factory=async_solipsism.EventLoop) as runner:
-        runner.run(whole())
+        runner.run(run_scenario())
 
 
 def call(port: Any, call_id: str = "r1/1") -> Any:
-    """Makes the harness's call, whose deadline is a second away."""
+    """Makes the harness's call with a deadline of one second."""
     made = harness_module.make_call(
         ADDRESS, call_id=call_id, deadline_ms=1000.0
     )
     return port.call(made, lambda: True)
 
 
-WRONG = [
+MISMATCHES = [
     ({"call_id": "r2/1"}, "another call"),
     ({"version": 2}, "another version"),
     ({"low": 1}, "a shorter range"),
@@ -94,16 +94,18 @@
 
 
 @pytest.mark.parametrize(
-    "fields", [case[0] for case in WRONG], ids=[case[1] for case in WRONG]
+    "fields",
+    [case[0] for case in MISMATCHES],
+    ids=[case[1] for case in MISMATCHES],
 )
-def test_a_reply_of_something_else_is_never_taken(
+def test_reply_to_something_else_is_rejected(
     fields: dict[str, Any],
 ) -> None:
-    """A searcher mixes two callers' replies up.
+    """A searcher confuses the replies to two calls.
 
-    Taking it would show one caller another one's data, or state a coverage
-    that the answer hasn't. The connection is closed too: what still comes on
-    it is one off.
+    Accepting such a reply would expose one caller's data to another, or state
+    a coverage that the answer doesn't have. The connection is closed as well,
+    since all later replies on it would be off by one.
     """
 
     async def scenario(port: Any) -> None:
@@ -116,7 +118,7 @@
     run(lambda number: encode_response(encode_reply(**fields)), scenario)
 
 
-GARBLED = {
+CORRUPT_RESPONSES = {
     "half a body": encode_response(encode_reply()[:40], length=90),
     "half the JSON": encode_response(encode_reply()[:40]),
     "no JSON": encode_response(b"<html>"),
@@ -133,8 +135,10 @@
 }
 
 
-@pytest.mark.parametrize("data", GARBLED.values(), ids=GARBLED.keys())
-def test_a_garbled_reply_closes_its_connection(data: bytes) -> None:
+@pytest.mark.parametrize(
+    "data", CORRUPT_RESPONSES.values(), ids=CORRUPT_RESPONSES.keys()
+)
+def test_corrupt_reply_closes_its_connection(data: bytes) -> None:
     async def scenario(port: Any) -> None:
         result = await call(port)
 
@@ -150,7 +154,7 @@
 
 
 def test_bytes_past_a_reply_do_not_reach_the_next_call() -> None:
-    """A proxy sends a reply twice; the copy would answer the next call."""
+    """A proxy sends a reply twice; the copy must not answer the next call."""
 
     async def scenario(port: Any) -> None:
         first = await call(port)
@@ -166,7 +170,7 @@
     run(lambda number: replies[number], scenario)
 
 
-def test_a_reply_that_comes_after_its_call_was_given_up_is_dropped() -> None:
+def test_reply_after_the_deadline_of_its_call_is_dropped() -> None:
     async def scenario() -> None:
         harness = harness_module.HttpHarness(ADDRESS)
         await harness.start()
@@ -175,28 +179,26 @@
             harness_module.make_call(ADDRESS, deadline_ms=100.0), lambda: True
         )
         harness.fail("delay_ms", 0.0)
-        next_one = await harness.port.call(
+        next_call = await harness.port.call(
             harness_module.make_call(ADDRESS, call_id="r2/1"), lambda: True
         )
         await harness.port.close()
         await harness.stop()
 
         assert late.error.failure.kind is errors.Kind.DEADLINE_PASSED
-        assert next_one.ok.call_id == "r2/1"
+        assert next_call.ok.call_id == "r2/1"
 
     with asyncio.Runner(loop_factory=async_solipsism.EventLoop) as runner:
         runner.run(scenario())
 
 
-def test_a_retry_after_that_is_no_number_is_ignored_and_a_long_one_cut() -> (
-    None
-):
+def test_invalid_retry_after_is_ignored_and_a_long_one_capped() -> None:
     async def scenario(port: Any) -> None:
-        waits = [
+        retry_after_ms = [
             (await call(port)).error.failure.retry_after_ms for _ in range(4)
         ]
 
-        assert waits == [None, 2000, 60_000, None]
+        assert retry_after_ms == [None, 2000, 60_000, None]
 
     values = [b"soon", b"2", b"999999999999", "٣".encode()]
     run(
@@ -210,8 +212,8 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_random_replies_give_a_kind_and_leak_no_connection(seed: int) -> None:
-    """A hundred replies have bytes changed, cut out, doubled or cut off."""
+def test_random_replies_return_a_kind_and_leak_no_connection(seed: int) -> None:
+    """A hundred replies with changed, deleted, repeated or truncated bytes."""
     rng = random.Random(seed)
 
     def respond(number: int) -> bytes:
