--- a/src/azureramp/ports/searchers/pool.py
+++ b/src/azureramp/ports/searchers/pool.py
@@ -1,4 +1,4 @@
-"""Bounded pools of connections to searchers, one for each address."""
+"""Bounded connection pools, one for each searcher address."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from azureramp.policy import connections
 
 DEFAULT_LIMIT = 4
-"""Most connections to an address whose limit nobody has set."""
+"""Maximum number of connections to an address without a set limit."""
 
 
 class Pooled(Protocol):
-    """What the pool needs of a connection."""
+    """The connection interface that the pool requires."""
 
     @property
     def proven_s(self) -> float:
-        """When it last gave proof of life, on the loop's clock."""
+        """Event loop time of its opening or last response, in seconds."""
         ...
 
     def is_reusable(self) -> bool:
-        """Tells whether another exchange may begin on it."""
+        """Returns True if another exchange may start on this connection."""
         ...
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection immediately."""
         ...
 
 
@@ -39,15 +39,16 @@
 Connect = Callable[
     [str, float], Awaitable[expression.Result[_C, errors.Failure]]
 ]
-"""Opens a connection: takes the address and the longest wait in seconds."""
+"""Opens a connection to an address, with a timeout in seconds."""
 
 
 class AddressPool(Generic[_C]):
-    """The connections to one address that carry calls.
+    """The connections for calls to one address.
 
     Attributes:
-        opened: How many are open, in use or idle.
-        lost: How many the other side has closed, or broke, ever.
+        opened: Number of open connections, in use or idle.
+        lost: Number of connections broken or closed by the other side since
+            the start.
     """
 
     __slots__ = (
@@ -80,27 +81,28 @@
         )
 
     def set_limit(self, limit: int) -> None:
-        """Sets the most connections to hold open."""
+        """Sets the maximum number of open connections."""
         self._limit = limit
         while self._idle and self.opened > limit:
             self._close(self._idle.pop(0))
         self._wake()
 
     def count_in_use(self) -> int:
-        """Returns how many connections carry a call now."""
+        """Returns the number of connections in use."""
         return self.opened - len(self._idle)
 
     async def acquire(
         self, timeout_s: float
     ) -> expression.Result[_C, errors.Failure]:
-        """Takes a connection, an idle one if any may be reused.
+        """Returns an idle connection if one is reusable, else opens one.
 
         Args:
-            timeout_s: Longest wait, in seconds.
+            timeout_s: Maximum wait, in seconds.
 
         Returns:
-            The connection, which the caller gives back by `release`; or
-            `CONNECTION_LOST`, or `DEADLINE_PASSED` if none came free.
+            The connection, which the caller must return with `release`;
+            `CONNECTION_LOST` if none could be opened; `DEADLINE_PASSED` if
+            none became free in time.
         """
         loop = asyncio.get_running_loop()
         until_s = loop.time() + timeout_s
@@ -118,11 +120,11 @@
                 )
 
     def release(self, connection: _C, broke: bool = False) -> None:
-        """Gives a connection back; one that can't be reused is closed.
+        """Returns a connection to the pool; closes it if not reusable.
 
         Args:
             connection: The connection.
-            broke: True if it failed, and wasn't closed by this side.
+            broke: True if it failed and was not closed by this side.
         """
         if broke:
             self.lost += 1
@@ -133,15 +135,19 @@
             self._close(connection)
 
     def suspect(self, before_s: float) -> None:
-        """Closes the idle connections without proof of life since a time.
+        """Closes the idle connections without activity since a given time.
 
-        Those in use are judged by their own replies when they come back.
+        Connections in use are checked in the same way after their release, by
+        the time of their last response.
+
+        Args:
+            before_s: The event loop time, in seconds.
         """
         self._suspect_before_s = max(self._suspect_before_s, before_s)
         self.prune()
 
     def prune(self) -> None:
-        """Closes the idle connections that may not be used again."""
+        """Closes the idle connections that must not be reused."""
         now_s = asyncio.get_running_loop().time()
         for connection in tuple(self._idle):
             if not connection.is_reusable():
@@ -169,7 +175,7 @@
                 self._wake()
 
     async def _wait(self, until_s: float) -> bool:
-        """Waits for a free place; False if the time ran out."""
+        """Waits for a free connection slot; returns False on timeout."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         try:
@@ -182,11 +188,11 @@
         return True
 
     def _stop_waiting(self, waiter: asyncio.Future[None]) -> None:
-        """Forgets a waiter; one that was woken in vain wakes the next.
+        """Removes a waiter; passes its wake-up on if it has received one.
 
-        A waiter that is cancelled in the turn in which it was woken would
-        otherwise take the free place with it, and the next would wait on
-        with places free.
+        If a waiter is cancelled in the same event loop iteration in which it
+        is woken, the wake-up would otherwise be lost and the next waiter
+        would keep waiting although a slot is free.
         """
         if waiter in self._waiters:
             self._waiters.remove(waiter)
@@ -194,7 +200,7 @@
             self._wake()
 
     def _wake(self) -> None:
-        """Lets the longest waiter look again, if there is a place."""
+        """Wakes the longest-waiting waiter if a connection or slot is free."""
         if not self._idle and self.opened >= self._limit:
             return
         while self._waiters:
@@ -204,19 +210,19 @@
                 return
 
     def _close(self, connection: _C) -> None:
-        """Closes a connection and frees its place."""
+        """Closes a connection and frees its slot."""
         connection.abort()
         self.opened -= 1
         self._wake()
 
 
 class Pools(Generic[_C]):
-    """The pools of all addresses."""
+    """The connection pools of all addresses."""
 
     __slots__ = ("_connect", "_pools")
 
     def __init__(self, connect: Connect[_C]) -> None:
-        """Makes no pool yet.
+        """Makes a set without any pool.
 
         Args:
             connect: Opens a connection.
@@ -225,13 +231,13 @@
         self._pools: dict[str, AddressPool[_C]] = {}
 
     def get(self, address: str) -> AddressPool[_C]:
-        """Returns an address's pool, made at the first use."""
+        """Returns the pool of an address; makes it if needed."""
         pool = self._pools.get(address)
         if pool is None:
             pool = self._pools[address] = AddressPool(address, self._connect)
         return pool
 
     def close(self) -> None:
-        """Closes all idle connections, and others when they come back."""
+        """Closes all idle connections, and the others once released."""
         for pool in self._pools.values():
             pool.set_limit(0)
--- a/tests/ports/searchers/test_half_open.py
+++ b/tests/ports/searchers/test_half_open.py
@@ -1,4 +1,4 @@
-"""Connections that went silent for good, while new ones work."""
+"""Tests of the handling of half-open connections while new ones work."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class Proxy:
-    """A real proxy that can lose track of the connections through it.
+    """A TCP proxy that can drop its state for the connections through it.
 
     Attributes:
         address: `IP:port` that it listens on.
-        accepted: How many connections it has accepted.
+        accepted: Number of accepted connections.
     """
 
     def __init__(self, target: str) -> None:
-        """Makes a proxy before a server."""
+        """Makes a proxy in front of a server."""
         self.address = harness_module.find_free_address()
         self.accepted = 0
         self._target = target
@@ -30,17 +30,17 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts listening."""
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._accept, host, int(port))
 
-    def lose_track(self) -> None:
-        """Passes no byte on any more on the connections open now."""
-        for forwards in self._open:
-            forwards.clear()
+    def make_half_open(self) -> None:
+        """Stops forwarding on the connections that are open now."""
+        for enabled in self._open:
+            enabled.clear()
 
     async def stop(self) -> None:
-        """Closes everything."""
+        """Closes the server and all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -50,38 +50,43 @@
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Joins a client's connection to one to the server."""
+        """Connects a client connection to a new connection to the server."""
         self.accepted += 1
-        forwards = asyncio.Event()
-        forwards.set()
-        self._open.append(forwards)
+        enabled = asyncio.Event()
+        enabled.set()
+        self._open.append(enabled)
         host, _, port = self._target.rpartition(":")
-        far_reader, far_writer = await asyncio.open_connection(host, int(port))
-        for source, target in ((reader, far_writer), (far_reader, writer)):
-            task = asyncio.ensure_future(_forward(source, target, forwards))
+        server_reader, server_writer = await asyncio.open_connection(
+            host, int(port)
+        )
+        for source, target in (
+            (reader, server_writer),
+            (server_reader, writer),
+        ):
+            task = asyncio.ensure_future(_forward(source, target, enabled))
             self._tasks.add(task)
 
 
 async def _forward(
     source: asyncio.StreamReader,
     target: asyncio.StreamWriter,
-    forwards: asyncio.Event,
+    enabled: asyncio.Event,
 ) -> None:
-    """Passes bytes on while the proxy forwards them."""
+    """Forwards bytes while the connection is enabled."""
     try:
         while data := await source.read(65536):
-            await forwards.wait()
+            await enabled.wait()
             target.write(data)
-        await forwards.wait()
+        await enabled.wait()
     finally:
         target.close()
 
 
 class ProxiedHarness:
-    """The HTTP port through a proxy on real sockets."""
+    """The HTTP port through a proxy over real sockets."""
 
     def __init__(self) -> None:
-        """Makes a searcher behind a proxy, neither of them started."""
+        """Makes a searcher behind a proxy, neither of which is started."""
         self._inner = harness_module.HttpHarness(
             harness_module.find_free_address()
         )
@@ -100,12 +105,12 @@
         await self._proxy.stop()
         await self._inner.stop()
 
-    def lose_track(self) -> None:
-        """Makes all connections open now silent."""
-        self._proxy.lose_track()
+    def make_half_open(self) -> None:
+        """Makes all open connections half-open."""
+        self._proxy.make_half_open()
 
     def count_connects(self) -> int:
-        """Counts the connections ever opened."""
+        """Returns the number of connections opened so far."""
         return self._proxy.accepted
 
 
@@ -122,25 +127,25 @@
         self.port = memory.make(self._fleet)
 
     async def start(self) -> None:
-        """Does nothing: the searcher is there."""
+        """Does nothing, since the searcher needs no start."""
 
     async def stop(self) -> None:
         """Closes the port."""
         await self.port.close()
 
-    def lose_track(self) -> None:
-        """Makes all connections open now silent."""
+    def make_half_open(self) -> None:
+        """Makes all open connections half-open."""
         self._searcher.silence()
 
     def count_connects(self) -> int:
-        """Counts the connections ever opened."""
+        """Returns the number of connections opened so far."""
         return self._fleet.connects[self.address]
 
 
 def run(kind: str, scenario: Any) -> None:
-    """Runs a scenario against the proxy or in memory."""
+    """Runs a scenario through the proxy or in memory."""
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         harness: Any = ProxiedHarness() if kind == "proxy" else MemoryHarness()
         await harness.start()
         try:
@@ -149,13 +154,13 @@
             await harness.stop()
 
     if kind == "proxy":
-        asyncio.run(whole())
+        asyncio.run(run_scenario())
     else:
-        harness_module.run_virtual(whole())
+        harness_module.run_virtual(run_scenario())
 
 
 def call(harness: Any, number: int, **fields: Any) -> Any:
-    """Makes a call whose reply is overdue after 60 ms."""
+    """Makes a call whose reply becomes overdue after 60 ms."""
     made = harness_module.make_call(
         harness.address,
         call_id=f"r{number}/1",
@@ -171,40 +176,42 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_an_overdue_reply_retires_all_older_idle_connections(
+def test_overdue_reply_closes_all_older_idle_connections(
     kind: str,
 ) -> None:
-    """Three idle connections to a searcher go silent; new ones work.
+    """Three idle connections to a searcher become half-open; new ones work.
 
-    The first call after that gets no reply. Its deadline is 20 s away, but
-    as a fresh connection works the call is given up long before, and the
-    other two silent connections are never used: the next calls all work.
+    The next call gets no reply. Its deadline is 20 s away, but since a new
+    connection works, the call is aborted long before. The other two half-open
+    connections are never used, so all following calls succeed.
     """
 
     async def scenario(harness: Any) -> None:
         harness.port.set_limit(harness.address, 10)
-        before = await asyncio.gather(*(call(harness, n) for n in range(3)))
+        first_calls = await asyncio.gather(
+            *(call(harness, n) for n in range(3))
+        )
         connects = harness.count_connects()
-        harness.lose_track()
-        silent = await call(harness, 3)
-        after = [await call(harness, n) for n in range(4, 10)]
+        harness.make_half_open()
+        interrupted = await call(harness, 3)
+        later_calls = [await call(harness, n) for n in range(4, 10)]
 
-        assert all(result.is_ok() for result in before)
+        assert all(result.is_ok() for result in first_calls)
         assert connects == 3
-        assert silent.error.failure.kind is errors.Kind.CONNECTION_LOST
-        assert silent.error.sent
-        assert all(result.is_ok() for result in after)
+        assert interrupted.error.failure.kind is errors.Kind.CONNECTION_LOST
+        assert interrupted.error.sent
+        assert all(result.is_ok() for result in later_calls)
 
     run(kind, scenario)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_health_read_survives_its_open_connection_going_silent(
+def test_health_read_succeeds_if_its_idle_connection_is_half_open(
     kind: str,
 ) -> None:
     async def scenario(harness: Any) -> None:
         first = await harness.port.read_health(harness.address)
-        harness.lose_track()
+        harness.make_half_open()
         second = await harness.port.read_health(harness.address)
 
         assert first.is_ok()
@@ -214,12 +221,12 @@
     run(kind, scenario)
 
 
-def test_a_call_with_effects_is_never_given_up_for_its_connection() -> None:
-    """A grant's reply is overdue: it may have run, so only waiting helps."""
+def test_call_with_side_effects_is_never_aborted_before_its_deadline() -> None:
+    """A grant may have run although its reply is overdue, so it must wait."""
 
     async def scenario(harness: Any) -> None:
         await call(harness, 1)
-        harness.lose_track()
+        harness.make_half_open()
         made = harness_module.make_call(
             harness.address,
             overdue_ms=60.0,
@@ -238,8 +245,8 @@
     run("memory", scenario)
 
 
-def test_a_slow_call_is_not_taken_for_a_silent_connection() -> None:
-    """A straggler takes twelve times the usual time and must not be cut."""
+def test_slow_call_is_not_treated_as_a_half_open_connection() -> None:
+    """A straggler takes twelve times the usual time and must not be aborted."""
 
     async def scenario(harness: Any) -> None:
         harness._searcher.service_ms = 180.0
@@ -250,15 +257,16 @@
     run("memory", scenario)
 
 
-def test_a_misleading_report_delays_the_giving_up_but_not_for_good() -> None:
-    """The searcher's report says that it runs calls; the connection is dead.
+def test_wrong_health_report_only_delays_the_abort() -> None:
+    """The searcher reports running calls although the connection is dead.
 
-    Without the evidence of the report the call is given up by time.
+    The report then gives no reason to abort the call, so it is aborted after
+    `give_up_ms`.
     """
 
     async def scenario(harness: Any) -> None:
         await call(harness, 1)
-        harness.lose_track()
+        harness.make_half_open()
         harness._searcher.running = 5
         result = await call(harness, 2)
 
@@ -267,15 +275,15 @@
     run("memory", scenario)
 
 
-def test_a_connection_idle_past_a_few_seconds_is_not_used_again() -> None:
+def test_connection_idle_for_several_seconds_is_not_reused() -> None:
     async def scenario(harness: Any) -> None:
         await call(harness, 1)
         await asyncio.sleep(3)
         await call(harness, 2)
-        within = harness.count_connects()
+        connects_before = harness.count_connects()
         await asyncio.sleep(5)
         await call(harness, 3)
 
-        assert (within, harness.count_connects()) == (1, 2)
+        assert (connects_before, harness.count_connects()) == (1, 2)
 
     run("memory", scenario)
