--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -1,4 +1,4 @@
-"""The searchers port in memory, for virtual time."""
+"""The in-memory searchers port, for virtual time."""
 
 from __future__ import annotations
 
@@ -18,12 +18,11 @@
 
 
 class MemoryLink:
-    """One connection to a searcher in memory; see `calls.Link`.
+    """A connection to an in-memory searcher; see `calls.Link`.
 
     Attributes:
-        proven_s: When it last gave proof of life, on the loop's clock.
-        silent: True once something between the ends has lost track of it:
-            calls go in and nothing comes out.
+        proven_s: Event loop time of its opening or last response, in seconds.
+        silent: True if it is half-open: everything sent on it is dropped.
     """
 
     __slots__ = ("_lost", "_searcher", "proven_s", "silent")
@@ -40,17 +39,17 @@
         searcher.most_links = max(searcher.most_links, len(searcher.links))
 
     def is_reusable(self) -> bool:
-        """Tells whether another exchange may begin on it."""
+        """Returns True if another exchange may start on this connection."""
         return not self._lost.done()
 
     def lose(self) -> None:
-        """Breaks the connection, from the searcher's side."""
+        """Breaks the connection from the searcher's side."""
         if not self._lost.done():
             self._lost.set_result(None)
         self._searcher.links.pop(self, None)
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection immediately."""
         self.lose()
 
     async def call(
@@ -64,8 +63,8 @@
         began_s = asyncio.get_running_loop().time()
         serving = asyncio.ensure_future(self._serve(call))
         try:
-            either: set[asyncio.Future[Any]] = {serving, self._lost}
-            await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
+            futures: set[asyncio.Future[Any]] = {serving, self._lost}
+            await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
             if not serving.done():
                 raise web_connection.BrokenError("lost")
             outcome = serving.result()
@@ -75,11 +74,11 @@
         finally:
             serving.cancel()
         self.proven_s = asyncio.get_running_loop().time()
-        self._searcher.note_reply(self.proven_s - began_s)
+        self._searcher.record_reply(self.proven_s - began_s)
         return outcome
 
     async def _serve(self, call: api.Call) -> calls.Outcome:
-        """Gets a call to the searcher, unless the connection is silent."""
+        """Passes a call to the searcher; never returns if half-open."""
         if self.silent:
             await asyncio.get_running_loop().create_future()
         return await self._searcher.serve(call)
@@ -106,11 +105,11 @@
 
 
 class Fleet:
-    """All searchers of a test, by address.
+    """The searchers of a test by address.
 
     Attributes:
-        searchers: The searchers.
-        connects: How many connections were opened, by address.
+        searchers: The searchers by address.
+        connects: Number of connections opened, by address.
     """
 
     __slots__ = ("connects", "searchers")
@@ -123,7 +122,7 @@
     async def connect(
         self, address: str, timeout_s: float
     ) -> expression.Result[MemoryLink, errors.Failure]:
-        """Opens a link; see `pool.Connect`."""
+        """Opens a connection; see `pool.Connect`."""
         searcher = self.searchers.get(address)
         if searcher is None or searcher.faults.down:
             return expression.Error(
@@ -135,5 +134,5 @@
 
 
 def make(fleet: Fleet) -> calls.PooledSearchers[MemoryLink]:
-    """Makes the searchers port of one VM over a fleet."""
+    """Makes the searchers port of one VM for a fleet."""
     return calls.PooledSearchers(fleet.connect)
--- a/src/azureramp/ports/searchers/memory_faults.py
+++ b/src/azureramp/ports/searchers/memory_faults.py
@@ -1,4 +1,4 @@
-"""What can go wrong at an in-memory searcher."""
+"""Fault injection settings of an in-memory searcher."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong at one searcher; may be changed at any time.
+    """The faults injected into one searcher; mutable at any time.
 
     Attributes:
-        down: True while connections are refused.
-        sheds: Probability that a call is refused.
+        down: True if connections are refused.
+        sheds: Probability that a call is rejected by load shedding.
         fails: Probability that a call fails.
         straggles: Probability that a call takes `straggler_factor` times as
             long.
         straggler_factor: See `straggles`.
-        crashes_on: A call whose body holds these bytes crashes the backend
+        crashes_on: A call whose body contains these bytes crashes the backend
             server; empty for none.
-        restart_s: How long a crashed searcher is down, in seconds.
-        crossed: How many of the next replies carry another call's id.
-        truncated: How many of the next replies break off.
-        hangs: How many of the next calls are never answered.
-        reports_cold: What health says of cold; None tells the truth.
+        restart_s: Time until a crashed searcher is up again, in seconds.
+        crossed: Number of upcoming replies with another call's id.
+        truncated: Number of upcoming replies that are truncated.
+        hangs: Number of upcoming calls that are never answered.
+        reports_cold: The cold start state in health reports; None for the
+            actual one.
     """
 
     down: bool = False
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -1,4 +1,4 @@
-"""An in-memory searcher with the faults of real ones, for virtual time."""
+"""An in-memory searcher with fault injection, for virtual time."""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
 from azureramp.ports.searchers import api, calls, memory_faults
 from azureramp.ports.web import connection as web_connection
 
-COLD_SIGNS = 3
-"""Slow calls that tell a searcher in cold start from one with stragglers. Its
-own report tells nothing, since reports lag and mislead."""
+MIN_SLOW_REPLIES = 3
+"""Number of slow replies that distinguishes a searcher in cold start from one
+with stragglers. Its health reports can't, since they may be outdated or
+wrong."""
 
 SLOW_FACTOR = 3.0
-"""A reply that takes this many times the median is slow."""
+"""A reply is slow if it takes this many times the median service time."""
 
 Search = Callable[[api.Call], bytes]
-"""Makes the items, a JSON array, of a call."""
+"""Returns the items of a call as a JSON array."""
 
 
-def search_nothing(call: api.Call) -> bytes:
-    """Finds nothing."""
+def return_no_items(call: api.Call) -> bytes:
+    """Returns no items."""
     return b"[]"
 
 
 class Link(Protocol):
-    """What a searcher knows of a connection to it."""
+    """The connection interface that a searcher requires."""
 
     silent: bool
 
     def lose(self) -> None:
-        """Breaks the connection, from the searcher's side."""
+        """Breaks the connection from the searcher's side."""
         ...
 
 
@@ -48,33 +49,35 @@
 
     Attributes:
         address: Its `IP:port`.
-        slots: How many calls it runs at once; more wait in it.
-        cold_limit: How many it bears at once in cold start.
+        slots: Number of calls it runs concurrently; further calls are queued.
+        cold_limit: Number of concurrent calls it can handle in cold start.
         versions: The `index.version` names that it serves.
-        faults: What goes wrong.
-        search: Makes a reply's items.
+        faults: The injected faults.
+        search: Returns the items of a reply.
         incarnation: Its start number.
-        warm_after: How many calls make it warm.
-        cold_factor: How much longer a call takes in cold start.
+        warm_after: Number of calls after which it is warm.
+        cold_factor: Factor on the service time in cold start.
         service_ms: Median service time, in milliseconds.
         spread: Sigma of the service time's log-normal distribution.
         connect_ms: Time to open a connection, in milliseconds.
-        siblings: The searchers that crash with it, itself included.
-        served: Calls that it has ended since it started.
-        running: Calls in it now.
-        calls: Calls that reached it, ever.
-        crashes: How often it has crashed.
-        most_cold: The most that it had at once in cold start, ever.
-        most_running: The most that it had at once, ever.
-        most_links: The most connections open to it at once, ever.
-        effects: The bodies of the calls with effects that it ran.
-        links: The connections open to it.
-        last_call_s: When the last call reached it.
-        on_arrival: Told of each call that reaches it.
-        cold_shown: True if anybody can know of its cold start: it lost its
-            connections, or `COLD_SIGNS` slow replies have arrived.
-        slow_replies: Slow replies that have arrived since it turned cold.
-        health_reads: How often its health was read, ever.
+        siblings: The searchers that crash with it, including itself.
+        served: Number of calls completed since it started or turned cold.
+        running: Number of calls running or queued.
+        calls: Total number of calls received.
+        crashes: Total number of crashes.
+        most_cold: Maximum number of concurrent calls in cold start.
+        most_running: Maximum number of concurrent calls.
+        most_links: Maximum number of concurrent connections.
+        effects: The bodies of the calls with side effects that it ran.
+        links: The open connections.
+        last_call_s: Event loop time of the last received call, in seconds; -1
+            if there was none.
+        on_arrival: Called for each call that it accepts; None for no callback.
+        cold_shown: True if its cold start can be detected from outside: its
+            connections broke, or `MIN_SLOW_REPLIES` slow replies were
+            received.
+        slow_replies: Number of slow replies received since it turned cold.
+        health_reads: Total number of health reads.
     """
 
     __slots__ = (
@@ -121,13 +124,13 @@
         versions: tuple[str, ...] = (),
         seed: int = 0,
     ) -> None:
-        """Makes a searcher that is warm and without faults."""
+        """Makes a warm searcher without faults."""
         self.address = address
         self.slots = slots
         self.cold_limit = cold_limit
         self.versions = versions
         self.faults = Faults()
-        self.search: Search = search_nothing
+        self.search: Search = return_no_items
         self.incarnation = 1
         self.warm_after = 0
         self.cold_factor = 5.0
@@ -153,14 +156,14 @@
         self._slots = asyncio.Semaphore(slots)
 
     def is_cold(self) -> bool:
-        """Tells whether it is in cold start."""
+        """Returns True if it is in cold start."""
         return self.served < self.warm_after
 
     def restart(self, warm_after: int = 0) -> None:
-        """Starts anew: all connections are lost.
+        """Restarts with a new incarnation; all connections break.
 
         Args:
-            warm_after: How many calls it takes until it is warm.
+            warm_after: Number of calls after which it is warm.
         """
         self.incarnation += 1
         self.served = 0
@@ -170,30 +173,30 @@
             link.lose()
 
     def silence(self) -> None:
-        """Something on the way loses track of all open connections."""
+        """Makes all open connections half-open, as a failing middlebox does."""
         for link in self.links:
             link.silent = True
 
     def turn_cold(self, warm_after: int) -> None:
-        """Turns cold without a restart and without a word."""
+        """Returns to cold start without a restart or any other visible sign."""
         self.served = 0
         self.slow_replies = 0
         self.cold_shown = False
         self.warm_after = warm_after
 
-    def note_reply(self, took_s: float) -> None:
-        """Notes that a reply has reached whoever called.
+    def record_reply(self, took_s: float) -> None:
+        """Records that a reply has reached the caller.
 
         Args:
-            took_s: How long the call took, in seconds.
+            took_s: Duration of the call, in seconds.
         """
         if took_s * 1000 >= self.service_ms * SLOW_FACTOR:
             self.slow_replies += 1
-        if self.slow_replies >= COLD_SIGNS:
+        if self.slow_replies >= MIN_SLOW_REPLIES:
             self.cold_shown = True
 
     def crash(self) -> None:
-        """Crashes, and starts again after a while."""
+        """Crashes; restarts after `faults.restart_s`."""
         self.crashes += 1
         self.faults.down = True
         for link in list(self.links):
@@ -203,12 +206,12 @@
         )
 
     def _recover(self) -> None:
-        """Is back after a crash."""
+        """Restarts after a crash."""
         self.faults.down = False
         self.restart(self.warm_after)
 
     async def serve(self, call: api.Call) -> calls.Outcome:
-        """Runs a call, or waits for a slot first."""
+        """Runs a call, waiting for a slot if necessary."""
         self.calls += 1
         self.last_call_s = asyncio.get_running_loop().time()
         if f"{call.index}.{call.version}" not in self.versions:
@@ -245,7 +248,7 @@
             self.effects.append(call.body)
         if faults.truncated:
             faults.truncated -= 1
-            raise web_connection.BrokenError("the reply broke off")
+            raise web_connection.BrokenError("the reply was truncated")
         call_id = call.call_id
         if faults.crossed:
             faults.crossed -= 1
@@ -261,7 +264,7 @@
         )
 
     def _draw_ms(self) -> float:
-        """Draws a service time, in milliseconds."""
+        """Returns a random service time, in milliseconds."""
         took_ms = self.service_ms * self._random.lognormvariate(0, self.spread)
         if self._random.random() < self.faults.straggles:
             took_ms *= self.faults.straggler_factor
@@ -271,5 +274,5 @@
 
 
 def _refuse(kind: errors.Kind) -> calls.Outcome:
-    """Makes a searcher's refusal."""
+    """Makes the result of a rejected call."""
     return expression.Error(errors.Failure(kind, "the searcher refused"))
--- a/tests/ports/searchers/harness.py
+++ b/tests/ports/searchers/harness.py
@@ -1,4 +1,4 @@
-"""The same searcher behind each implementation of the searchers port."""
+"""A harness to run tests against each implementation of the searchers port."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Harness(Protocol):
-    """A searcher, and a port to reach it.
+    """A searcher and a port that is connected to it.
 
     Attributes:
         address: The searcher's `IP:port`.
@@ -30,7 +30,7 @@
 
     @property
     def connects(self) -> int:
-        """How many connections were opened."""
+        """The number of connections opened."""
         ...
 
     async def start(self) -> None:
@@ -38,23 +38,23 @@
         ...
 
     async def stop(self) -> None:
-        """Ends the searcher's process, cutting all connections."""
+        """Stops the searcher process, which breaks all connections."""
         ...
 
     async def restart(self) -> None:
-        """Starts it anew, as another incarnation."""
+        """Starts the searcher again with a new incarnation."""
         ...
 
     def fail(self, fault: str, value: Any) -> None:
-        """Makes something go wrong."""
+        """Injects a fault."""
         ...
 
     def count_running(self) -> int:
-        """Counts the calls that run in it."""
+        """Returns the number of calls running in the searcher."""
         ...
 
     def count_effects(self) -> int:
-        """Counts the calls with effects that it ran."""
+        """Returns the number of calls with side effects that it ran."""
         ...
 
 
@@ -62,7 +62,7 @@
     """The in-memory port."""
 
     def __init__(self) -> None:
-        """Makes a searcher that isn't started."""
+        """Makes a searcher that is not started."""
         self.address = "s1:1"
         self._searcher = memory.Searcher(
             self.address, versions=(VERSION,), service_ms=SERVICE_MS, spread=0
@@ -72,7 +72,7 @@
 
     @property
     def connects(self) -> int:
-        """How many connections were opened."""
+        """The number of connections opened."""
         return self._fleet.connects[self.address]
 
     async def start(self) -> None:
@@ -80,35 +80,35 @@
         self._searcher.faults.down = False
 
     async def stop(self) -> None:
-        """Ends the searcher's process."""
+        """Stops the searcher process."""
         self._searcher.faults.down = True
         for link in list(self._searcher.links):
             link.lose()
 
     async def restart(self) -> None:
-        """Starts it anew."""
+        """Starts the searcher again."""
         self._searcher.restart()
         await self.start()
 
     def fail(self, fault: str, value: Any) -> None:
-        """Makes something go wrong."""
+        """Injects a fault."""
         names = {"shed": "sheds", "fail": "fails", "hang": "hangs"}
         setattr(self._searcher.faults, names.get(fault, fault), value)
 
     def count_running(self) -> int:
-        """Counts the calls that run in it."""
+        """Returns the number of calls running in the searcher."""
         return self._searcher.running
 
     def count_effects(self) -> int:
-        """Counts the calls with effects that it ran."""
+        """Returns the number of calls with side effects that it ran."""
         return len(self._searcher.effects)
 
 
 class HttpHarness:
-    """The port over HTTP, with the stand-in's searcher."""
+    """The port over HTTP with a stand-in searcher."""
 
     def __init__(self, address: str) -> None:
-        """Makes a searcher that isn't started."""
+        """Makes a searcher that is not started."""
         self.address = address
         self.connects = 0
         self.port: calls.PooledSearchers[Any] = calls.PooledSearchers(
@@ -118,12 +118,12 @@
         self._make()
 
     async def _connect(self, address: str, timeout_s: float) -> Any:
-        """Opens a link, and counts it."""
+        """Opens a connection and counts it."""
         self.connects += 1
         return await http.connect(address, timeout_s)
 
     def _make(self) -> None:
-        """Makes the next incarnation."""
+        """Makes the searcher's next incarnation."""
         self._incarnation += 1
         self._searcher = standin.Searcher(
             standin.read_documents(standin.DEFAULT_DATA),
@@ -140,36 +140,36 @@
         await self._server.start()
 
     async def stop(self) -> None:
-        """Ends the searcher's process."""
+        """Stops the searcher process."""
         await self._server.stop(0.0)
 
     async def restart(self) -> None:
-        """Starts it anew."""
+        """Starts the searcher again."""
         self._make()
         await self.start()
 
     def fail(self, fault: str, value: Any) -> None:
-        """Makes something go wrong."""
+        """Injects a fault."""
         setattr(self._searcher.faults, fault, value)
 
     def count_running(self) -> int:
-        """Counts the calls that run in it."""
+        """Returns the number of calls running in the searcher."""
         return self._searcher.running
 
     def count_effects(self) -> int:
-        """Counts the calls with effects that it ran."""
+        """Returns the number of calls with side effects that it ran."""
         return len(self._searcher.effects)
 
 
 def find_free_address() -> str:
-    """Finds a loopback port that is free now."""
+    """Returns a loopback address with a free port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 def make(kind: str) -> Harness:
-    """Makes the harness of one implementation."""
+    """Makes the harness for one implementation."""
     match kind:
         case "memory":
             return MemoryHarness()
@@ -179,13 +179,17 @@
             return HttpHarness(find_free_address())
 
 
-async def wait_until(is_so: Callable[[], object]) -> None:
-    """Waits until something is so."""
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Waits until a condition holds.
+
+    Raises:
+        AssertionError: It did not hold in time.
+    """
     for _ in range(5000):
-        if is_so():
+        if condition():
             return
         await asyncio.sleep(0.001)
-    raise AssertionError("it has not become so")
+    raise AssertionError("the condition did not hold in time")
 
 
 def run(kind: str, scenario: Callable[[Harness], Awaitable[None]]) -> None:
@@ -194,13 +198,13 @@
     Args:
         kind: `memory`, `http_in_memory` (over streams under virtual time) or
             `http_on_loopback` (over real sockets).
-        scenario: Takes the harness, its searcher started.
+        scenario: Called with the harness after its searcher has started.
     """
     factory: Any = async_solipsism.EventLoop
     if kind == "http_on_loopback":
         factory = asyncio.new_event_loop
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         harness = make(kind)
         await harness.start()
         try:
@@ -210,7 +214,7 @@
             await harness.stop()
 
     with asyncio.Runner(loop_factory=factory) as runner:
-        runner.run(whole())
+        runner.run(run_scenario())
 
 
 def run_virtual(coroutine: Coroutine[Any, Any, None]) -> None:
@@ -220,7 +224,7 @@
 
 
 def make_call(address: str, **fields: Any) -> api.Call:
-    """Makes a call of the first shard."""
+    """Makes a call to the first shard."""
     values: dict[str, Any] = {
         "address": address,
         "call_id": "r1/1",
