--- a/src/azureramp/ports/store/__init__.py
+++ b/src/azureramp/ports/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's key-value service."""
+"""The port to the platform's key-value service."""
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -1,8 +1,8 @@
 """The interface of the platform's key-value service.
 
-Every call costs one of the service's operations, a waiting watch included.
-Keys are UTF-8 strings, values bytes of up to `MAX_VALUE_BYTES`. Revisions
-count every write of the whole store, ascending.
+The service accounts for each call as one operation, including a waiting watch.
+Keys are UTF-8 strings, values are up to `MAX_VALUE_BYTES` bytes. Revisions are
+ascending and count the writes to the entire store.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 MAX_VALUE_BYTES = 1_000_000
 
 CREATE = 0
-"""The expected revision that means: there must be no such key."""
+"""The expected revision of a key that must not exist yet."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Entry:
-    """One key's present value.
+    """The current value of a key.
 
     Attributes:
         key: The key.
         value: The value; None if the key was deleted at `revision`.
-        revision: The store revision that wrote it.
+        revision: The store revision of the write.
     """
 
     key: str
@@ -38,12 +38,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Listing:
-    """Entries and the store revision that they reflect.
+    """Entries and the store revision at which they were read.
 
     Attributes:
-        entries: The entries, ascending by key (of a watch: by revision).
+        entries: The entries, ascending by key (from a watch: by revision).
         revision: The store's revision at the time of reading.
-        calls: How many calls of the service it took.
+        calls: Number of calls to the service that were needed.
     """
 
     entries: tuple[Entry, ...]
@@ -56,7 +56,7 @@
     """A write took effect.
 
     Attributes:
-        revision: The entry's new revision.
+        revision: The new revision of the entry.
     """
 
     revision: int
@@ -64,10 +64,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Conflicted:
-    """A write was refused, since the key had another revision.
+    """A write was rejected since the key has a different revision.
 
     Attributes:
-        present: The present entry; None if there is none.
+        present: The current entry; None if there is none.
     """
 
     present: Entry | None
@@ -78,13 +78,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Change:
-    """One key's change in a batch.
+    """The change of one key in a batch.
 
     Attributes:
         key: The key.
         value: The new value; None deletes the key.
-        expected: The key's present revision, or `CREATE`.
-        lease: The lease whose end deletes the key; empty for none.
+        expected: The current revision of the key, or `CREATE`.
+        lease: The lease whose expiry deletes the key; empty for none.
     """
 
     key: str
@@ -95,11 +95,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class BatchConflicted:
-    """A batch was refused as a whole, since a key had another revision.
+    """A batch was rejected since a key has a different revision.
 
     Attributes:
-        present: The present revision of each key of the batch, `CREATE` for a
-            key that doesn't exist.
+        present: The current revision of each key in the batch; `CREATE` for a
+            key that does not exist.
     """
 
     present: Mapping[str, int]
@@ -108,22 +108,22 @@
 BatchWrite = Written | BatchConflicted
 
 MAX_BATCH = 16
-"""Most changes of one batch."""
+"""Maximum number of changes in a batch."""
 
 
 class Store(Protocol):
     """The key-value service.
 
-    Errors: `STORE_UNAVAILABLE` if nothing took effect, for sure;
-    `STORE_OUTCOME_UNKNOWN` if a write may have taken effect or may still
-    take effect; `STORE_HISTORY_GONE` if a watch begins before the changes
-    that are kept; `TOO_LARGE` for a value past the limit.
+    Errors: `STORE_UNAVAILABLE` if the call certainly had no effect and never
+    will; `STORE_OUTCOME_UNKNOWN` if a write may have taken effect or may still
+    take effect; `STORE_HISTORY_GONE` if a watch starts before the oldest
+    retained change; `TOO_LARGE` if a value exceeds the limit.
     """
 
     async def read(
         self, key: str
     ) -> expression.Result[Entry | None, errors.Failure]:
-        """Reads one key; None if there is no such key."""
+        """Reads one key; returns None if it does not exist."""
         ...
 
     async def read_prefix(
@@ -140,11 +140,11 @@
         Args:
             key: The key.
             value: The new value.
-            expected: The key's present revision, or `CREATE`.
-            lease: The lease whose end deletes the key; empty for none.
+            expected: The current revision of the key, or `CREATE`.
+            lease: The lease whose expiry deletes the key; empty for none.
 
         Returns:
-            The write's outcome, or why it is not known.
+            The outcome of the write, or the reason why it is unknown.
         """
         ...
 
@@ -161,45 +161,53 @@
 
         Args:
             prefix: The prefix.
-            after: Only changes after this store revision.
-            wait_s: Longest wait, in seconds.
+            after: The store revision after which changes are returned.
+            wait_s: Maximum wait, in seconds.
 
         Returns:
-            The changes, ascending by revision, none if the wait ended first,
-            and the store revision up to which they are all the changes.
+            The changes, ascending by revision, and the store revision up to
+            which they are complete. There are none if the wait ended first.
         """
         ...
 
     async def grant_lease(
         self, ttl_s: float
     ) -> expression.Result[str, errors.Failure]:
-        """Makes a lease that lapses unless it is kept alive."""
+        """Creates a lease that expires unless it is renewed.
+
+        Args:
+            ttl_s: The time to live, in seconds.
+
+        Returns:
+            The id of the lease.
+        """
         ...
 
     async def keep_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
-        """Keeps a lease alive; False if it has already lapsed."""
+        """Renews a lease; returns False if it has already expired."""
         ...
 
     async def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
         ...
 
 
 class BatchStore(Store, Protocol):
-    """A key-value service that changes several keys at once."""
+    """A key-value service with atomic writes to several keys."""
 
     async def write_batch(
         self, changes: Sequence[Change]
     ) -> expression.Result[BatchWrite, errors.Failure]:
-        """Makes all changes, or none if a key's revision isn't the expected.
+        """Makes all changes, or none if any revision is not the expected one.
 
         Args:
-            changes: At most `MAX_BATCH` changes, each of another key.
+            changes: At most `MAX_BATCH` changes to different keys.
 
         Returns:
-            The outcome, its revision that of every key written; `NOT_FOUND`
-            if a lease does not exist, otherwise why it is not known.
+            The outcome, with the revision of all written keys; `NOT_FOUND` if
+            a lease does not exist; otherwise the reason why the outcome is
+            unknown.
         """
         ...
--- a/src/azureramp/ports/store/protocol.py
+++ b/src/azureramp/ports/store/protocol.py
@@ -1,7 +1,7 @@
-"""The bodies of the key-value service's HTTP protocol.
+"""The paths and bodies of the key-value service's HTTP protocol.
 
-Both ends use them: `http` as the client, the platform stand-in as the
-server. docs/reference/platform.md describes the protocol.
+They are shared by the client in `http` and by the platform stand-in, which is
+the server. docs/reference/platform.md describes the protocol.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class EntryBody(msgspec.Struct, frozen=True):
-    """One entry; see `api.Entry`. JSON carries the value as base64."""
+    """An entry; see `api.Entry`. JSON encodes the value as base64."""
 
     key: str
     value: bytes | None
@@ -29,13 +29,13 @@
 
 
 class WrittenBody(msgspec.Struct, frozen=True):
-    """A write that took effect."""
+    """The result of a successful write."""
 
     revision: int
 
 
 class ConflictBody(msgspec.Struct, frozen=True):
-    """The present entry that a write ran into."""
+    """The current entry, which conflicts with a write."""
 
     present: EntryBody | None
 
