--- a/src/azureramp/ports/store/counting.py
+++ b/src/azureramp/ports/store/counting.py
@@ -1,4 +1,4 @@
-"""Counts the calls of any store, since the platform counts them too."""
+"""A store wrapper that counts calls, as the platform does."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CountingStore:
-    """Passes every call on, and counts it by kind; see `api.Store`."""
+    """Forwards calls to a store and counts them by kind; see `api.Store`."""
 
     __slots__ = ("_metrics", "_store")
 
@@ -22,9 +22,9 @@
         """Wraps a store.
 
         Args:
-            store: The store that does the work.
-            counters: Where the calls are counted by their kind, and those
-                that failed.
+            store: The wrapped store.
+            counters: Receives the counts of calls by kind and of failed
+                calls.
         """
         self._store = store
         self._metrics = counters
@@ -70,14 +70,14 @@
     async def grant_lease(
         self, ttl_s: float
     ) -> expression.Result[str, errors.Failure]:
-        """Makes a lease; see `api.Store`."""
+        """Creates a lease; see `api.Store`."""
         self._metrics.count("store.leases")
         return self._check(await self._store.grant_lease(ttl_s))
 
     async def keep_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
-        """Keeps a lease alive; see `api.Store`."""
+        """Renews a lease; see `api.Store`."""
         self._metrics.count("store.renewals")
         return self._check(await self._store.keep_lease(lease))
 
@@ -88,14 +88,14 @@
     def _check(
         self, result: expression.Result[_T, errors.Failure]
     ) -> expression.Result[_T, errors.Failure]:
-        """Counts a failed call."""
+        """Counts the call as failed if its result is an error."""
         if result.is_error():
             self._metrics.count("store.failures")
         return result
 
 
 class CountingBatchStore(CountingStore):
-    """The same for a store that changes several keys at once."""
+    """A `CountingStore` that also supports batches."""
 
     __slots__ = ("_batches",)
 
@@ -109,6 +109,6 @@
     async def write_batch(
         self, changes: Sequence[api.Change]
     ) -> expression.Result[api.BatchWrite, errors.Failure]:
-        """Changes several keys; see `api.BatchStore`."""
+        """Writes a batch; see `api.BatchStore`."""
         self._metrics.count("store.writes")
         return self._check(await self._batches.write_batch(changes))
--- a/src/azureramp/ports/store/http.py
+++ b/src/azureramp/ports/store/http.py
@@ -14,18 +14,18 @@
 from azureramp.ports.web import pool
 
 CALL_TIMEOUT_S = 2.0
-"""Longest time that a call may take, in seconds."""
+"""Timeout of a call, in seconds; a watch waits in addition."""
 
 _T = TypeVar("_T")
 
 
 class HttpStore:
-    """A client of the service; see `api.Store`."""
+    """An HTTP client of the service; see `api.Store`."""
 
     __slots__ = ("_pool",)
 
     def __init__(self, address: str) -> None:
-        """Makes a client; it connects when it is first used.
+        """Makes a client that connects at its first use.
 
         Args:
             address: `IP:port` of the service.
@@ -36,9 +36,9 @@
         self, key: str
     ) -> expression.Result[api.Entry | None, errors.Failure]:
         """Reads one key; see `api.Store`."""
-        result = await self._ask("GET", protocol.KEYS, key=key)
+        result = await self._call("GET", protocol.KEYS, key=key)
         if result.is_error():
-            return expression.Error(_as_read(result.error))
+            return expression.Error(_convert_read_failure(result.error))
         if result.ok.status == 404:
             return expression.Ok(None)
         return _decode(result.ok, protocol.EntryBody).map(_to_entry)
@@ -47,9 +47,9 @@
         self, prefix: str
     ) -> expression.Result[api.Listing, errors.Failure]:
         """Reads a prefix; see `api.Store`."""
-        result = await self._ask("GET", protocol.KEYS, prefix=prefix)
+        result = await self._call("GET", protocol.KEYS, prefix=prefix)
         if result.is_error():
-            return expression.Error(_as_read(result.error))
+            return expression.Error(_convert_read_failure(result.error))
         return _decode(result.ok, protocol.ListingBody).map(_to_listing)
 
     async def write(
@@ -58,7 +58,7 @@
         """Writes by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             return expression.Error(errors.Failure(errors.Kind.TOO_LARGE, key))
-        result = await self._ask(
+        result = await self._call(
             "PUT",
             protocol.KEYS,
             value,
@@ -72,7 +72,7 @@
         self, key: str, expected: int
     ) -> expression.Result[api.Write, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
-        result = await self._ask(
+        result = await self._call(
             "DELETE", protocol.KEYS, key=key, expected=str(expected)
         )
         return result.bind(_to_write)
@@ -81,7 +81,7 @@
         self, prefix: str, after: int, wait_s: float
     ) -> expression.Result[api.Listing, errors.Failure]:
         """Waits for changes; see `api.Store`."""
-        result = await self._ask(
+        result = await self._call(
             "GET",
             protocol.WATCH,
             timeout_s=wait_s + CALL_TIMEOUT_S,
@@ -90,14 +90,14 @@
             wait_ms=str(int(wait_s * 1000)),
         )
         if result.is_error():
-            return expression.Error(_as_read(result.error))
+            return expression.Error(_convert_read_failure(result.error))
         return _decode(result.ok, protocol.ListingBody).map(_to_listing)
 
     async def grant_lease(
         self, ttl_s: float
     ) -> expression.Result[str, errors.Failure]:
-        """Makes a lease; see `api.Store`."""
-        result = await self._ask(
+        """Creates a lease; see `api.Store`."""
+        result = await self._call(
             "POST", protocol.LEASES, ttl_ms=str(int(ttl_s * 1000))
         )
         if result.is_error():
@@ -109,15 +109,15 @@
     async def keep_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
-        """Keeps a lease alive; see `api.Store`."""
-        result = await self._ask("PUT", protocol.LEASES, lease=lease)
+        """Renews a lease; see `api.Store`."""
+        result = await self._call("PUT", protocol.LEASES, lease=lease)
         return result.map(lambda response: response.status == 200)
 
     async def close(self) -> None:
-        """Closes every idle connection."""
+        """Closes all idle connections."""
         self._pool.close()
 
-    async def _ask(
+    async def _call(
         self,
         method: str,
         path: str,
@@ -125,10 +125,10 @@
         timeout_s: float = CALL_TIMEOUT_S,
         **query: str,
     ) -> expression.Result[web_api.Response, errors.Failure]:
-        """Makes one call; answers of 5xx are failures.
+        """Makes one call; returns a failure for a 5xx response.
 
-        A 503 is the service's own word that nothing took effect; any other
-        5xx says nothing of it.
+        With status 503 the service guarantees that the call had no effect.
+        After any other 5xx status the outcome is unknown.
         """
         target = f"{path}?{urllib.parse.urlencode(query)}"
         result = await self._pool.exchange(method, target, body, timeout_s)
@@ -144,22 +144,22 @@
         return expression.Error(errors.Failure(kind, f"status {status}"))
 
 
-def _as_read(failure: errors.Failure) -> errors.Failure:
-    """Turns a read's failure into what it means: no effect in any case."""
+def _convert_read_failure(failure: errors.Failure) -> errors.Failure:
+    """Converts the failure of a read, which never has an effect."""
     if failure.kind is errors.Kind.STORE_OUTCOME_UNKNOWN:
         return errors.Failure(errors.Kind.STORE_UNAVAILABLE, failure.detail)
     return failure
 
 
 def _decode(
-    response: web_api.Response, wanted: type[_T]
+    response: web_api.Response, body_type: type[_T]
 ) -> expression.Result[_T, errors.Failure]:
-    """Decodes the body of a successful answer."""
+    """Decodes the body of a successful response."""
     detail = f"status {response.status}"
     if response.status == 200:
         try:
             return expression.Ok(
-                msgspec.json.decode(response.body, type=wanted)
+                msgspec.json.decode(response.body, type=body_type)
             )
         except msgspec.DecodeError as error:
             detail = str(error)
@@ -168,12 +168,12 @@
 
 
 def _to_entry(body: protocol.EntryBody) -> api.Entry:
-    """Makes an entry of its body."""
+    """Converts the body of an entry."""
     return api.Entry(body.key, body.value, body.revision)
 
 
 def _to_listing(body: protocol.ListingBody) -> api.Listing:
-    """Makes a listing of its body."""
+    """Converts the body of a listing."""
     return api.Listing(
         tuple(_to_entry(entry) for entry in body.entries), body.revision
     )
@@ -182,9 +182,9 @@
 def _to_write(
     response: web_api.Response,
 ) -> expression.Result[api.Write, errors.Failure]:
-    """Makes the outcome of a write of its answer.
+    """Converts the response to a write.
 
-    An answer that can't be read says nothing of the write's effect.
+    If the response can't be decoded, the outcome of the write is unknown.
     """
     try:
         if response.status == 200:
