--- a/src/azureramp/ports/store/memory.py
+++ b/src/azureramp/ports/store/memory.py
@@ -1,7 +1,7 @@
-"""An in-memory key-value service, with the faults that the real one has.
+"""An in-memory key-value service with fault injection.
 
-One `State` is the service; each VM in a test has its own `MemoryStore` with
-its own faults, so that the service can be down for some VMs and not others.
+A `State` represents the service. Each VM in a test has its own `MemoryStore`
+with its own faults, so the service can be down for some VMs only.
 """
 
 from __future__ import annotations
@@ -16,22 +16,23 @@
 from azureramp.ports.store import state as store_state
 
 Outcome = expression.Result[api.Write, errors.Failure]
-"""What a write says of itself."""
+"""The result of a write."""
 
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong between one VM and the service.
+    """The faults injected between one VM and the service.
 
     Attributes:
-        down: Calls fail at once; nothing takes effect.
-        delay_s: Time that each call takes, in seconds.
-        lost_replies: So many next writes take effect and lose the reply.
-        lost_requests: So many next writes never take effect, though the
-            caller can't tell.
-        late_s: While positive, a write's reply is lost at once and the write
-            takes effect so much later, in seconds.
-        past: Reads answer from so many revisions ago.
+        down: True if calls fail without any effect.
+        delay_s: Duration of each call, in seconds.
+        lost_replies: Number of upcoming writes that take effect but lose
+            their reply.
+        lost_requests: Number of upcoming writes that are lost with an unknown
+            outcome for the caller.
+        late_s: If positive, the reply to each write is lost, and the write
+            takes effect after this delay, in seconds.
+        past: Number of revisions by which reads lag behind.
     """
 
     down: bool = False
@@ -43,10 +44,10 @@
 
 
 class MemoryStore:
-    """One VM's client of a `State`; see `api.Store`.
+    """The client of one VM for a `State`; see `api.Store`.
 
     Attributes:
-        faults: What goes wrong; may be changed at any time.
+        faults: The injected faults; mutable at any time.
         state: The service's state.
     """
 
@@ -59,7 +60,7 @@
 
         Args:
             state: The service's state, shared by all VMs.
-            faults: What goes wrong; none by default.
+            faults: The injected faults; none by default.
         """
         self.state = state
         self.faults = faults or Faults()
@@ -68,17 +69,17 @@
         self, key: str
     ) -> expression.Result[api.Entry | None, errors.Failure]:
         """Reads one key; see `api.Store`."""
-        if not await self._reach():
+        if not await self._begin_call():
             return expression.Error(_fail_down())
-        return expression.Ok(self.state.read(key, self._get_at()))
+        return expression.Ok(self.state.read(key, self._get_read_revision()))
 
     async def read_prefix(
         self, prefix: str
     ) -> expression.Result[api.Listing, errors.Failure]:
         """Reads a prefix; see `api.Store`."""
-        if not await self._reach():
+        if not await self._begin_call():
             return expression.Error(_fail_down())
-        return expression.Ok(self.state.list(prefix, self._get_at()))
+        return expression.Ok(self.state.list(prefix, self._get_read_revision()))
 
     async def write(
         self, key: str, value: bytes, expected: int, lease: str = ""
@@ -99,7 +100,7 @@
         self, prefix: str, after: int, wait_s: float
     ) -> expression.Result[api.Listing, errors.Failure]:
         """Waits for changes; see `api.Store`."""
-        if not await self._reach():
+        if not await self._begin_call():
             return expression.Error(_fail_down())
         loop = asyncio.get_running_loop()
         until_s = loop.time() + wait_s
@@ -119,8 +120,8 @@
     async def grant_lease(
         self, ttl_s: float
     ) -> expression.Result[str, errors.Failure]:
-        """Makes a lease; see `api.Store`."""
-        if not await self._reach():
+        """Creates a lease; see `api.Store`."""
+        if not await self._begin_call():
             return expression.Error(_fail_down())
         now_s = asyncio.get_running_loop().time()
         return expression.Ok(self.state.grant_lease(ttl_s, now_s))
@@ -128,23 +129,23 @@
     async def keep_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
-        """Keeps a lease alive; see `api.Store`."""
-        if not await self._reach():
+        """Renews a lease; see `api.Store`."""
+        if not await self._begin_call():
             return expression.Error(_fail_down())
         now_s = asyncio.get_running_loop().time()
         return expression.Ok(self.state.keep_lease(lease, now_s))
 
     async def close(self) -> None:
-        """Does nothing: there are no connections."""
+        """Does nothing, since there are no connections."""
 
-    async def _reach(self) -> bool:
-        """Waits as long as a call takes; False if the service is down."""
+    async def _begin_call(self) -> bool:
+        """Waits for the call duration; returns False if the service is down."""
         await asyncio.sleep(self.faults.delay_s)
         self.state.expire_leases(asyncio.get_running_loop().time())
         return not self.faults.down
 
-    def _get_at(self) -> int | None:
-        """Returns the past revision that reads answer from, if any."""
+    def _get_read_revision(self) -> int | None:
+        """Returns the revision at which reads are answered; None for now."""
         if not self.faults.past:
             return None
         return max(self.state.revision - self.faults.past, 0)
@@ -152,23 +153,23 @@
     async def _change(
         self, key: str, value: bytes | None, expected: int, lease: str
     ) -> expression.Result[api.Write, errors.Failure]:
-        """Makes a change, under the faults that writes have.
+        """Makes a change, subject to the injected faults.
 
-        It takes effect half-way, also if the caller has given up by then:
-        a request on its way can't be called back.
+        The change takes effect after half of the call duration, even if the
+        caller was cancelled before: a request in transit can't be revoked.
         """
         if self.faults.down:
             await asyncio.sleep(self.faults.delay_s)
             return expression.Error(_fail_down())
         half_s = self.faults.delay_s / 2
-        taking_effect: asyncio.Future[Outcome] = asyncio.ensure_future(
-            self._take_effect(half_s, key, value, expected, lease)
+        pending: asyncio.Future[Outcome] = asyncio.ensure_future(
+            self._apply(half_s, key, value, expected, lease)
         )
-        outcome = await asyncio.shield(taking_effect)
+        outcome = await asyncio.shield(pending)
         await asyncio.sleep(half_s)
         return outcome
 
-    async def _take_effect(
+    async def _apply(
         self,
         delay_s: float,
         key: str,
@@ -176,7 +177,7 @@
         expected: int,
         lease: str,
     ) -> Outcome:
-        """Makes a change after a while."""
+        """Makes a change after a delay."""
         await asyncio.sleep(delay_s)
         loop = asyncio.get_running_loop()
         self.state.expire_leases(loop.time())
@@ -200,10 +201,10 @@
 
 
 def _fail_down() -> errors.Failure:
-    """Makes the failure of a call that certainly had no effect."""
+    """Makes the failure of a call that had no effect."""
     return errors.Failure(errors.Kind.STORE_UNAVAILABLE, "the store is down")
 
 
 def _fail_unknown() -> errors.Failure:
-    """Makes the failure of a write that may still take effect."""
+    """Makes the failure of a write whose outcome is unknown."""
     return errors.Failure(errors.Kind.STORE_OUTCOME_UNKNOWN, "no reply")
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -1,7 +1,7 @@
-"""The key-value service's state machine, without any transport.
+"""The state machine of the key-value service, independent of the transport.
 
-The in-memory store and the platform stand-in both serve it. It keeps what a
-test of faults needs: earlier values, for reads from the past, and the
+It is used by the in-memory store and by the platform stand-in. For fault tests
+it also retains earlier values, for reads at an earlier revision, and the
 revisions of deleted keys, for watches.
 """
 
@@ -14,21 +14,22 @@
 
 from azureramp.ports.store import api
 
-PAST_ENTRIES = 32
-"""How many earlier entries of a key can be read from the past."""
+MAX_HISTORY_ENTRIES = 32
+"""Number of entries retained for each key, including deletions. Older ones
+can't be read at an earlier revision."""
 
-LEAST_WAIT_S = 0.001
-"""Shortest wait for a change, in seconds, so that time surely goes on."""
+MIN_WAIT_S = 0.001
+"""Minimum wait for a change, in seconds, so that virtual time advances."""
 
 
 @dataclasses.dataclass(slots=True)
 class Lease:
-    """One lease.
+    """A lease.
 
     Attributes:
-        ttl_s: Its length, in seconds.
-        until_s: When it lapses, on the clock that the caller passes in.
-        keys: The keys that its end deletes.
+        ttl_s: Its time to live, in seconds.
+        until_s: When it expires, in seconds on the clock of the caller.
+        keys: The keys that are deleted when it expires.
     """
 
     ttl_s: float
@@ -40,22 +41,28 @@
     """Keys, revisions, leases and waiting watches.
 
     Attributes:
-        revision: The store's revision: how many writes there were.
+        revision: The revision of the store: the number of writes so far.
     """
 
-    __slots__ = ("_changed", "_leases", "_numbers", "_past", "revision")
+    __slots__ = (
+        "_changed",
+        "_lease_numbers",
+        "_leases",
+        "_past",
+        "revision",
+    )
 
     def __init__(self) -> None:
         """Makes an empty store."""
         self.revision = 0
         self._past: dict[str, list[api.Entry]] = {}
         self._leases: dict[str, Lease] = {}
-        self._numbers = itertools.count(1)
+        self._lease_numbers = itertools.count(1)
         self._changed: asyncio.Future[None] | None = None
 
     def read(self, key: str, at: int | None = None) -> api.Entry | None:
-        """Reads a key, as of an earlier revision if `at` is given."""
-        entry = self._find(key, at)
+        """Reads a key, at an earlier revision if `at` is given."""
+        entry = self._get_entry(key, at)
         return None if entry is None or entry.value is None else entry
 
     def list(self, prefix: str, at: int | None = None) -> api.Listing:
@@ -69,7 +76,7 @@
         return api.Listing(entries, self.revision if at is None else at)
 
     def list_changes(self, prefix: str, after: int) -> api.Listing:
-        """Reads each key's newest change after a revision, in that order."""
+        """Returns the newest change of each key after a revision, in order."""
         changes = [
             entries[-1]
             for key, entries in self._past.items()
@@ -81,7 +88,9 @@
     def write(
         self, key: str, value: bytes | None, expected: int, lease: str = ""
     ) -> api.Write | None:
-        """Writes or, with the value None, deletes by compare-and-swap.
+        """Writes a key, or deletes it if the value is None.
+
+        The write is a compare-and-swap on the revision of the key.
 
         Returns:
             The outcome; None if the lease does not exist.
@@ -100,7 +109,7 @@
         return api.Written(self._append(key, value))
 
     def write_all(self, changes: Sequence[api.Change]) -> api.BatchWrite | None:
-        """Makes all changes, or none if a revision isn't the expected one.
+        """Makes all changes, or none if any revision is not the expected one.
 
         Returns:
             The outcome; None if a lease does not exist.
@@ -119,7 +128,7 @@
         before = self.revision
         for change in changes:
             if change.value is not None or present[change.key] is not None:
-                # All keys of a batch have the same revision.
+                # All keys of a batch get the same revision.
                 self.revision = before
                 self.write(
                     change.key, change.value, change.expected, change.lease
@@ -127,52 +136,52 @@
         return api.Written(self.revision)
 
     def grant_lease(self, ttl_s: float, now_s: float) -> str:
-        """Makes a lease and returns its id."""
-        lease = f"lease-{next(self._numbers)}"
+        """Creates a lease and returns its id."""
+        lease = f"lease-{next(self._lease_numbers)}"
         self._leases[lease] = Lease(ttl_s, now_s + ttl_s)
         return lease
 
     def keep_lease(self, lease: str, now_s: float) -> bool:
-        """Prolongs a lease; False if there is none."""
-        kept = self._leases.get(lease)
-        if kept is None:
+        """Renews a lease; returns False if it does not exist."""
+        record = self._leases.get(lease)
+        if record is None:
             return False
-        kept.until_s = now_s + kept.ttl_s
+        record.until_s = now_s + record.ttl_s
         return True
 
     def expire_leases(self, now_s: float) -> None:
-        """Ends the leases whose time is over, and deletes their keys."""
-        for lease, kept in list(self._leases.items()):
-            if kept.until_s <= now_s:
+        """Removes the expired leases and deletes their keys."""
+        for lease, record in list(self._leases.items()):
+            if record.until_s <= now_s:
                 del self._leases[lease]
-                for key in sorted(kept.keys):
+                for key in sorted(record.keys):
                     self._append(key, None)
 
     def get_next_expiry_s(self) -> float | None:
-        """Returns when the next lease lapses; None if there is none."""
-        times = [kept.until_s for kept in self._leases.values()]
+        """Returns when the next lease expires; None if there is no lease."""
+        times = [record.until_s for record in self._leases.values()]
         return min(times, default=None)
 
     async def wait_for_change(self, timeout_s: float) -> None:
-        """Waits until any key changes, or for the timeout."""
+        """Waits until any key changes or the timeout expires."""
         if self._changed is None or self._changed.done():
             self._changed = asyncio.get_running_loop().create_future()
-        wait_s = max(timeout_s, LEAST_WAIT_S)
+        wait_s = max(timeout_s, MIN_WAIT_S)
         await asyncio.wait({self._changed}, timeout=wait_s)
 
-    def _find(self, key: str, at: int | None) -> api.Entry | None:
-        """Finds a key's entry at a revision; None if it had none yet."""
+    def _get_entry(self, key: str, at: int | None) -> api.Entry | None:
+        """Returns the entry of a key at a revision; None if there was none."""
         for entry in reversed(self._past.get(key, [])):
             if at is None or entry.revision <= at:
                 return entry
         return None
 
     def _append(self, key: str, value: bytes | None) -> int:
-        """Makes a change and wakes the watches."""
+        """Records a change and wakes the waiting watches."""
         self.revision += 1
-        past = self._past.setdefault(key, [])
-        past.append(api.Entry(key, value, self.revision))
-        del past[:-PAST_ENTRIES]
+        history = self._past.setdefault(key, [])
+        history.append(api.Entry(key, value, self.revision))
+        del history[:-MAX_HISTORY_ENTRIES]
         if self._changed is not None and not self._changed.done():
             self._changed.set_result(None)
         return self.revision
--- a/tests/ports/store/test_contract.py
+++ b/tests/ports/store/test_contract.py
@@ -1,7 +1,7 @@
-"""What every key-value store port must do, in memory and over HTTP.
+"""Tests of the contract of the key-value store, in memory and over HTTP.
 
-Over HTTP the platform stand-in serves in the same process. Most of it runs
-under virtual time; the last test repeats the calls over real sockets.
+Over HTTP the platform stand-in is the server, in the same process. Most tests
+run under virtual time; the last one repeats the checks over real sockets.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Bench:
-    """A store under test, and the ways to break it.
+    """A store under test and the means to inject faults.
 
     Attributes:
         store: The store.
-        state: The service's state behind it.
-        break_it: Sets the faults: down, late_s, lost_replies, lost_requests,
+        state: The state of the service.
+        set_faults: Sets the faults: down, late_s, lost_replies, lost_requests,
             past, slow_s.
     """
 
     store: api.Store
     state: store_state.State
-    break_it: Callable[..., None]
+    set_faults: Callable[..., None]
 
 
 Check = Callable[[Bench], Awaitable[None]]
@@ -45,10 +45,10 @@
 async def run_in_memory(check: Check) -> None:
     store = memory.MemoryStore(store_state.State())
 
-    def break_it(slow_s: float = 0.0, **faults: Any) -> None:
+    def set_faults(slow_s: float = 0.0, **faults: Any) -> None:
         store.faults = memory.Faults(delay_s=slow_s, **faults)
 
-    await check(Bench(store, store.state, break_it))
+    await check(Bench(store, store.state, set_faults))
 
 
 async def run_over_http(check: Check, address: str = ADDRESS) -> None:
@@ -56,7 +56,7 @@
     await standin.server.start()
     store = http.HttpStore(address)
 
-    def break_it(
+    def set_faults(
         slow_s: float = 0.0, late_s: float = 0.0, **faults: Any
     ) -> None:
         standin.faults = platform.Faults(
@@ -64,7 +64,7 @@
         )
 
     try:
-        await check(Bench(store, standin.state, break_it))
+        await check(Bench(store, standin.state, set_faults))
     finally:
         await store.close()
         await standin.server.stop(1.0)
@@ -72,7 +72,7 @@
 
 @pytest.fixture(params=[run_in_memory, run_over_http])
 def run(request: pytest.FixtureRequest) -> Callable[[Check], None]:
-    """Runs a check against one of the ports, under virtual time."""
+    """Runs a check against one implementation under virtual time."""
 
     def run_check(check: Check) -> None:
         loop = async_solipsism.EventLoop()
@@ -125,22 +125,22 @@
     stale = await store.delete("/k", created.revision + 1)
     deleted = await store.delete("/k", created.revision)
     again = await store.delete("/k", created.revision)
-    made = await store.write("/k", b"2", api.CREATE)
+    recreated = await store.write("/k", b"2", api.CREATE)
 
     assert isinstance(stale.ok, api.Conflicted)
     assert isinstance(deleted.ok, api.Written)
     assert again.ok == api.Conflicted(None)
-    assert isinstance(made.ok, api.Written)
+    assert isinstance(recreated.ok, api.Written)
 
 
 async def check_large_values(bench: Bench) -> None:
     largest = bytes(api.MAX_VALUE_BYTES)
 
-    taken = await bench.store.write("/k", largest, api.CREATE)
+    accepted = await bench.store.write("/k", largest, api.CREATE)
     refused = await bench.store.write("/l", largest + b"x", api.CREATE)
     entry = (await bench.store.read("/k")).ok
 
-    assert taken.is_ok()
+    assert accepted.is_ok()
     assert refused.error.kind is errors.Kind.TOO_LARGE
     assert entry is not None
     assert entry.value == largest
@@ -167,7 +167,7 @@
     assert resumed.entries == listing.entries
 
 
-async def check_watch_end(bench: Bench) -> None:
+async def check_watch_timeout(bench: Bench) -> None:
     listing = (await bench.store.watch("/k/", 0, wait_s=0.2)).ok
 
     assert listing == api.Listing((), 0)
@@ -202,18 +202,18 @@
     check_delete,
     check_large_values,
     check_watch,
-    check_watch_end,
+    check_watch_timeout,
     check_lease,
 ]
 
 
 @pytest.mark.parametrize("check", CHECKS)
-def test_a_store_keeps_its_promises(run: Run, check: Check) -> None:
+def test_store_fulfils_its_contract(run: Run, check: Check) -> None:
     run(check)
 
 
 WRITE_FAULTS = [
-    # (faults, failure of the write, value at once, value 10 s later)
+    # (faults, kind of the failure, value immediately, value 10 s later)
     ({"down": True}, errors.Kind.STORE_UNAVAILABLE, None, None),
     ({"lost_replies": 1}, errors.Kind.STORE_OUTCOME_UNKNOWN, b"1", b"1"),
     ({"lost_requests": 1}, errors.Kind.STORE_OUTCOME_UNKNOWN, None, None),
@@ -221,28 +221,28 @@
 ]
 
 
-@pytest.mark.parametrize(("faults", "kind", "soon", "late"), WRITE_FAULTS)
-def test_a_failed_write_says_what_it_may_have_done(
+@pytest.mark.parametrize(("faults", "kind", "immediate", "late"), WRITE_FAULTS)
+def test_failed_write_returns_its_possible_effect(
     run: Run,
     faults: dict[str, Any],
     kind: errors.Kind,
-    soon: bytes | None,
+    immediate: bytes | None,
     late: bytes | None,
 ) -> None:
-    """An operator's change fails, and he asks whether it took effect.
+    """The failure kind of a write tells the operator if it took effect.
 
-    `STORE_UNAVAILABLE` promises that it did not and never will. After a
-    lost reply the answer must be `STORE_OUTCOME_UNKNOWN`, whatever became
-    of the write, and the write may even land later.
+    `STORE_UNAVAILABLE` guarantees that it did not and never will. After a lost
+    reply the kind must be `STORE_OUTCOME_UNKNOWN`, whether or not the write
+    took effect; it may even take effect later.
     """
 
     async def check(bench: Bench) -> None:
-        bench.break_it(**faults)
+        bench.set_faults(**faults)
         failed = await bench.store.write("/k", b"1", api.CREATE)
-        bench.break_it()
+        bench.set_faults()
 
         assert failed.error.kind is kind
-        for expected in (soon, late):
+        for expected in (immediate, late):
             entry = bench.state.read("/k")
             assert (entry.value if entry else None) == expected
             await asyncio.sleep(10.0)
@@ -251,9 +251,9 @@
     run(check)
 
 
-def test_every_read_of_a_store_that_is_down_fails(run: Run) -> None:
+def test_every_read_fails_while_the_store_is_down(run: Run) -> None:
     async def check(bench: Bench) -> None:
-        bench.break_it(down=True)
+        bench.set_faults(down=True)
         store = bench.store
         results: list[Any] = [
             await store.read("/k"),
@@ -268,8 +268,8 @@
     run(check)
 
 
-def test_a_read_from_the_past_shows_what_was(run: Run) -> None:
-    """A read is answered from a replica that lags two writes behind."""
+def test_read_from_a_lagging_replica_returns_earlier_values(run: Run) -> None:
+    """A read is answered by a replica that lags two writes behind."""
 
     async def check(bench: Bench) -> None:
         store = bench.store
@@ -278,7 +278,7 @@
         await store.write("/k", b"2", first.revision)
         await store.write("/l", b"1", api.CREATE)
 
-        bench.break_it(past=2)
+        bench.set_faults(past=2)
         entry = (await store.read("/k")).ok
         listing = (await store.read_prefix("/")).ok
 
@@ -288,7 +288,7 @@
     run(check)
 
 
-def test_a_server_that_is_gone_has_taken_no_write() -> None:
+def test_write_without_a_server_has_no_effect() -> None:
     async def check() -> None:
         store = http.HttpStore(ADDRESS)
         failed = await store.write("/k", b"1", api.CREATE)
@@ -309,7 +309,7 @@
         await store.delete("/k", 1)
         await store.read("/k")
         await store.watch("/k", 0, wait_s=0.1)
-        bench.break_it(down=True)
+        bench.set_faults(down=True)
         await store.read_prefix("/k")
 
         assert counters.counts == {
@@ -323,7 +323,7 @@
 
 
 @pytest.mark.parametrize("check", CHECKS)
-def test_a_store_keeps_its_promises_over_real_sockets(check: Check) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        port = free.getsockname()[1]
+def test_store_fulfils_its_contract_over_real_sockets(check: Check) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as probe:
+        port = probe.getsockname()[1]
     asyncio.run(run_over_http(check, f"127.0.0.1:{port}"))
