--- a/src/azureramp/ports/peers/__init__.py
+++ b/src/azureramp/ports/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the daemons."""
+"""The peers port: messages between the daemons."""
--- a/src/azureramp/ports/peers/api.py
+++ b/src/azureramp/ports/peers/api.py
@@ -1,10 +1,10 @@
-"""The interface of the links between the daemons.
+"""The interface to the links between the daemons.
 
-Messages are one-way and may be lost, late or doubled, but not altered: the
-transport authenticates each envelope by a keyed MAC. Envelopes of an earlier
-incarnation, and those more than `freshness.MAX_DELAY_MS` late, are dropped.
-Sending never waits: a full or silent link drops, and the sender's own
-timeouts cover the loss.
+Messages are one-way. They may be lost, delayed or duplicated, but not altered,
+since the transport authenticates each envelope with a keyed MAC. Envelopes of
+an earlier incarnation and those delayed by more than `freshness.MAX_DELAY_MS`
+are dropped. Sending never blocks: a full or disconnected link drops messages,
+and the sender's own timeouts handle the loss.
 """
 
 from __future__ import annotations
@@ -18,33 +18,34 @@
 
 
 class Peers(Protocol):
-    """The links to all other daemons."""
+    """The links from this daemon to all others."""
 
     async def start(self, handler: Handler) -> None:
-        """Begins to receive.
+        """Starts receiving.
 
         Args:
-            handler: Called for each envelope that arrives and is authentic.
+            handler: Called for each authentic envelope that is received and
+                not dropped as outdated.
         """
         ...
 
     def send(self, address: str, *batch: messages.PeerMessage) -> bool:
-        """Queues messages for a peer, as one envelope.
+        """Queues messages for a peer as one envelope.
 
         Args:
             address: The peer's `IP:port`.
             *batch: The messages, in order.
 
         Returns:
-            False if they were dropped at once, since the link's queue is
-            full; True says nothing of their arrival.
+            False if the messages were dropped immediately, since the link is
+            not connected or its queue is full. True does not imply delivery.
         """
         ...
 
     def reconnect(self, address: str) -> None:
-        """Gives a link up that has gone silent, and opens a new one.
+        """Closes a link that is no longer delivering and opens a new one.
 
-        What waits in it is lost.
+        Messages queued in the old link are lost.
 
         Args:
             address: The peer's `IP:port`.
@@ -52,5 +53,5 @@
         ...
 
     async def close(self) -> None:
-        """Sends what is queued, within a short time, and closes."""
+        """Closes all links after a short time for sending queued messages."""
         ...
--- a/src/azureramp/ports/peers/authentication.py
+++ b/src/azureramp/ports/peers/authentication.py
@@ -1,8 +1,8 @@
 """Frames of peer links: a keyed MAC, the sending time, and the envelope.
 
-The MAC keeps out whoever does not know the key of the settings. The sending
-time is read on the sender's own monotonic clock and only ever compared with
-other times of the same process.
+The MAC rejects senders that do not have the key from the settings. The sending
+time is read from the sender's monotonic clock and is only compared with other
+sending times of the same process.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Authenticator:
-    """Signs and checks frames with one key."""
+    """Signs and verifies frames with a key."""
 
     __slots__ = ("_key",)
 
@@ -24,22 +24,23 @@
         """Makes an authenticator.
 
         Args:
-            key: The key of the settings; any length.
+            key: The key from the settings, of any length.
         """
         self._key = hashlib.blake2b(key.encode()).digest()
 
     def sign(self, sent_ms: int, payload: bytes) -> bytes:
-        """Makes a frame.
+        """Makes a signed frame.
 
         Args:
-            sent_ms: The sender's monotonic clock, in milliseconds.
+            sent_ms: The sending time on the sender's monotonic clock, in
+                milliseconds.
             payload: The encoded envelope.
         """
         body = sent_ms.to_bytes(SENT_BYTES, "big") + payload
         return self._compute(body) + body
 
     def check(self, frame: bytes) -> tuple[int, bytes] | None:
-        """Opens a frame.
+        """Verifies a frame.
 
         Returns:
             The sending time and the payload; None if the frame is not
--- a/src/azureramp/ports/peers/memory.py
+++ b/src/azureramp/ports/peers/memory.py
@@ -1,7 +1,7 @@
-"""In-memory peer links, with the faults that real ones have.
+"""In-memory peer links with fault injection.
 
-One `Network` joins the `Peers` of all VMs in a test. Envelopes are encoded
-and decoded, as on the wire.
+A `Network` connects the peers of all VMs in a test. Envelopes are encoded and
+decoded as on the wire.
 """
 
 from __future__ import annotations
@@ -18,18 +18,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong on the way, the same for all links.
+    """The faults injected into a network.
+
+    Delay, loss and duplication apply to all links.
 
     Attributes:
-        delay_s: The least time on the way, in seconds.
-        jitter_s: The most further time, drawn evenly; it reorders.
+        delay_s: Minimum delay, in seconds.
+        jitter_s: Maximum additional delay, in seconds, uniformly distributed;
+            it can reorder envelopes.
         loss: Probability that an envelope is lost.
-        doubling: Probability that an envelope arrives twice.
-        cut: Pairs (from, to) of addresses between which all is lost.
-        half_open: Pairs (from, to) of addresses whose present link has gone
-            silent; a new one works.
-        frozen: Addresses whose processes are paused: what they should get
-            waits.
+        doubling: Probability that an envelope is duplicated.
+        cut: Pairs (from, to) of addresses between which all envelopes are
+            lost.
+        half_open: Pairs (from, to) of addresses whose current link is
+            half-open, so that all envelopes are lost; a new link works.
+        frozen: Addresses whose processes are paused; their envelopes are
+            queued.
     """
 
     delay_s: float = 0.001
@@ -42,19 +46,19 @@
 
 
 class Network:
-    """Carries envelopes between addresses.
+    """Delivers envelopes between addresses.
 
     Attributes:
-        faults: What goes wrong; may be changed at any time.
-        sent_bytes: Encoded bytes sent, by sending address.
+        faults: The injected faults; mutable at any time.
+        sent_bytes: Number of encoded bytes sent, by sending address.
     """
 
     __slots__ = (
         "_decoder",
         "_freshness",
         "_handlers",
+        "_queued",
         "_random",
-        "_waiting",
         "faults",
         "sent_bytes",
     )
@@ -63,28 +67,28 @@
         """Makes a network without faults.
 
         Args:
-            seed: Of the faults' draws.
+            seed: The seed for random faults.
         """
         self.faults = Faults()
         self.sent_bytes: dict[str, int] = {}
         self._freshness: dict[str, freshness.Freshness] = {}
         self._handlers: dict[str, api.Handler] = {}
-        self._waiting: dict[str, list[tuple[bytes, int]]] = {}
+        self._queued: dict[str, list[tuple[bytes, int]]] = {}
         self._random = random.Random(seed)
         self._decoder = msgspec.msgpack.Decoder(messages.Envelope)
 
     def attach(self, address: str, handler: api.Handler) -> None:
-        """Begins to deliver what is sent to an address."""
+        """Starts delivering envelopes to an address."""
         self._handlers[address] = handler
         self._freshness[address] = freshness.Freshness()
 
     def detach(self, address: str) -> None:
-        """Ends it, as when the process has gone."""
+        """Stops delivering, as when the process has exited."""
         self._handlers.pop(address, None)
-        self._waiting.pop(address, None)
+        self._queued.pop(address, None)
 
     def carry(self, source: str, target: str, data: bytes) -> None:
-        """Takes an encoded envelope on its way."""
+        """Sends an encoded envelope, subject to the injected faults."""
         self.sent_bytes[source] = self.sent_bytes.get(source, 0) + len(data)
         faults = self.faults
         if (source, target) in faults.cut | faults.half_open:
@@ -98,15 +102,15 @@
             loop.call_later(delay_s, self._deliver, target, data, _now_ms())
 
     def thaw(self, address: str) -> None:
-        """Ends a process's pause, and delivers what waited for it."""
+        """Resumes a paused process and delivers its queued envelopes."""
         self.faults.frozen.discard(address)
-        for data, sent_ms in self._waiting.pop(address, []):
+        for data, sent_ms in self._queued.pop(address, []):
             self._deliver(address, data, sent_ms)
 
     def _deliver(self, target: str, data: bytes, sent_ms: int) -> None:
-        """Hands an envelope to the process at the target."""
+        """Delivers an envelope to the process at the target."""
         if target in self.faults.frozen:
-            self._waiting.setdefault(target, []).append((data, sent_ms))
+            self._queued.setdefault(target, []).append((data, sent_ms))
             return
         handler = self._handlers.get(target)
         if handler is None:
@@ -119,7 +123,7 @@
 
 
 class MemoryPeers:
-    """One VM's links over a `Network`."""
+    """The links of one VM over a `Network`."""
 
     __slots__ = (
         "_address",
@@ -147,7 +151,7 @@
         self._encoder = msgspec.msgpack.Encoder()
 
     async def start(self, handler: api.Handler) -> None:
-        """Begins to receive; see `api.Peers`."""
+        """Starts receiving; see `api.Peers`."""
         self._network.attach(self._address, handler)
 
     def send(self, address: str, *batch: messages.PeerMessage) -> bool:
@@ -160,11 +164,11 @@
         return True
 
     def reconnect(self, address: str) -> None:
-        """Opens a new link in place of a silent one; see `api.Peers`."""
+        """Replaces a half-open link; see `api.Peers`."""
         self._network.faults.half_open.discard((self._address, address))
 
     async def close(self) -> None:
-        """Ends receiving."""
+        """Stops receiving."""
         self._network.detach(self._address)
 
 
--- a/tests/ports/peers/__init__.py
+++ b/tests/ports/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the peers port."""
--- a/tests/ports/peers/test_contract.py
+++ b/tests/ports/peers/test_contract.py
@@ -1,4 +1,4 @@
-"""What every implementation of the peer links must do."""
+"""Tests of the contract that all implementations of the peer links fulfil."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Link:
-    """One VM's end, and what it has received."""
+    """The port of one VM and the envelopes that it has received."""
 
     port: api.Peers
     address: str
@@ -38,21 +38,21 @@
     async def start(self) -> None:
         await self.port.start(self.received.put_nowait)
 
-    async def take(self) -> messages.Envelope:
+    async def receive(self) -> messages.Envelope:
         async with asyncio.timeout(WAIT_S):
             return await self.received.get()
 
     async def send(self, to: Link, *batch: messages.PeerMessage) -> None:
-        """Sends once the link is there; until then it drops."""
+        """Retries until the link is connected and the messages are queued."""
         for _ in range(1000):
             if self.port.send(to.address, *batch):
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError("never sent")
+        raise AssertionError("the link did not connect in time")
 
 
 Make = Callable[[str, str, int], Link]
-"""Makes the end of a VM, given its name, its address and incarnation."""
+"""Makes the link of a VM from its name, address and incarnation."""
 
 Exchange = Callable[[Make], Coroutine[Any, Any, None]]
 
@@ -88,7 +88,7 @@
 
 @pytest.fixture(params=[run_memory, run_nng], ids=["memory", "nng"])
 def run(request: pytest.FixtureRequest) -> Callable[[Exchange], None]:
-    """Runs an exchange over each implementation."""
+    """Runs an exchange with each implementation."""
     runner: Callable[[Exchange], None] = request.param
     return runner
 
@@ -97,7 +97,7 @@
 
 
 def between_two(pair: Pair) -> Exchange:
-    """Makes an exchange between two VMs, started and closed."""
+    """Makes an exchange between two VMs that starts and closes them."""
 
     async def exchange(make: Make) -> None:
         left, right = make("a", "a", 1), make("b", "b", 1)
@@ -110,19 +110,19 @@
     return exchange
 
 
-def test_an_envelope_arrives_whole_and_names_its_sender(
+def test_envelope_arrives_complete_and_names_its_sender(
     run: Callable[[Exchange], None],
 ) -> None:
     async def pair(left: Link, right: Link) -> None:
         await left.send(right, CANCEL, CANCEL)
-        envelope = await right.take()
+        envelope = await right.receive()
         assert (envelope.sender, envelope.incarnation) == ("a", 1)
         assert envelope.messages == (CANCEL, CANCEL)
 
     run(between_two(pair))
 
 
-def test_many_envelopes_at_once_all_arrive_in_whatever_order(
+def test_many_concurrent_envelopes_all_arrive_in_any_order(
     run: Callable[[Exchange], None],
 ) -> None:
     async def pair(left: Link, right: Link) -> None:
@@ -132,23 +132,25 @@
         ]
         for message in sent:
             await left.send(right, message)
-        got = {(await right.take()).messages[0] for _ in sent}
-        assert got == set(sent)
+        received = {(await right.receive()).messages[0] for _ in sent}
+        assert received == set(sent)
 
     run(between_two(pair))
 
 
-def test_both_directions_work_at_once(run: Callable[[Exchange], None]) -> None:
+def test_both_directions_work_concurrently(
+    run: Callable[[Exchange], None],
+) -> None:
     async def pair(left: Link, right: Link) -> None:
         await left.send(right, CANCEL)
         await right.send(left, CANCEL)
-        assert (await right.take()).sender == "a"
-        assert (await left.take()).sender == "b"
+        assert (await right.receive()).sender == "a"
+        assert (await left.receive()).sender == "b"
 
     run(between_two(pair))
 
 
-def test_sending_to_nobody_neither_waits_nor_raises(
+def test_sending_to_an_unused_address_neither_blocks_nor_raises(
     run: Callable[[Exchange], None],
 ) -> None:
     async def exchange(make: Make) -> None:
@@ -161,7 +163,7 @@
     run(exchange)
 
 
-def test_a_peer_that_restarts_is_reached_again(
+def test_restarted_peer_is_reached_again(
     run: Callable[[Exchange], None],
 ) -> None:
     async def exchange(make: Make) -> None:
@@ -169,7 +171,7 @@
         await left.start()
         await right.start()
         await left.send(right, CANCEL)
-        await right.take()
+        await right.receive()
         await right.port.close()
         again = make("b", "b", 2)
         await again.start()
@@ -180,19 +182,19 @@
     run(exchange)
 
 
-def test_a_new_link_replaces_the_old_one(
+def test_reconnect_replaces_the_link(
     run: Callable[[Exchange], None],
 ) -> None:
     async def pair(left: Link, right: Link) -> None:
         await left.send(right, CANCEL)
-        await right.take()
+        await right.receive()
         left.port.reconnect(right.address)
         await keep_sending(left, right)
 
     run(between_two(pair))
 
 
-def test_an_earlier_process_of_a_vm_is_not_heard(
+def test_envelope_of_an_earlier_incarnation_is_dropped(
     run: Callable[[Exchange], None],
 ) -> None:
     async def exchange(make: Make) -> None:
@@ -204,14 +206,14 @@
         for link in (old, new, right):
             await link.start()
         await new.send(right, CANCEL)
-        assert (await right.take()).incarnation == 2
+        assert (await right.receive()).incarnation == 2
         await old.send(right, CANCEL)
         await new.send(right, CANCEL)
         await keep_sending(new, right)
-        heard = [2]
+        incarnations = [2]
         while not right.received.empty():
-            heard.append(right.received.get_nowait().incarnation)
-        assert set(heard) == {2}
+            incarnations.append(right.received.get_nowait().incarnation)
+        assert set(incarnations) == {2}
         for link in (old, new, right):
             await link.port.close()
 
@@ -219,11 +221,11 @@
 
 
 async def keep_sending(source: Link, target: Link) -> None:
-    """Sends until something arrives."""
+    """Sends repeatedly until an envelope is received."""
     for _ in range(1000):
         source.port.send(target.address, CANCEL)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(0.05):
                 await target.received.get()
                 return
-    raise AssertionError("nothing arrives")
+    raise AssertionError("no envelope was received in time")
