--- a/src/azureramp/ports/peers/freshness.py
+++ b/src/azureramp/ports/peers/freshness.py
@@ -1,9 +1,9 @@
-"""Which envelopes are too old to be taken.
+"""Detection of envelopes that arrive too late to be accepted.
 
-A message's durations count from its arrival, so one that was long on its way
-would begin work that nobody waits for any more. Envelopes come late when a
-link heals, when this process was paused, or when somebody sends a recorded
-one again.
+The durations in a message count from its arrival, so a delayed message would
+start work that no caller is waiting for any more. Envelopes arrive late when a
+link recovers, when this process was paused, or when a recorded envelope is
+replayed.
 """
 
 from __future__ import annotations
@@ -12,58 +12,59 @@
 import math
 
 MAX_DELAY_MS = 2000
-"""Longest time on the way, beyond the usual, in milliseconds."""
+"""Maximum delay of an envelope beyond the usual delay, in milliseconds."""
 
 WINDOW_MS = 10_000
-"""How long the least time on the way is remembered, in milliseconds."""
+"""Length of the window for the minimum clock difference, in milliseconds."""
 
 
 @dataclasses.dataclass(slots=True)
 class Sender:
-    """What is known of one VM's process.
+    """The state kept for one sending VM.
 
     Attributes:
-        incarnation: The newest incarnation heard.
-        began_ms: When the present window began, on this VM's clock.
-        least_ms: The least difference of the two VMs' clocks in this window.
-        former_ms: The same of the window before.
+        incarnation: The newest incarnation seen.
+        began_ms: Start of the current window on this VM's clock, in
+            milliseconds.
+        min_difference_ms: The minimum difference between arrival and sending
+            time in the current window, in milliseconds.
+        previous_min_ms: The same for the previous window.
     """
 
     incarnation: int
     began_ms: int
-    least_ms: float = math.inf
-    former_ms: float = math.inf
+    min_difference_ms: float = math.inf
+    previous_min_ms: float = math.inf
 
 
 class Freshness:
-    """Judges envelopes by their sending time.
+    """Accepts or rejects envelopes by their sending time.
 
-    The two clocks have nothing to do with each other, but the difference
-    between arrival and sending is the same for all envelopes of a process
-    but for their time on the way. The least difference of late stands for
-    none. It is forgotten after two windows, since clocks drift, and that of a
-    suspended VM stands still.
+    The clocks of the two VMs are unrelated, so the difference between arrival
+    and sending time is a constant offset plus the delay. The recent minimum of
+    the difference serves as the reference without delay. It expires after two
+    windows, since clocks drift, and the clock of a suspended VM stops.
     """
 
     __slots__ = ("_senders",)
 
     def __init__(self) -> None:
-        """Makes one that knows nobody."""
+        """Makes a filter without known senders."""
         self._senders: dict[str, Sender] = {}
 
     def accept(
         self, vm: str, incarnation: int, sent_ms: int, now_ms: int
     ) -> bool:
-        """Judges one envelope.
+        """Returns True if an envelope is to be accepted.
 
         Args:
-            vm: The sender.
+            vm: The name of the sending VM.
             incarnation: The sender's incarnation.
-            sent_ms: The sender's clock at the sending, in milliseconds.
-            now_ms: This VM's clock, in milliseconds.
+            sent_ms: The sending time on the sender's clock, in milliseconds.
+            now_ms: The current time on this VM's clock, in milliseconds.
 
         Returns:
-            False if it is of an earlier process or was too long on its way.
+            False if it is from an earlier incarnation or was delayed too long.
         """
         sender = self._senders.get(vm)
         if sender is None or incarnation > sender.incarnation:
@@ -71,10 +72,10 @@
         elif incarnation < sender.incarnation:
             return False
         if now_ms - sender.began_ms > WINDOW_MS:
-            sender.former_ms = sender.least_ms
-            sender.least_ms = math.inf
+            sender.previous_min_ms = sender.min_difference_ms
+            sender.min_difference_ms = math.inf
             sender.began_ms = now_ms
         difference_ms = now_ms - sent_ms
-        sender.least_ms = min(sender.least_ms, difference_ms)
-        usual_ms = min(sender.least_ms, sender.former_ms)
-        return difference_ms - usual_ms <= MAX_DELAY_MS
+        sender.min_difference_ms = min(sender.min_difference_ms, difference_ms)
+        reference_ms = min(sender.min_difference_ms, sender.previous_min_ms)
+        return difference_ms - reference_ms <= MAX_DELAY_MS
