--- a/src/azureramp/ports/peers/nng.py
+++ b/src/azureramp/ports/peers/nng.py
@@ -1,8 +1,8 @@
-"""Peer links by pynng over TCP: one Pull socket, one Push socket a peer.
+"""Peer links over TCP with pynng: a Pull socket and a Push socket per peer.
 
-Sending never waits. A link that is not connected drops at once, since what
-would wait in its queue would arrive stale: the receiver counts the durations
-in a message from its arrival.
+Sending never blocks. A link that is not connected drops messages immediately,
+since queued messages would be outdated on delivery: the receiver counts the
+durations in a message from its arrival.
 """
 
 from __future__ import annotations
@@ -17,35 +17,36 @@
 from azureramp.ports.peers import api, authentication, freshness
 
 QUEUE_LENGTH = 128
-"""Most envelopes that wait in one link."""
+"""Maximum number of envelopes queued for sending in a link."""
 
 RECEIVE_LENGTH = 1024
-"""Most envelopes that wait to be read."""
+"""Maximum number of received envelopes queued for reading."""
 
 MAX_BYTES = 4_000_000
-"""Largest frame that is taken."""
+"""Maximum size of a received frame, in bytes."""
 
 READ_BATCH = 64
-"""Most envelopes that one turn of the event loop reads."""
+"""Maximum number of envelopes read in one event loop iteration."""
 
 REDIAL_MIN_MS = 50
 REDIAL_MAX_MS = 200
-"""Longest time between two attempts to connect. A handoff to a VM that has
-just restarted gets lost while the link is down, so it is short."""
+"""Maximum time between two connection attempts, in milliseconds. It is short,
+since a handoff to a VM that has just restarted is lost while the link is
+down."""
 
 CLOSE_S = 0.1
-"""How long closing waits for the queues to empty, in seconds."""
+"""Time for sending queued messages before closing, in seconds."""
 
 TASK_THREADS = 3
-"""Threads in which nng moves messages. By default it starts two for each
-core and some more, which is memory, and wake-ups that the messages of one
-Python process don't need."""
+"""Number of nng's message threads. By default nng starts two for each core and
+some more, which costs memory and wake-ups that the messages of a single Python
+process don't need."""
 
 _logger = logbook.Logger("azureramp.peers")
 
 
 class NngPeers:
-    """The links of one daemon."""
+    """The links of one daemon; see `api.Peers`."""
 
     __slots__ = (
         "_address",
@@ -71,15 +72,15 @@
         counters: metrics.Metrics,
         key: str,
     ) -> None:
-        """Makes links that do not listen yet.
+        """Makes links that are not listening yet.
 
         Args:
-            vm: This VM's name.
+            vm: The name of this VM.
             address: `IP:port` to listen on.
-            incarnation: This process's incarnation.
-            timeline: Gives the clock of each envelope.
-            counters: Counts bytes.
-            key: The key of the MAC.
+            incarnation: The incarnation of this process.
+            timeline: Supplies the clock value of each envelope.
+            counters: Receives the counts of bytes and of outdated envelopes.
+            key: The key for the MAC.
         """
         self._vm = vm
         self._address = address
@@ -95,7 +96,7 @@
         self._handler: api.Handler | None = None
 
     async def start(self, handler: api.Handler) -> None:
-        """Begins to receive; see `api.Peers`."""
+        """Starts receiving; see `api.Peers`."""
         self._handler = handler
         limit_threads()
         pull = pynng.Pull0(
@@ -127,14 +128,14 @@
         return True
 
     def reconnect(self, address: str) -> None:
-        """Opens a new link in place of a silent one; see `api.Peers`."""
+        """Replaces a link that is not delivering; see `api.Peers`."""
         link = self._links.pop(address, None)
         if link is not None:
             link.close()
         self._open(address)
 
     async def close(self) -> None:
-        """Sends what is queued, within a short time, and closes."""
+        """Closes all links; see `api.Peers`."""
         await asyncio.sleep(CLOSE_S)
         if self._pull is not None:
             asyncio.get_running_loop().remove_reader(self._pull.recv_fd)
@@ -145,7 +146,7 @@
         self._links.clear()
 
     def _open(self, address: str) -> pynng.Push0:
-        """Opens a link, which then dials until it is connected."""
+        """Opens a link that dials in the background until it is connected."""
         link = pynng.Push0(
             send_buffer_size=QUEUE_LENGTH,
             reconnect_time_min=REDIAL_MIN_MS,
@@ -157,10 +158,10 @@
         return link
 
     def _read(self) -> None:
-        """Reads what has arrived, a bounded number at a time.
+        """Reads received frames, at most `READ_BATCH` at a time.
 
-        The descriptor stays readable while more waits, so that the loop
-        calls again after it has served others.
+        The descriptor stays readable while more frames are queued, so the
+        event loop calls this method again after it has run other callbacks.
         """
         for _ in range(READ_BATCH):
             if self._pull is None or self._handler is None:
@@ -169,23 +170,25 @@
                 frame = self._pull.recv(block=False)
             except pynng.TryAgain:
                 return
-            self._take(frame, self._handler)
+            self._handle_frame(frame, self._handler)
 
-    def _take(self, frame: bytes, handler: api.Handler) -> None:
-        """Checks one frame and hands its envelope on."""
+    def _handle_frame(self, frame: bytes, handler: api.Handler) -> None:
+        """Verifies a frame and passes its envelope to the handler."""
         self._metrics.count("peer.received_bytes", len(frame))
-        opened = self._authenticator.check(frame)
-        if opened is None:
-            _logger.warning("dropped a frame that is not authentic")
+        verified = self._authenticator.check(frame)
+        if verified is None:
+            _logger.warning("dropped a frame with an invalid MAC")
             return
         try:
-            envelope = self._decoder.decode(opened[1])
+            envelope = self._decoder.decode(verified[1])
         except msgspec.DecodeError as error:
-            _logger.warning("dropped an envelope: {}", error)
+            _logger.warning(
+                "dropped an envelope that could not be decoded: {}", error
+            )
             return
         now_ms = int(asyncio.get_running_loop().time() * 1000)
         if self._freshness.accept(
-            envelope.sender, envelope.incarnation, opened[0], now_ms
+            envelope.sender, envelope.incarnation, verified[0], now_ms
         ):
             handler(envelope)
         else:
@@ -193,7 +196,10 @@
 
 
 def limit_threads() -> None:
-    """Limits nng's threads; without effect once it has started them."""
+    """Limits the number of nng's threads.
+
+    This has no effect after nng has started its threads.
+    """
     for parameter, threads in (
         (pynng.lib.NNG_INIT_NUM_TASK_THREADS, TASK_THREADS),
         (pynng.lib.NNG_INIT_NUM_EXPIRE_THREADS, 1),
--- a/tests/ports/peers/test_nng.py
+++ b/tests/ports/peers/test_nng.py
@@ -1,4 +1,4 @@
-"""What only the real links can show."""
+"""Tests of the nng links that need real sockets."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     parts=(),
 )
 GREETING = b"\0SP\0\0\x51\0\0"
-"""With which a Pull socket begins a connection."""
+"""The bytes with which a Pull socket opens a connection."""
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "alter",
     [
         pytest.param(lambda frame: frame[:-1], id="truncated"),
         pytest.param(lambda frame: frame + b"x", id="longer"),
@@ -43,29 +43,29 @@
         pytest.param(lambda frame: b"", id="empty"),
     ],
 )
-def test_an_altered_frame_is_not_authentic(spoil: object) -> None:
+def test_altered_frame_is_not_authentic(alter: object) -> None:
     signer = authentication.Authenticator("key")
     frame = signer.sign(1234, b"payload")
     assert signer.check(frame) == (1234, b"payload")
-    assert callable(spoil)
+    assert callable(alter)
 
-    assert signer.check(spoil(frame)) is None
+    assert signer.check(alter(frame)) is None
 
 
-def test_a_peer_with_another_key_is_not_heard() -> None:
-    """Somebody who does not know the key sends what looks like a heartbeat.
+def test_message_with_another_key_is_dropped() -> None:
+    """A sender without the key sends well-formed messages.
 
-    Were it taken, anybody could name himself an owner.
+    If they were accepted, any process could claim to be an owner.
     """
 
-    async def body() -> tuple[list[messages.Envelope], int]:
-        got: list[messages.Envelope] = []
+    async def run_exchange() -> tuple[list[messages.Envelope], int]:
+        envelopes: list[messages.Envelope] = []
         counters = metrics.Metrics()
         ports = [f"127.0.0.1:{test_contract.find_port()}" for _ in range(3)]
         right = nng.make(
             "b", ports[0], 1, timelines.Timeline("b"), counters, "key"
         )
-        await right.start(got.append)
+        await right.start(envelopes.append)
         for number, key in ((1, "other"), (2, "key")):
             left = nng.make(
                 key,
@@ -86,21 +86,21 @@
                 await asyncio.sleep(0.01)
             await left.close()
         await right.close()
-        return got, counters.counts["peer.received_bytes"]
+        return envelopes, counters.counts["peer.received_bytes"]
 
-    got, received = asyncio.run(body())
+    envelopes, received = asyncio.run(run_exchange())
 
-    assert [envelope.sender for envelope in got] == ["key"]
+    assert [envelope.sender for envelope in envelopes] == ["key"]
     assert received > 0
 
 
-def test_a_link_whose_peer_reads_nothing_drops_when_it_is_full() -> None:
-    """A peer is paused, and its kernel's buffers fill up.
+def test_link_drops_messages_when_its_queue_is_full() -> None:
+    """A peer is paused and its kernel buffers fill up.
 
-    Sending must neither wait nor keep more than its bound.
+    Sending must neither block nor queue more than the bound.
     """
 
-    async def body() -> int:
+    async def run_exchange() -> int:
         loop = asyncio.get_running_loop()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
@@ -127,4 +127,4 @@
         listener.close()
         return dropped
 
-    assert asyncio.run(body()) >= 500
+    assert asyncio.run(run_exchange()) >= 500
