--- a/src/azureramp/ports/vmlist/__init__.py
+++ b/src/azureramp/ports/vmlist/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's list of live and leaving VMs."""
+"""The port to the platform's list of live and leaving VMs."""
--- a/src/azureramp/ports/vmlist/api.py
+++ b/src/azureramp/ports/vmlist/api.py
@@ -1,4 +1,7 @@
-"""The interface of the platform's list of VMs, which lags both ways."""
+"""The interface to the platform's VM list.
+
+The list lags behind: it may omit new VMs and still contain VMs that have gone.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +14,14 @@
 
 
 class Vm(msgspec.Struct, frozen=True):
-    """One entry VM.
+    """One VM of the list.
 
     Attributes:
         name: The VM's name.
         zone: The name of its availability zone.
         http_address: `IP:port` for callers and operators.
         peer_address: `IP:port` for the other daemons.
-        leaving: True once the platform means to take it away.
+        leaving: True if the platform is about to remove it.
     """
 
     name: str
@@ -29,7 +32,7 @@
 
 
 class VmList(Protocol):
-    """The list; errors: `STORE_UNAVAILABLE`."""
+    """The VM list; every failure is `STORE_UNAVAILABLE`."""
 
     async def read(
         self,
@@ -38,5 +41,5 @@
         ...
 
     async def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
         ...
--- a/src/azureramp/ports/vmlist/http.py
+++ b/src/azureramp/ports/vmlist/http.py
@@ -12,16 +12,16 @@
 PATH = "/vms"
 
 CALL_TIMEOUT_S = 2.0
-"""Longest time that a read may take, in seconds."""
+"""Timeout of a read, in seconds."""
 
 
 class HttpVmList:
-    """A client of the list; see `api.VmList`."""
+    """An HTTP client of the VM list; see `api.VmList`."""
 
     __slots__ = ("_pool",)
 
     def __init__(self, address: str) -> None:
-        """Makes a client; it connects when it is first used.
+        """Makes a client that connects at its first use.
 
         Args:
             address: `IP:port` of the list.
@@ -46,7 +46,7 @@
         return expression.Ok(tuple(sorted(vms, key=lambda vm: vm.name)))
 
     async def close(self) -> None:
-        """Closes every idle connection."""
+        """Closes all idle connections."""
         self._pool.close()
 
 
--- a/src/azureramp/ports/vmlist/memory.py
+++ b/src/azureramp/ports/vmlist/memory.py
@@ -1,4 +1,4 @@
-"""An in-memory VM list, which tests change and break."""
+"""An in-memory VM list with fault injection."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class MemoryVmList:
-    """The list as tests set it; see `api.VmList`.
+    """A VM list that tests can modify; see `api.VmList`.
 
     Attributes:
         vms: The VMs by name.
-        down: Reads fail.
-        reads: How many reads there were.
-        delay_s: Time that a read takes, in seconds.
+        down: True if reads fail.
+        reads: Number of reads.
+        delay_s: Duration of a read, in seconds.
     """
 
     __slots__ = ("delay_s", "down", "reads", "vms")
 
     def __init__(self, *vms: api.Vm) -> None:
-        """Makes a list of these VMs."""
+        """Makes a list of the given VMs."""
         self.vms = {vm.name: vm for vm in vms}
         self.down = False
         self.reads = 0
@@ -41,4 +41,4 @@
         return expression.Ok(tuple(self.vms[name] for name in sorted(self.vms)))
 
     async def close(self) -> None:
-        """Does nothing: there are no connections."""
+        """Does nothing, since there are no connections."""
--- a/tests/ports/vmlist/test_contract.py
+++ b/tests/ports/vmlist/test_contract.py
@@ -1,4 +1,4 @@
-"""What every VM list port must do, in memory and over HTTP."""
+"""Tests of the contract of the VM list, in memory and over HTTP."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("port", [run_in_memory, run_over_http])
-def test_the_list_shows_the_vms_by_name_until_it_is_down(
+def test_list_contains_the_vms_by_name_until_it_is_down(
     port: Callable[[Check], Coroutine[Any, Any, None]],
 ) -> None:
     async def check(
@@ -89,7 +89,7 @@
     run(port(check))
 
 
-def test_a_lagging_list_shows_the_vms_of_a_while_ago() -> None:
+def test_lagging_list_returns_earlier_vms() -> None:
     async def check() -> None:
         standin = platform.make(ADDRESS)
         await standin.server.start()
