--- a/tests/ports/peers/test_contract.py
+++ b/tests/ports/peers/test_contract.py
@@ -154,10 +154,10 @@
     run: Callable[[Exchange], None],
 ) -> None:
     async def exchange(make: Make) -> None:
-        left, gone = make("a", "a", 1), make("b", "b", 1)
+        left, unused = make("a", "a", 1), make("b", "b", 1)
         await left.start()
         for _ in range(500):
-            left.port.send(gone.address, CANCEL)
+            left.port.send(unused.address, CANCEL)
         await left.port.close()
 
     run(exchange)
@@ -173,11 +173,11 @@
         await left.send(right, CANCEL)
         await right.receive()
         await right.port.close()
-        again = make("b", "b", 2)
-        await again.start()
-        await keep_sending(left, again)
+        restarted = make("b", "b", 2)
+        await restarted.start()
+        await keep_sending(left, restarted)
         await left.port.close()
-        await again.port.close()
+        await restarted.port.close()
 
     run(exchange)
 
