--- a/src/azureramp/ports/web/connection.py
+++ b/src/azureramp/ports/web/connection.py
@@ -25,10 +25,10 @@
 watch on a dead connection has to fail early enough for the change to be
 received on a new one."""
 
-PROBE_S = 1
+KEEPALIVE_INTERVAL_S = 1
 """Interval between keepalive probes on an idle connection, in seconds."""
 
-PROBES = 3
+MAX_KEEPALIVE_PROBES = 3
 """Number of unanswered keepalive probes after which a connection fails."""
 
 
@@ -63,9 +63,15 @@
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+        sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S
+        )
+        sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S
+        )
+        sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES
+        )
         sock.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
         )
--- a/src/azureramp/ports/web/pool.py
+++ b/src/azureramp/ports/web/pool.py
@@ -58,7 +58,7 @@
             `STORE_OUTCOME_UNKNOWN` if the server may have processed the
             request.
         """
-        until_s = asyncio.get_running_loop().time() + timeout_s
+        deadline_s = asyncio.get_running_loop().time() + timeout_s
         while True:
             connection = self._pop_idle()
             if connection is None:
@@ -69,7 +69,7 @@
                     )
                 connection = opened.ok
             try:
-                async with asyncio.timeout_at(until_s):
+                async with asyncio.timeout_at(deadline_s):
                     response = await connection.exchange(
                         method, target, headers, body
                     )
@@ -102,8 +102,8 @@
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
-            fresh = now_s - connection.used_s <= MAX_IDLE_S
-            if fresh and connection.is_reusable():
+            is_recent = now_s - connection.used_s <= MAX_IDLE_S
+            if is_recent and connection.is_reusable():
                 return connection
             connection.abort()
         return None
--- a/src/azureramp/ports/web/pools.py
+++ b/src/azureramp/ports/web/pools.py
@@ -32,5 +32,5 @@
 
     def close(self) -> None:
         """Closes all idle connections."""
-        for each in self._by_address.values():
-            each.close()
+        for existing in self._by_address.values():
+            existing.close()
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -58,17 +58,17 @@
     """Reads the requests on one client connection sequentially."""
 
     __slots__ = (
-        "_began",
-        "_began_s",
+        "_deadline_s",
         "_first",
         "_http",
         "_limits",
         "_parse",
         "_reader",
         "_round_trip_s",
+        "_started",
+        "_started_s",
         "_stopping",
         "_timeout",
-        "_until_s",
         "_writer",
     )
 
@@ -90,10 +90,10 @@
             writer.transport
         )
         self._first = True
-        self._began = False
-        self._began_s = 0.0
+        self._started = False
+        self._started_s = 0.0
         self._stopping = False
-        self._until_s = 0.0
+        self._deadline_s = 0.0
         self._timeout: asyncio.Timeout | None = None
 
     def stop(self) -> None:
@@ -104,7 +104,7 @@
         the connection immediately would drop it unread.
         """
         self._stopping = True
-        if self._timeout is not None and not self._began:
+        if self._timeout is not None and not self._started:
             loop = asyncio.get_running_loop()
             self._timeout.reschedule(loop.time() + LINGER_S)
 
@@ -118,8 +118,8 @@
             h11.RemoteProtocolError: The data is not valid HTTP.
         """
         loop = asyncio.get_running_loop()
-        self._began = False
-        self._until_s = loop.time() + (
+        self._started = False
+        self._deadline_s = loop.time() + (
             LINGER_S if self._stopping else self._limits.idle_s
         )
         head: h11.Request | None = None
@@ -132,7 +132,7 @@
                     head = event
                     check_framing(head)
                     self._record_start()
-                    self._until_s = loop.time() + self._limits.request_s
+                    self._deadline_s = loop.time() + self._limits.request_s
                 case h11.Data() as event:
                     body += event.data
                     if len(body) > self._limits.body_bytes:
@@ -147,7 +147,7 @@
     def _make_arrival(self) -> Arrival:
         """Returns the arrival data of the request that was just read."""
         first, self._first = self._first, False
-        return Arrival(self._began_s, self._round_trip_s, first)
+        return Arrival(self._started_s, self._round_trip_s, first)
 
     async def _receive(self) -> None:
         """Waits for bytes and passes them to h11."""
@@ -157,10 +157,10 @@
             )
             self._writer.write(self._http.send(continue_response) or b"")
         try:
-            async with asyncio.timeout_at(self._until_s) as self._timeout:
+            async with asyncio.timeout_at(self._deadline_s) as self._timeout:
                 data = await self._reader.read(READ_BYTES)
         except TimeoutError:
-            if not self._began:
+            if not self._started:
                 raise IdleError from None
             raise BadRequestError(408, "request timeout") from None
         finally:
@@ -171,10 +171,10 @@
 
     def _record_start(self) -> None:
         """Records the arrival of a request's first bytes."""
-        if not self._began:
-            self._began = True
-            self._began_s = asyncio.get_running_loop().time()
-            self._until_s = self._began_s + self._limits.header_s
+        if not self._started:
+            self._started = True
+            self._started_s = asyncio.get_running_loop().time()
+            self._deadline_s = self._started_s + self._limits.header_s
 
 
 def check_framing(head: h11.Request) -> None:
--- a/src/azureramp/ports/web/server.py
+++ b/src/azureramp/ports/web/server.py
@@ -95,22 +95,22 @@
             The number of requests aborted at the limit.
         """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + limit_s
+        deadline_s = loop.time() + limit_s
         self._stopping = True
-        listening = self._server.sockets if self._server is not None else ()
-        for each in listening:
-            loop.remove_reader(each.fileno())
-        for served in self._connections.values():
-            served.stop()
+        listeners = self._server.sockets if self._server is not None else ()
+        for listener in listeners:
+            loop.remove_reader(listener.fileno())
+        for connection in self._connections.values():
+            connection.stop()
         # A connection accepted just now is not in `_connections` yet. Without
         # this wait its request would be aborted when the process exits, and
         # asyncio drops the connection if its server is closed first.
         await asyncio.sleep(min(limit_s, ACCEPTED_S))
         if self._server is not None:
             self._server.close()
-        while self._connections and loop.time() < until_s:
-            left_s = until_s - loop.time()
-            await asyncio.wait(self._connections, timeout=left_s)
+        while self._connections and loop.time() < deadline_s:
+            remaining_s = deadline_s - loop.time()
+            await asyncio.wait(self._connections, timeout=remaining_s)
         aborted = self.running
         for task in list(self._connections):
             task.cancel()
@@ -154,15 +154,15 @@
         if task is None or len(self._connections) >= self._limits.connections:
             writer.transport.abort()
             return
-        served = server_connection.ServerConnection(
+        connection = server_connection.ServerConnection(
             self._handle, reader, writer, protocol, self._limits, self._parse
         )
-        self._connections[task] = served
+        self._connections[task] = connection
         web_connection.set_socket_options(writer)
         if self._stopping:
-            served.stop()
+            connection.stop()
         try:
-            await served.serve()
+            await connection.serve()
         except (OSError, TimeoutError, h11.LocalProtocolError):
             writer.transport.abort()
         except asyncio.CancelledError:
--- a/tests/ports/web/test_pool.py
+++ b/tests/ports/web/test_pool.py
@@ -95,11 +95,11 @@
                 async with asyncio.timeout(0.5):
                     await store.write("/k", b"1", api.CREATE)
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        started_s = loop.time()
         written = await store.write("/k", b"1", api.CREATE)
 
         assert isinstance(written.ok, api.Written)
-        assert loop.time() - began_s < 0.1
+        assert loop.time() - started_s < 0.1
 
     async def run_check() -> None:
         await run_with_middlebox(
