--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -27,13 +27,13 @@
     """One connection to a searcher."""
 
     async def call(
-        self, call: api.Call, left_ms: float, may_write: Callable[[], bool]
+        self, call: api.Call, remaining_ms: float, may_write: Callable[[], bool]
     ) -> Outcome:
         """Makes a call.
 
         Args:
             call: The call.
-            left_ms: The remaining time to send, in milliseconds.
+            remaining_ms: The remaining time to send, in milliseconds.
             may_write: See `api.Searchers.call`.
 
         Raises:
@@ -71,8 +71,8 @@
         and the work could outlast the lease that limits it. The clock shows
         the pause, and the request is not written.
         """
-        late_s = asyncio.get_running_loop().time() - self.computed_s
-        if late_s > MAX_ENCODE_S:
+        elapsed_s = asyncio.get_running_loop().time() - self.computed_s
+        if elapsed_s > MAX_ENCODE_S:
             return False
         self.asked = True
         self.granted = self.may_write()
@@ -114,10 +114,10 @@
     ) -> expression.Result[api.Reply, api.CallFailure]:
         """Makes one call; see `api.Searchers`."""
         permission = WritePermission(may_write)
-        until_s = asyncio.get_running_loop().time() + call.deadline_ms / 1000
+        deadline_s = asyncio.get_running_loop().time() + call.deadline_ms / 1000
         try:
-            async with asyncio.timeout_at(until_s):
-                outcome = await self._call(call, permission, until_s)
+            async with asyncio.timeout_at(deadline_s):
+                outcome = await self._call(call, permission, deadline_s)
         except TimeoutError:
             outcome = expression.Error(
                 errors.Failure(errors.Kind.DEADLINE_PASSED, "no reply in time")
@@ -144,7 +144,7 @@
         self._pools.close()
 
     async def _call(
-        self, call: api.Call, permission: WritePermission, until_s: float
+        self, call: api.Call, permission: WritePermission, deadline_s: float
     ) -> Outcome:
         """Makes a call, trying other connections while nothing was written."""
         pooled = self._pools.get(call.address)
@@ -152,7 +152,7 @@
             match await pooled.acquire(CONNECT_TIMEOUT_S):
                 case expression.Result(tag="ok", ok=link):
                     outcome = await self._try_link(
-                        pooled, link, call, permission, until_s
+                        pooled, link, call, permission, deadline_s
                     )
                     if outcome is not None:
                         return outcome
@@ -165,7 +165,7 @@
         link: _L,
         call: api.Call,
         permission: WritePermission,
-        until_s: float,
+        deadline_s: float,
     ) -> Outcome | None:
         """Makes a call on one connection.
 
@@ -174,7 +174,7 @@
         """
         loop = asyncio.get_running_loop()
         permission.computed_s = loop.time()
-        left_ms = (until_s - permission.computed_s) * 1000
+        remaining_ms = (deadline_s - permission.computed_s) * 1000
         timer = None
         if call.overdue_ms:
             timer = loop.call_later(
@@ -188,7 +188,7 @@
         broke = False
         try:
             return check_reply(
-                call, await link.call(call, left_ms, permission.ask), link
+                call, await link.call(call, remaining_ms, permission.ask), link
             )
         except web_connection.UnsentError:
             # The searcher closed an idle connection, or this process was
@@ -215,11 +215,11 @@
         pooled: pool.AddressPool[_L],
         link: _L,
         call: api.Call,
-        began_s: float,
+        started_s: float,
     ) -> None:
         """Starts a background check for half-open connections."""
         task = asyncio.ensure_future(
-            self._check_overdue(pooled, link, call, began_s)
+            self._check_overdue(pooled, link, call, started_s)
         )
         self._overdue_checks.add(task)
         task.add_done_callback(self._overdue_checks.discard)
@@ -229,7 +229,7 @@
         pooled: pool.AddressPool[_L],
         link: _L,
         call: api.Call,
-        began_s: float,
+        started_s: float,
     ) -> None:
         """Detects half-open connections after a reply became overdue.
 
@@ -247,7 +247,7 @@
         report = await self.read_health(call.address, fresh=True)
         match report:
             case expression.Result(tag="ok", ok=reported):
-                pooled.suspect(began_s)
+                pooled.suspect(started_s)
             case _:
                 return
         if not call.repeatable:
@@ -256,8 +256,8 @@
             if not call.give_up_ms:
                 return
             now_s = asyncio.get_running_loop().time()
-            await asyncio.sleep(began_s + call.give_up_ms / 1000 - now_s)
-        if link.proven_s <= began_s:
+            await asyncio.sleep(started_s + call.give_up_ms / 1000 - now_s)
+        if link.proven_s <= started_s:
             link.abort()
 
 
--- a/src/azureramp/ports/searchers/http.py
+++ b/src/azureramp/ports/searchers/http.py
@@ -81,7 +81,7 @@
         self._connection.abort()
 
     async def call(
-        self, call: api.Call, left_ms: float, may_write: Callable[[], bool]
+        self, call: api.Call, remaining_ms: float, may_write: Callable[[], bool]
     ) -> calls.Outcome:
         """Makes a call; see `calls.Link`."""
         body = SearchBody(
@@ -96,7 +96,7 @@
         )
         headers = (
             (CALL_ID_HEADER, call.call_id),
-            (DEADLINE_HEADER, str(int(left_ms))),
+            (DEADLINE_HEADER, str(int(remaining_ms))),
         )
         response = await self._connection.exchange(
             "POST", SEARCH_PATH, headers, _encoder.encode(body), may_write
--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -53,14 +53,14 @@
         self.lose()
 
     async def call(
-        self, call: api.Call, left_ms: float, may_write: Callable[[], bool]
+        self, call: api.Call, remaining_ms: float, may_write: Callable[[], bool]
     ) -> calls.Outcome:
         """Makes a call; see `calls.Link`."""
         if self._lost.done():
             raise web_connection.UnsentError("closed")
         if not may_write():
             raise web_connection.UnsentError("not allowed")
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         serving = asyncio.ensure_future(self._serve(call))
         try:
             futures: set[asyncio.Future[Any]] = {serving, self._lost}
@@ -74,7 +74,7 @@
         finally:
             serving.cancel()
         self.proven_s = asyncio.get_running_loop().time()
-        self._searcher.record_reply(self.proven_s - began_s)
+        self._searcher.record_reply(self.proven_s - started_s)
         return outcome
 
     async def _serve(self, call: api.Call) -> calls.Outcome:
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -184,13 +184,13 @@
         self.cold_shown = False
         self.warm_after = warm_after
 
-    def record_reply(self, took_s: float) -> None:
+    def record_reply(self, duration_s: float) -> None:
         """Records that a reply has reached the caller.
 
         Args:
-            took_s: Duration of the call, in seconds.
+            duration_s: Duration of the call, in seconds.
         """
-        if took_s * 1000 >= self.service_ms * SLOW_FACTOR:
+        if duration_s * 1000 >= self.service_ms * SLOW_FACTOR:
             self.slow_replies += 1
         if self.slow_replies >= MIN_SLOW_REPLIES:
             self.cold_shown = True
@@ -265,12 +265,14 @@
 
     def _draw_ms(self) -> float:
         """Returns a random service time, in milliseconds."""
-        took_ms = self.service_ms * self._random.lognormvariate(0, self.spread)
+        duration_ms = self.service_ms * self._random.lognormvariate(
+            0, self.spread
+        )
         if self._random.random() < self.faults.straggles:
-            took_ms *= self.faults.straggler_factor
+            duration_ms *= self.faults.straggler_factor
         if self.is_cold():
-            took_ms *= self.cold_factor
-        return took_ms
+            duration_ms *= self.cold_factor
+        return duration_ms
 
 
 def _refuse(kind: errors.Kind) -> calls.Outcome:
--- a/src/azureramp/ports/searchers/pool.py
+++ b/src/azureramp/ports/searchers/pool.py
@@ -105,14 +105,14 @@
             none became free in time.
         """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + timeout_s
+        deadline_s = loop.time() + timeout_s
         while True:
             self.prune()
             if self._idle:
                 return expression.Ok(self._idle.pop())
             if self.opened < self._limit:
-                return await self._open(until_s - loop.time())
-            if not await self._wait(until_s):
+                return await self._open(deadline_s - loop.time())
+            if not await self._wait(deadline_s):
                 return expression.Error(
                     errors.Failure(
                         errors.Kind.DEADLINE_PASSED, "no free connection"
@@ -174,12 +174,12 @@
                 self.opened -= 1
                 self._wake()
 
-    async def _wait(self, until_s: float) -> bool:
+    async def _wait(self, deadline_s: float) -> bool:
         """Waits for a free connection slot; returns False on timeout."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         try:
-            async with asyncio.timeout_at(until_s):
+            async with asyncio.timeout_at(deadline_s):
                 await waiter
         except TimeoutError:
             return False
--- a/tests/ports/searchers/test_half_open.py
+++ b/tests/ports/searchers/test_half_open.py
@@ -234,13 +234,13 @@
             deadline_ms=3000.0,
             repeatable=False,
         )
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         result = await harness.port.call(made, lambda: True)
-        took_s = asyncio.get_running_loop().time() - began_s
+        duration_s = asyncio.get_running_loop().time() - started_s
 
         assert result.error.failure.kind is errors.Kind.DEADLINE_PASSED
         assert result.error.sent
-        assert took_s == pytest.approx(3.0)
+        assert duration_s == pytest.approx(3.0)
 
     run("memory", scenario)
 
