--- a/src/azureramp/ports/peers/freshness.py
+++ b/src/azureramp/ports/peers/freshness.py
@@ -24,7 +24,7 @@
 
     Attributes:
         incarnation: The newest incarnation seen.
-        began_ms: Start of the current window on this VM's clock, in
+        window_start_ms: Start of the current window on this VM's clock, in
             milliseconds.
         min_difference_ms: The minimum difference between arrival and sending
             time in the current window, in milliseconds.
@@ -32,7 +32,7 @@
     """
 
     incarnation: int
-    began_ms: int
+    window_start_ms: int
     min_difference_ms: float = math.inf
     previous_min_ms: float = math.inf
 
@@ -71,10 +71,10 @@
             sender = self._senders[vm] = Sender(incarnation, now_ms)
         elif incarnation < sender.incarnation:
             return False
-        if now_ms - sender.began_ms > WINDOW_MS:
+        if now_ms - sender.window_start_ms > WINDOW_MS:
             sender.previous_min_ms = sender.min_difference_ms
             sender.min_difference_ms = math.inf
-            sender.began_ms = now_ms
+            sender.window_start_ms = now_ms
         difference_ms = now_ms - sent_ms
         sender.min_difference_ms = min(sender.min_difference_ms, difference_ms)
         reference_ms = min(sender.min_difference_ms, sender.previous_min_ms)
--- a/src/azureramp/ports/store/memory.py
+++ b/src/azureramp/ports/store/memory.py
@@ -103,19 +103,19 @@
         if not await self._begin_call():
             return expression.Error(_fail_down())
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + wait_s
+        deadline_s = loop.time() + wait_s
         while True:
             self.state.expire_leases(loop.time())
             listing = self.state.list_changes(prefix, after)
-            left_s = until_s - loop.time()
+            remaining_s = deadline_s - loop.time()
             if self.faults.down:
                 return expression.Error(_fail_down())
-            if listing.entries or left_s <= 0:
+            if listing.entries or remaining_s <= 0:
                 return expression.Ok(listing)
             expiry_s = self.state.get_next_expiry_s()
             if expiry_s is not None:
-                left_s = min(left_s, expiry_s - loop.time())
-            await self.state.wait_for_change(left_s)
+                remaining_s = min(remaining_s, expiry_s - loop.time())
+            await self.state.wait_for_change(remaining_s)
 
     async def grant_lease(
         self, ttl_s: float
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -28,12 +28,12 @@
 
     Attributes:
         ttl_s: Its time to live, in seconds.
-        until_s: When it expires, in seconds on the clock of the caller.
+        expires_s: When it expires, in seconds on the clock of the caller.
         keys: The keys that are deleted when it expires.
     """
 
     ttl_s: float
-    until_s: float
+    expires_s: float
     keys: set[str] = dataclasses.field(default_factory=set)
 
 
@@ -146,20 +146,20 @@
         record = self._leases.get(lease)
         if record is None:
             return False
-        record.until_s = now_s + record.ttl_s
+        record.expires_s = now_s + record.ttl_s
         return True
 
     def expire_leases(self, now_s: float) -> None:
         """Removes the expired leases and deletes their keys."""
         for lease, record in list(self._leases.items()):
-            if record.until_s <= now_s:
+            if record.expires_s <= now_s:
                 del self._leases[lease]
                 for key in sorted(record.keys):
                     self._append(key, None)
 
     def get_next_expiry_s(self) -> float | None:
         """Returns when the next lease expires; None if there is no lease."""
-        times = [record.until_s for record in self._leases.values()]
+        times = [record.expires_s for record in self._leases.values()]
         return min(times, default=None)
 
     async def wait_for_change(self, timeout_s: float) -> None:
