--- a/src/azureramp/ports/searchers/health.py
+++ b/src/azureramp/ports/searchers/health.py
@@ -163,7 +163,6 @@
             self._close_idle(links)
 
     def _close_idle(self, links: HealthLinks[_L]) -> None:
-        """Closes the idle connection."""
         if links.idle is not None:
             self._close(links, links.idle)
             links.idle = None
--- a/src/azureramp/ports/store/http.py
+++ b/src/azureramp/ports/store/http.py
@@ -168,12 +168,10 @@
 
 
 def _to_entry(body: protocol.EntryBody) -> api.Entry:
-    """Converts the body of an entry."""
     return api.Entry(body.key, body.value, body.revision)
 
 
 def _to_listing(body: protocol.ListingBody) -> api.Listing:
-    """Converts the body of a listing."""
     return api.Listing(
         tuple(_to_entry(entry) for entry in body.entries), body.revision
     )
--- a/src/azureramp/ports/web/connection.py
+++ b/src/azureramp/ports/web/connection.py
@@ -203,7 +203,6 @@
         body: bytes,
         host: str,
     ) -> bytes:
-        """Encodes a request with h11."""
         request = h11.Request(
             method=method,
             target=target,
--- a/src/azureramp/ports/web/server_connection.py
+++ b/src/azureramp/ports/web/server_connection.py
@@ -161,7 +161,6 @@
                     self._writer.write_eof()
 
     def _encode(self, response: api.Response, closes: bool) -> bytes:
-        """Encodes a response with h11."""
         headers = [
             ("Content-Length", str(len(response.body))),
             *response.headers,
