--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -1,8 +1,8 @@
-"""Idempotency records: a request that may not be repeated runs at most once.
+"""Idempotency records: a non-idempotent request is executed at most once.
 
-Only the holder of a claim may dispatch, once, and only after the store has
-said that the claim's compare-and-swap took effect. docs/design/idempotency.md
-gives the reasons.
+Only the holder of a claim may dispatch the request, once, and only after the
+store has confirmed the claim's compare-and-swap. The reasons are in
+docs/design/idempotency.md.
 """
 
 from __future__ import annotations
@@ -24,11 +24,12 @@
 from azureramp.policy import idempotency, record_bounds
 from azureramp.ports.store import api
 
-FINISH_S = 0.15
-"""Longest time that an answer waits for its record, in seconds."""
+OUTCOME_WAIT_S = 0.15
+"""Maximum time for which a response waits for its record, in seconds."""
 
-SPREAD_MS = (500, 2500)
-"""How the refused are spread, so that they don't come back together."""
+RETRY_JITTER_MS = (500, 2500)
+"""Bounds of the random delay added to the retry time of a refused request, in
+milliseconds, so that refused callers don't all retry at once."""
 
 NOT_RUN_DETAIL = (
     "this attempt did not run; an earlier one with the same key may have, so "
@@ -43,7 +44,7 @@
 
 
 class Records:
-    """The idempotency records as one VM uses them."""
+    """Claims and outcomes of non-idempotent requests on one VM."""
 
     __slots__ = (
         "_board",
@@ -65,12 +66,13 @@
         store: api.Store,
         rng: random.Random,
     ) -> None:
-        """Makes the records of one VM; see `make`."""
+        """Creates the records of one VM; see `make`."""
         self._board = board
         self._rng = rng
-        # Two processes with one nonce would both believe that they hold the
-        # claim of either. So it comes from the system's entropy: incarnation
-        # numbers come from clocks, and seeds from incarnations.
+        # If two processes used the same nonce, each would treat the other's
+        # claim as its own. Nonces therefore come from the system's entropy:
+        # incarnation numbers are derived from clocks, and random seeds from
+        # incarnation numbers, so neither is certain to be unique.
         self._process = f"{board.settings.vm}.{secrets.token_hex(12)}"
         self._writer = record_writer.RecordWriter(store, rng)
         self._releases = record_releases.RecordReleases(self._writer)
@@ -92,19 +94,19 @@
     ) -> Answer:
         """Claims a key for a request.
 
-        A refusal that says `not_run` speaks of this request; only a record
-        can tell of an earlier one with the same key.
+        A refusal with `not_run` applies to this request only; whether an
+        earlier request with the same key ran is known only from a record.
 
         Args:
             caller: The caller's name.
             key: The caller's idempotency key.
             request_hash: The hash of the request's content.
-            request_id: The request.
+            request_id: The id of the request.
 
         Returns:
-            The right to dispatch; or the recorded outcome; or a failure:
-            `KEY_REUSED`, `IN_PROGRESS`, `OUTCOME_UNKNOWN`, `OVERLOADED` or
-            `STORE_UNAVAILABLE`.
+            The claim, which permits one dispatch; or the recorded outcome; or
+            a failure: `KEY_REUSED`, `IN_PROGRESS`, `OUTCOME_UNKNOWN`,
+            `OVERLOADED` or `STORE_UNAVAILABLE`.
         """
         now_s = asyncio.get_running_loop().time()
         store_key = idempotency.make_store_key(caller, key)
@@ -135,28 +137,31 @@
         self._board.metrics.count("idempotency.records")
         self._record(key, claim, "claimed")
         if asyncio.get_running_loop().time() >= until_s:
-            # This process was paused while it claimed.
+            # The process was paused while the claim was being written.
             self.release(claimed)
             return expression.Error(self._make_unavailable())
         self._memory.hold(claimed)
         return expression.Ok(claimed)
 
     async def finish(self, claimed: Claimed, result: bytes) -> None:
-        """Records the outcome; waits for it for a short time only."""
+        """Records the result; waits up to `OUTCOME_WAIT_S` for the write."""
         outcome = idempotency.make_finished(result)
         self._give_back(claimed, outcome)
         self._record(claimed.idempotency_key, claimed.record, "finished")
         await self._save(claimed, outcome)
 
     async def mark_unknown(self, claimed: Claimed) -> None:
-        """Records that the request may have run."""
+        """Records that the request may have been executed."""
         outcome = idempotency.Outcome(state=idempotency.State.UNKNOWN)
         self._give_back(claimed, outcome)
         self._record(claimed.idempotency_key, claimed.record, "unknown")
         await self._save(claimed, outcome)
 
     def release(self, claimed: Claimed) -> None:
-        """Gives a claim back, in the background; only if nothing ran."""
+        """Releases a claim in the background.
+
+        Call it only if the request was not dispatched.
+        """
         record = idempotency.change(claimed.record, idempotency.State.RELEASED)
         self._memory.drop(claimed)
         self._give_back(claimed, None)
@@ -167,7 +172,7 @@
         self._record(claimed.idempotency_key, record, "released")
 
     async def run(self) -> None:
-        """Writes what the store has not taken yet, for ever."""
+        """Writes pending releases and outcomes to the store, forever."""
         tasks = [
             asyncio.ensure_future(self._releases.run()),
             asyncio.ensure_future(self._outcomes.run()),
@@ -179,13 +184,16 @@
                 task.cancel()
 
     async def drain(self, limit_s: float) -> None:
-        """Waits until everything is written, or for the limit.
+        """Waits until everything is written, up to a limit.
 
-        What is not written by then stays claimed in the store: a retry is
-        told that the outcome is unknown, which is true as far as the store
-        can tell.
+        Requests whose outcome is not written by then stay claimed in the
+        store. A retry of one gets `OUTCOME_UNKNOWN`, which is correct as far
+        as the store's content goes.
+
+        Args:
+            limit_s: The limit, in seconds.
         """
-        self._releases.hurried = True
+        self._releases.draining = True
         waiting = [each.done for each in self._releases.waiting.values()]
         waiting += self._outcomes.get_waiting()
         try:
@@ -198,7 +206,7 @@
     def _make_claim(
         self, request_hash: int, request_id: str
     ) -> idempotency.Record:
-        """Makes a claim's record with a nonce that no other one has."""
+        """Creates a claim's record with a unique nonce."""
         self._number += 1
         return idempotency.Record(
             state=idempotency.State.CLAIMED,
@@ -212,7 +220,7 @@
     def _give_back(
         self, claimed: Claimed, outcome: idempotency.Outcome | None
     ) -> None:
-        """Gives the room back that a claim turned out not to need."""
+        """Returns the storage that was reserved for a claim but not used."""
         record = idempotency.encode(claimed.record)
         stored = len(claimed.store_key) + len(record)
         if outcome is not None:
@@ -221,7 +229,7 @@
         self._quota.give_back(stored)
 
     def _check_room(self, now_s: float) -> errors.Failure | None:
-        """Refuses a claim that would pass a bound."""
+        """Returns a failure if a new claim would exceed a bound."""
         if self._memory.is_full(now_s):
             return errors.Failure(errors.Kind.OVERLOADED, "too many claims")
         vms = len(self._board.members)
@@ -230,21 +238,21 @@
             return errors.Failure(
                 errors.Kind.OVERLOADED,
                 "the records' share of the store's writes is used up",
-                int(wait_s * 1000) + self._rng.randrange(*SPREAD_MS),
+                int(wait_s * 1000) + self._rng.randrange(*RETRY_JITTER_MS),
             )
         wait_s = self._quota.take(now_s, vms)
         if wait_s:
             return errors.Failure(
                 errors.Kind.OVERLOADED,
                 "the records' share of the store's room is used up",
-                int(wait_s * 1000) + self._rng.randrange(*SPREAD_MS),
+                int(wait_s * 1000) + self._rng.randrange(*RETRY_JITTER_MS),
             )
         return None
 
     def _answer(
         self, key: str, known: idempotency.Record | errors.Failure
     ) -> Answer:
-        """Answers a claim that was not to be had."""
+        """Makes the answer for a claim that was not granted."""
         if isinstance(known, errors.Failure):
             if known.kind is errors.Kind.STORE_UNAVAILABLE:
                 known = self._make_unavailable()
@@ -256,9 +264,9 @@
         )
 
     def _make_unavailable(self) -> errors.Failure:
-        """Refuses a claim since the store can't be asked."""
+        """Makes the refusal for a store that is unavailable."""
         wait_ms = int(self._writer.get_wait_s() * 1000)
-        wait_ms += self._rng.randrange(*SPREAD_MS)
+        wait_ms += self._rng.randrange(*RETRY_JITTER_MS)
         return errors.Failure(
             errors.Kind.STORE_UNAVAILABLE, NOT_RUN_DETAIL, wait_ms
         )
@@ -266,20 +274,20 @@
     async def _save(
         self, claimed: Claimed, outcome: idempotency.Outcome
     ) -> None:
-        """Saves an outcome, and waits for a short time until it is settled."""
+        """Saves an outcome; waits up to `OUTCOME_WAIT_S` for the write."""
         now_s = asyncio.get_running_loop().time()
         self._memory.remember(claimed, outcome, now_s)
         done = self._outcomes.add(claimed.record, outcome)
         if outcome.state is idempotency.State.FINISHED:
             self._outcomes.close_claim(claimed.record.group)
         try:
-            async with asyncio.timeout(FINISH_S):
+            async with asyncio.timeout(OUTCOME_WAIT_S):
                 await done.wait()
         except TimeoutError:
             return
 
     def _record(self, key: str, record: idempotency.Record, state: str) -> None:
-        """Records a change in the timeline."""
+        """Records a state change in the timeline."""
         event = events.IdempotencyChanged(
             key=key, request_id=record.request_id, state=state
         )
@@ -290,11 +298,11 @@
 def make(
     board: blackboard.Blackboard, store: api.Store, rng: random.Random
 ) -> Records:
-    """Makes the idempotency records of one VM.
+    """Creates the idempotency records of one VM.
 
     Args:
         board: The process's state.
         store: The platform's key-value service.
-        rng: Draws waits.
+        rng: Source of the random retry delays.
     """
     return Records(board, store, rng)
--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -1,4 +1,4 @@
-"""Settles one claim by compare-and-swap, or leaves it to be released."""
+"""Writes claims by compare-and-swap, and schedules the release of lost ones."""
 
 from __future__ import annotations
 
@@ -9,31 +9,33 @@
 from azureramp.policy import idempotency, record_bounds
 from azureramp.ports.store import api
 
-ATTEMPTS = 5
-"""Most writes that one claim makes."""
+MAX_WRITES = 5
+"""Maximum number of writes per claim."""
 
-ATTEMPT_S = 1.0
-"""Longest wait for the reply to one write, in seconds."""
+WRITE_TIMEOUT_S = 1.0
+"""Timeout of one write, in seconds."""
 
-CLAIM_S = 3.0
-"""Longest time that a claim takes, in seconds."""
+CLAIM_TIMEOUT_S = 3.0
+"""Timeout of a claim with all its writes, in seconds."""
 
 Outcome = int | idempotency.Record | errors.Failure
-"""The claim's revision, the record of an earlier run, or why neither."""
+"""The claim's revision, the record of an earlier run, or the failure."""
 
 
 class RecordClaimer:
-    """Makes claims.
-
-    A write whose reply was lost may have landed or may land later. It is
-    repeated with the same nonce: the repeated compare-and-swap names the same
-    revision, so it either takes effect or shows what did, and from then on
-    the first one can't land. A plain read would not do: it may answer from
-    the past, and a write that it doesn't show may still come.
-
-    If even that can't be had, the claim is refused, and a released record is
-    written in the background, which consumes the revision or replaces the
-    claim. Until then the key is blocked for others, but never dispatched.
+    """Writes claims to the store.
+
+    A write whose reply was lost may have taken effect, or may take effect
+    later. It is repeated with the same nonce: the repeated compare-and-swap
+    expects the same revision, so it either takes effect or returns the entry
+    that did, and from then on the first write can't take effect. A plain read
+    is not enough: it may return an old state, and a write that it doesn't
+    show may still take effect.
+
+    If the repeated write has no result either, the claim is refused, and a
+    released record is written in the background, which uses up the expected
+    revision or replaces the claim. Until then the key is blocked for others,
+    but the request is never dispatched.
     """
 
     __slots__ = ("_releases", "_sightings", "_writer")
@@ -43,38 +45,39 @@
         writer: record_writer.RecordWriter,
         releases: record_releases.RecordReleases,
     ) -> None:
-        """Makes a claimer.
+        """Creates a claimer.
 
         Args:
             writer: Writes the claims.
-            releases: Writes the releases.
+            releases: Writes the releases of claims that may take effect later.
         """
         self._writer = writer
         self._releases = releases
         self._sightings = record_bounds.Sightings()
 
     async def claim(self, store_key: str, claim: idempotency.Record) -> Outcome:
-        """Writes a claim until the store has settled it.
+        """Writes a claim, repeatedly until its outcome is known.
 
         Args:
             store_key: The record's key in the store.
             claim: The record to write.
 
         Returns:
-            The outcome; `STORE_UNAVAILABLE` if nothing may be dispatched.
+            The outcome; `STORE_UNAVAILABLE` if the claim could not be
+            confirmed, so that the request must not be dispatched.
         """
         expected = api.CREATE
         may_land = False
-        until_s = asyncio.get_running_loop().time() + CLAIM_S
+        until_s = asyncio.get_running_loop().time() + CLAIM_TIMEOUT_S
         data = idempotency.encode(claim)
         try:
-            for _ in range(ATTEMPTS):
+            for _ in range(MAX_WRITES):
                 left_s = until_s - asyncio.get_running_loop().time()
                 if left_s <= 0:
                     break
                 might_land, may_land = may_land, True
                 result = await self._writer.write(
-                    store_key, data, expected, min(left_s, ATTEMPT_S)
+                    store_key, data, expected, min(left_s, WRITE_TIMEOUT_S)
                 )
                 if result.is_error():
                     kind = result.error.kind
@@ -89,7 +92,7 @@
                 if present is None:
                     expected = api.CREATE
                     continue
-                match await self._judge(present, claim):
+                match await self._evaluate_conflict(present, claim):
                     case idempotency.Mine():
                         return present.revision
                     case idempotency.Replay(record=record):
@@ -100,22 +103,23 @@
                         expected = present.revision
             return errors.Failure(errors.Kind.STORE_UNAVAILABLE)
         finally:
-            # Also when the caller went away in the middle of a write.
+            # Also runs if the caller disconnects during a write.
             if may_land:
                 released = idempotency.change(claim, idempotency.State.RELEASED)
                 self._releases.add(
                     record_releases.Release(store_key, released, expected)
                 )
 
-    async def _judge(
+    async def _evaluate_conflict(
         self, present: api.Entry, claim: idempotency.Record
     ) -> idempotency.Verdict:
-        """Judges the record that a claim ran into.
+        """Evaluates the record with which a claim conflicted.
 
-        A caller who is told that the outcome is unknown looks what became of
-        the request, and may send a new one. So this is said only once it has
-        been recorded: then nobody can release the claim and run it after
-        all. While it can't be recorded, the answer is `IN_PROGRESS`.
+        A caller that gets `OUTCOME_UNKNOWN` checks the effects of the request
+        itself and may send a new one. So this is answered only after it has
+        been recorded: from then on no process can release the claim and run
+        the request after all. While it can't be recorded, the answer is
+        `IN_PROGRESS`.
         """
         record = idempotency.decode(present.value or b"")
         if record is None:
@@ -127,7 +131,7 @@
             return verdict
         if verdict.kind is errors.Kind.KEY_REUSED:
             return verdict
-        outcomes = await self._writer.read_group(record.group, ATTEMPT_S)
+        outcomes = await self._writer.read_group(record.group, WRITE_TIMEOUT_S)
         if outcomes is None:
             return verdict
         record = idempotency.complete(record, outcomes.get(record.nonce))
@@ -147,12 +151,12 @@
     async def _record_unknown(
         self, present: api.Entry, record: idempotency.Record
     ) -> bool:
-        """Records that a claim's outcome is unknown; False if it can't."""
+        """Records a claim's outcome as unknown; returns True if stored."""
         unknown = idempotency.change(record, idempotency.State.UNKNOWN)
         written = await self._writer.write(
             present.key,
             idempotency.encode(unknown),
             present.revision,
-            ATTEMPT_S,
+            WRITE_TIMEOUT_S,
         )
         return written.is_ok() and isinstance(written.ok, api.Written)
--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -1,4 +1,4 @@
-"""What one VM knows of idempotency records without asking the store."""
+"""In-memory cache of the idempotency records used by one VM."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from azureramp.policy import idempotency, record_bounds
 
 MAX_REMEMBERED = 1000
-"""How many outcomes this VM replays without asking the store."""
+"""Maximum number of cached outcomes, replayed without a call to the store."""
 
 REMEMBERED_S = 600.0
-"""How long it does so, in seconds.
+"""Time for which an outcome is cached, in seconds.
 
-Longer than retries take to come, and short, so that this VM forgets a record
-soon after the store has deleted it.
+Longer than the time within which retries arrive, and short enough that a
+record leaves the cache soon after the store has deleted it.
 """
 
 MAX_HELD = 5000
-"""Most claims that this VM holds at once."""
+"""Maximum number of claims that this VM holds at once."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -33,9 +33,9 @@
         record: The claim as written.
         revision: The store revision that wrote it.
         may_dispatch_until_s: No byte may go to a backend server after this
-            time, on the loop's clock. Check it right before the write: a
-            holder that was paused wakes with a claim that others may have
-            given up as unknown meanwhile.
+            time, on the loop's clock. Check it right before the write: while
+            the holder was paused, other processes may have recorded the
+            outcome of its claim as unknown.
     """
 
     store_key: str
@@ -50,9 +50,10 @@
     """The outcome of an earlier run.
 
     Attributes:
-        request_id: The request that ran.
-        result: The backend server's result, JSON; `null` if it was not kept.
-        whole: False if the result was too large to be kept.
+        request_id: The id of the request that ran.
+        result: The backend server's result as JSON; `null` if it was not
+            stored.
+        whole: False if the result was too large to be stored.
     """
 
     request_id: str
@@ -61,32 +62,32 @@
 
 
 class RecordMemory:
-    """The claims that this VM holds, and the outcomes that it has seen."""
+    """The claims held by this VM, and a cache of recent outcomes."""
 
     __slots__ = ("_held", "_remembered")
 
     def __init__(self) -> None:
-        """Makes it empty."""
+        """Creates an empty cache."""
         self._held: dict[str, Claimed] = {}
         self._remembered: collections.OrderedDict[
             str, tuple[idempotency.Record, float]
         ] = collections.OrderedDict()
 
     def hold(self, claimed: Claimed) -> None:
-        """Takes a new claim."""
+        """Adds a claim."""
         self._held[claimed.store_key] = claimed
 
     def drop(self, claimed: Claimed) -> None:
-        """Ends a claim."""
+        """Removes a claim."""
         self._held.pop(claimed.store_key, None)
 
     def remember(
         self, claimed: Claimed, outcome: idempotency.Outcome, now_s: float
     ) -> None:
-        """Ends a claim and keeps its outcome for retries.
+        """Removes a claim and caches its outcome for retries.
 
-        A holder that says its last word after the retention has no say any
-        more: the key is free, and another run of it may have begun.
+        An outcome that arrives after the retention time is not cached: the
+        key is free by then, and another request may have claimed it.
         """
         self.drop(claimed)
         began_s = claimed.may_dispatch_until_s - idempotency.DISPATCH_S
@@ -97,17 +98,17 @@
     def keep(
         self, store_key: str, record: idempotency.Record, now_s: float
     ) -> None:
-        """Keeps a record that has its outcome, within the bounds."""
+        """Caches a record with its outcome; evicts the oldest if full."""
         self._remembered[store_key] = (record, now_s + REMEMBERED_S)
         self._remembered.move_to_end(store_key)
         while len(self._remembered) > MAX_REMEMBERED:
             self._remembered.popitem(last=False)
 
     def is_full(self, now_s: float) -> bool:
-        """Tells whether no further claim may be held.
+        """Returns True if no further claim may be held.
 
-        A claim whose holder never said a word is forgotten here when others
-        may call it unknown; the store has it.
+        A claim without an outcome is removed here once other processes may
+        record it as unknown; the store still has it.
         """
         for store_key, held in list(self._held.items()):
             until_s = held.may_dispatch_until_s + idempotency.UNKNOWN_S
@@ -119,7 +120,7 @@
     def look_up(
         self, store_key: str, request_hash: int, now_s: float
     ) -> idempotency.Record | errors.Failure | None:
-        """Finds the answer to a claim, if this VM knows it."""
+        """Returns the cached answer to a claim; None if there is none."""
         held = self._held.get(store_key)
         if held is not None:
             record, until_s = held.record, math.inf
--- a/src/azureramp/controllers/record_outcomes.py
+++ b/src/azureramp/controllers/record_outcomes.py
@@ -1,10 +1,9 @@
-"""Writes the outcomes of requests, many at once.
+"""Writes the outcomes of requests to the store in batches.
 
-Each claim names, when it is made, the group in which its outcome will be
-found. A group is one value of the store that only this process writes, so
-the outcomes that come up within a short time share a write. Nothing that
-keeps a request from running twice rests on a group: only what a retry is
-told does.
+Each claim names the group that will hold its outcome. A group is one value in
+the store that only this process writes, so outcomes that arrive within a short
+time share a write. The guarantee that a request runs at most once does not
+depend on groups: they only determine the answer to a retry.
 """
 
 from __future__ import annotations
@@ -20,25 +19,27 @@
 from azureramp.ports.store import api
 
 FLUSH_S = 0.1
-"""Shortest time between two writes, in seconds; the first waits for none."""
+"""Minimum time between two writes, in seconds; the first is not delayed."""
 
 MAX_GROUPS = 100
-"""Most groups in memory; the oldest saved one is forgotten past this."""
+"""Maximum number of groups in memory; beyond it the oldest saved group is
+dropped, or the oldest one if none is saved."""
 
 
 @dataclasses.dataclass(slots=True)
 class Group:
-    """One group's state here.
+    """The in-memory state of one group.
 
     Attributes:
-        name: Its name, the end of its store key.
-        claims: How many claims have named it.
-        open_claims: How many of these have had no last word yet.
+        name: The name, which is the end of the store key.
+        claims: Number of claims that name the group.
+        open_claims: Number of these that have no final outcome yet.
         outcomes: The outcomes by nonce.
-        revision: The store revision of its value; `api.CREATE` for none.
-        saved: How many changes of `outcomes` the store has.
-        changes: How many changes of `outcomes` there were.
-        waiting: Set, in order of their change's number, once it is saved.
+        revision: The store revision of the value; `api.CREATE` for none.
+        saved: Number of changes of `outcomes` that are in the store.
+        changes: Number of changes of `outcomes` in total.
+        waiting: The number of each unsaved change, with an event that is set
+            once the change is saved.
     """
 
     name: str
@@ -57,15 +58,15 @@
     """The groups of one process, and the task that writes them.
 
     Attributes:
-        given_up: Groups given up for want of room before they were saved.
+        given_up: Number of groups dropped unsaved because of `MAX_GROUPS`.
     """
 
     __slots__ = (
         "_counters",
+        "_current",
         "_groups",
-        "_last_s",
+        "_last_write_s",
         "_prefix",
-        "_present",
         "_wake",
         "_writer",
         "given_up",
@@ -77,13 +78,13 @@
         counters: metrics.Metrics,
         prefix: str,
     ) -> None:
-        """Makes the groups of a process that has just begun.
+        """Creates the groups of a new process.
 
         Args:
             writer: Writes the groups.
-            counters: Where the grouped writes are counted.
-            prefix: What this process's group names begin with; no other
-                process ever has the same.
+            counters: Metrics that count the writes of groups.
+            prefix: The prefix of this process's group names, unique among all
+                processes.
         """
         self._writer = writer
         self._counters = counters
@@ -91,35 +92,35 @@
         self._groups: collections.OrderedDict[str, Group] = (
             collections.OrderedDict()
         )
-        self._present = self._open(0)
-        self._last_s = -FLUSH_S
+        self._current = self._open_group(0)
+        self._last_write_s = -FLUSH_S
         self._wake = asyncio.Event()
         self.given_up = 0
 
     def name_group(self) -> str:
-        """Names the group for the outcome of a new claim."""
-        if self._present.claims >= idempotency.MAX_GROUP:
-            number = int(self._present.name.rpartition(".")[2])
-            self._present = self._open(number + 1)
-        self._present.claims += 1
-        self._present.open_claims += 1
-        return self._present.name
+        """Returns the name of the group for the outcome of a new claim."""
+        if self._current.claims >= idempotency.MAX_GROUP:
+            number = int(self._current.name.rpartition(".")[2])
+            self._current = self._open_group(number + 1)
+        self._current.claims += 1
+        self._current.open_claims += 1
+        return self._current.name
 
     def close_claim(self, name: str) -> None:
-        """Notes that a claim will have no outcome, or has had its last."""
+        """Records that a claim gets no further outcome."""
         group = self._groups.get(name)
         if group is not None:
             group.open_claims -= 1
-            self._drop_ended(group)
+            self._drop_if_complete(group)
 
     def add(
         self, record: idempotency.Record, outcome: idempotency.Outcome
     ) -> asyncio.Event:
-        """Takes an outcome; a later one of the same claim replaces it.
+        """Adds an outcome; a later one of the same claim replaces it.
 
         Args:
             record: The claim.
-            outcome: What became of it.
+            outcome: The claim's outcome.
 
         Returns:
             An event that is set once the outcome is saved.
@@ -136,13 +137,13 @@
         return done
 
     def get_waiting(self) -> list[asyncio.Event]:
-        """Returns an event for each outcome that is not saved yet."""
+        """Returns an event for each outcome that is not yet saved."""
         return [
             done for group in self._groups.values() for _, done in group.waiting
         ]
 
     async def run(self) -> None:
-        """Writes the groups, for ever."""
+        """Writes changed groups, forever."""
         loop = asyncio.get_running_loop()
         while True:
             group = self._find_changed()
@@ -151,21 +152,22 @@
                 await self._wake.wait()
                 continue
             wait_s = max(
-                self._last_s + FLUSH_S - loop.time(), self._writer.get_wait_s()
+                self._last_write_s + FLUSH_S - loop.time(),
+                self._writer.get_wait_s(),
             )
             if wait_s > 0:
-                await asyncio.sleep(max(wait_s, record_writer.LEAST_WAIT_S))
+                await asyncio.sleep(max(wait_s, record_writer.MIN_WAIT_S))
                 continue
             if self._writer.may_call():
-                self._last_s = loop.time()
+                self._last_write_s = loop.time()
                 await self._write(group)
 
     async def _write(self, group: Group) -> None:
-        """Makes one attempt to write a group as it is now.
+        """Makes one attempt to write a group in its current state.
 
-        Only this process writes it. So a conflict means that an earlier
-        write of its own, whose reply was lost, has taken effect: the next
-        one goes over that.
+        Only this process writes the group. So a conflict means that an
+        earlier write of this process, whose reply was lost, has taken effect:
+        the next write replaces that one's value.
         """
         changes = group.changes
         data = idempotency.encode_group(group.outcomes)
@@ -180,19 +182,19 @@
                 self._counters.count("idempotency.segments")
                 while group.waiting and group.waiting[0][0] <= changes:
                     group.waiting.popleft()[1].set()
-                self._drop_ended(group)
+                self._drop_if_complete(group)
             case api.Conflicted(present=present):
                 group.revision = present.revision if present else api.CREATE
 
     def _find_changed(self) -> Group | None:
-        """Finds the oldest group with a change that is not saved."""
+        """Returns the oldest group that has an unsaved change."""
         for group in self._groups.values():
             if group.saved < group.changes:
                 return group
         return None
 
-    def _open(self, number: int) -> Group:
-        """Makes a new group, within the bound."""
+    def _open_group(self, number: int) -> Group:
+        """Creates a group; drops one if there are more than `MAX_GROUPS`."""
         group = Group(f"{self._prefix}.{number}")
         self._groups[group.name] = group
         if len(self._groups) > MAX_GROUPS:
@@ -205,10 +207,10 @@
                 done.set()
         return group
 
-    def _drop_ended(self, group: Group) -> None:
-        """Forgets a group to which nothing can be added any more."""
+    def _drop_if_complete(self, group: Group) -> None:
+        """Drops a saved group to which nothing more can be added."""
         if (
-            group is not self._present
+            group is not self._current
             and group.open_claims <= 0
             and group.saved == group.changes
         ):
--- a/src/azureramp/controllers/record_releases.py
+++ b/src/azureramp/controllers/record_releases.py
@@ -1,9 +1,9 @@
-"""Releases idempotency records, again and again until it is settled.
+"""Releases idempotency records, with retries until the outcome is known.
 
-A release must reach the store even if the store is down now. Releases wait
-here in memory. What could not be written at once is overdue: that is written
-at a bounded rate, so that the return of the service does not meet all that
-piled up on all VMs at once.
+A release must reach the store even if the store is currently down, so pending
+releases are kept in memory. A release that could not be written at once is
+overdue. Overdue releases are written at a bounded rate, so that the store is
+not flooded with the backlog of all VMs when it comes back.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from azureramp.ports.store import api
 
 MAX_WAITING = 10_000
-"""Most releases that wait; the oldest is given up past this."""
+"""Maximum number of pending releases; beyond it the oldest is dropped."""
 
-PARALLEL = 16
-"""Most releases under way at once."""
+MAX_CONCURRENT = 16
+"""Maximum number of concurrent writes."""
 
 OVERDUE_PER_S = 20.0
-"""How many overdue releases a VM writes in a second."""
+"""Maximum number of overdue releases that a VM writes per second."""
 
 
 @dataclasses.dataclass(slots=True)
 class Release:
-    """One claim that is given back.
+    """The release of one claim.
 
     Attributes:
         store_key: The record's key in the store.
-        record: What to write.
-        expected: The revision that it replaces, as far as known.
-        overdue: True if it could not be written when it was asked for.
-        done: Set once it is settled.
+        record: The record to write.
+        expected: The revision that the write is expected to replace.
+        overdue: True if the release could not be written immediately.
+        done: Set once no further write is needed, or the release is dropped.
     """
 
     store_key: str
@@ -47,12 +47,13 @@
 
 
 class RecordReleases:
-    """The releases that wait, and the task that writes them.
+    """The pending releases, and the task that writes them.
 
     Attributes:
-        given_up: Releases that were given up for want of room.
-        hurried: True to write overdue ones at once, since this VM leaves.
-        waiting: The releases by nonce, oldest first.
+        given_up: Number of releases dropped because of `MAX_WAITING`.
+        draining: True to write overdue releases without the rate limit, while
+            this VM shuts down.
+        waiting: The pending releases by nonce, oldest first.
     """
 
     __slots__ = (
@@ -60,13 +61,13 @@
         "_running",
         "_wake",
         "_writer",
+        "draining",
         "given_up",
-        "hurried",
         "waiting",
     )
 
     def __init__(self, writer: record_writer.RecordWriter) -> None:
-        """Makes it with nothing to release.
+        """Creates it without pending releases.
 
         Args:
             writer: Writes the records.
@@ -76,16 +77,16 @@
         self._running: dict[str, asyncio.Task[None]] = {}
         self._overdue_from_s = 0.0
         self.given_up = 0
-        self.hurried = False
+        self.draining = False
         self.waiting: collections.OrderedDict[str, Release] = (
             collections.OrderedDict()
         )
 
     def add(self, release: Release) -> None:
-        """Takes a release.
+        """Adds a release.
 
-        Releases of one key are kept apart by their claims' nonces: two
-        claims of this VM may both be on their way, and either may land.
+        Releases are stored by nonce, not by key: two claims of this VM for
+        one key may both be in flight, and either may take effect.
         """
         release.overdue = not self._writer.backoff.is_open()
         self.waiting[release.record.nonce] = release
@@ -96,13 +97,13 @@
         self._wake.set()
 
     async def run(self) -> None:
-        """Writes the releases, for ever."""
+        """Writes the releases, forever."""
         try:
             while True:
                 self._wake.clear()
-                wait_s = self._start_some()
+                wait_s = self._start_writes()
                 if wait_s is not None:
-                    wait_s = max(wait_s, record_writer.LEAST_WAIT_S)
+                    wait_s = max(wait_s, record_writer.MIN_WAIT_S)
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(wait_s):
                         await self._wake.wait()
@@ -110,22 +111,22 @@
             for task in self._running.values():
                 task.cancel()
 
-    def _start_some(self) -> float | None:
-        """Starts what may be started.
+    def _start_writes(self) -> float | None:
+        """Starts as many writes as the limits allow.
 
         Returns:
-            The time until more may be, in seconds; None if only a new release
-            or the end of a running one can change anything.
+            The time until more may be started, in seconds; None if this
+            depends only on a new release or on the end of a running write.
         """
         now_s = asyncio.get_running_loop().time()
         later_s = max(self._overdue_from_s - now_s, 0.0)
         skipped = False
         for release in list(self.waiting.values()):
-            if len(self._running) >= PARALLEL:
+            if len(self._running) >= MAX_CONCURRENT:
                 return None
             if release.record.nonce in self._running:
                 continue
-            if release.overdue and later_s > 0 and not self.hurried:
+            if release.overdue and later_s > 0 and not self.draining:
                 skipped = True
                 continue
             if not self._writer.may_call():
@@ -133,12 +134,12 @@
             if release.overdue:
                 later_s = 1 / OVERDUE_PER_S
                 self._overdue_from_s = now_s + later_s
-            task = asyncio.ensure_future(self._try(release))
+            task = asyncio.ensure_future(self._write(release))
             self._running[release.record.nonce] = task
         return later_s if skipped else None
 
-    async def _try(self, release: Release) -> None:
-        """Makes one attempt to settle a release."""
+    async def _write(self, release: Release) -> None:
+        """Makes one attempt to write a release."""
         try:
             result = await self._writer.write(
                 release.store_key,
@@ -150,33 +151,35 @@
                 return
             match result.ok:
                 case api.Written():
-                    self._settle(release)
+                    self._finish(release)
                 case api.Conflicted(present=present):
-                    self._meet(release, present)
+                    self._handle_conflict(release, present)
         finally:
             del self._running[release.record.nonce]
             self._wake.set()
 
     def _mark_overdue(self, failed: Release) -> None:
-        """Marks what can't be written in time: in an outage, everything."""
+        """Marks a failed release as overdue; in an outage, all releases."""
         failed.overdue = True
         if not self._writer.backoff.is_open():
             for release in self.waiting.values():
                 release.overdue = True
 
-    def _meet(self, release: Release, present: api.Entry | None) -> None:
-        """Goes on after a conflict: over the claim, or not at all."""
+    def _handle_conflict(
+        self, release: Release, present: api.Entry | None
+    ) -> None:
+        """Prepares the next write after a conflict, or ends the release."""
         if present is not None:
             record = idempotency.decode(present.value or b"")
             if idempotency.may_release(record, release.record):
                 release.expected = present.revision
                 return
-        # Nothing of this claim stands there, and nothing can land any more:
-        # another write has taken the revision that its own one named. If the
-        # key is gone, its retention has ended.
-        self._settle(release)
+        # The store doesn't hold this claim, and the claim's own write can no
+        # longer take effect: another write has used up the revision that it
+        # expected. If the key is gone, its retention has ended.
+        self._finish(release)
 
-    def _settle(self, release: Release) -> None:
-        """Ends a release."""
+    def _finish(self, release: Release) -> None:
+        """Removes a release and sets its event."""
         self.waiting.pop(release.record.nonce, None)
         release.done.set()
--- a/src/azureramp/controllers/record_writer.py
+++ b/src/azureramp/controllers/record_writer.py
@@ -11,18 +11,19 @@
 from azureramp.policy import backoff, idempotency, record_bounds
 from azureramp.ports.store import api
 
-CALL_S = 2.0
-"""Longest time that a call of the store takes, in seconds."""
+CALL_TIMEOUT_S = 2.0
+"""Timeout of a call to the store, in seconds."""
 
-LEAST_WAIT_S = 0.001
-"""Shortest wait before the next look, in seconds, so that time goes on."""
+MIN_WAIT_S = 0.001
+"""Minimum wait before the next check, in seconds. Without it, a wait that
+rounds to zero would repeat the check without any progress of the clock."""
 
 
 class RecordWriter:
-    """One VM's way to the records.
+    """Reads and writes the records in the store for one VM.
 
     Attributes:
-        backoff: When the store may be called.
+        backoff: Decides when the store may be called.
     """
 
     __slots__ = (
@@ -35,11 +36,11 @@
     )
 
     def __init__(self, store: api.Store, rng: random.Random) -> None:
-        """Makes a writer without a lease.
+        """Creates a writer without a lease.
 
         Args:
             store: The key-value service.
-            rng: Draws the waits of the backoff.
+            rng: Source of the random delays of the backoff.
         """
         self._store = store
         self._rng = rng
@@ -49,8 +50,8 @@
         self._lease_until_s = 0.0
 
     def may_call(self) -> bool:
-        """Tells whether the store may be called now; see `backoff`."""
-        return self.backoff.may_call(self._get_now_s(), CALL_S)
+        """Returns True if the store may be called now; see `backoff`."""
+        return self.backoff.may_call(self._get_now_s(), CALL_TIMEOUT_S)
 
     def get_wait_s(self) -> float:
         """Returns the time until the store may be called, in seconds."""
@@ -61,19 +62,20 @@
         store_key: str,
         data: bytes,
         expected: int,
-        attempt_s: float = CALL_S,
+        attempt_s: float = CALL_TIMEOUT_S,
     ) -> expression.Result[api.Write, errors.Failure]:
-        """Writes a value over a revision.
+        """Writes a value if the key has the expected revision.
 
         Args:
             store_key: The key in the store.
             data: The value.
-            expected: The revision that it replaces, or `api.CREATE`.
-            attempt_s: Longest wait for the reply, in seconds.
+            expected: The revision to replace, or `api.CREATE`.
+            attempt_s: Timeout for the reply, in seconds.
 
         Returns:
             The outcome; `STORE_OUTCOME_UNKNOWN` if the write may have taken
-            effect or still may, `STORE_UNAVAILABLE` if it never will.
+            effect or may still do so, `STORE_UNAVAILABLE` if it has not and
+            will not.
         """
         lease = await self._get_lease()
         if lease.is_error():
@@ -100,7 +102,7 @@
         if kind is errors.Kind.STORE_OUTCOME_UNKNOWN:
             return result
         if kind is errors.Kind.NOT_FOUND:
-            # The platform has lost the lease: the next write gets another.
+            # The platform has lost the lease; the next write requests one.
             self._lease = ""
         return expression.Error(
             errors.Failure(errors.Kind.STORE_UNAVAILABLE, result.error.detail)
@@ -109,10 +111,10 @@
     async def read_group(
         self, name: str, attempt_s: float
     ) -> idempotency.Outcomes | None:
-        """Reads the outcomes of a group; None if they can't be had now.
+        """Reads the outcomes of a group; returns None if the read fails.
 
-        The read may answer from the past and miss an outcome, never invent
-        one.
+        The read may return an old state, so an outcome may be missing, but
+        each one that it returns is real.
         """
         key = idempotency.GROUP_PREFIX + name
         try:
@@ -130,11 +132,11 @@
         return idempotency.decode_group(result.ok.value)
 
     async def _get_lease(self) -> expression.Result[str, errors.Failure]:
-        """Gets the lease whose end deletes the records written now.
+        """Returns the lease to which the records written now are attached.
 
-        The platform counts the time and deletes all of them at once: no VM
-        compares clocks, and no write is spent on deleting. It is never kept
-        alive, so that it ends for sure.
+        When the lease expires, the platform deletes all these records at
+        once: VMs don't have to compare clocks, and deletion costs no writes.
+        The lease is never renewed, so that it certainly expires.
         """
         async with self._lease_lock:
             now_s = self._get_now_s()
@@ -149,7 +151,7 @@
             return granted
 
     def _record_failure(self) -> None:
-        """Tells the backoff of a failed call."""
+        """Reports a failed call to the backoff."""
         self.backoff.record_failure(self._get_now_s(), self._rng)
 
     def _get_now_s(self) -> float:
--- a/tests/controllers/test_idempotency_outage.py
+++ b/tests/controllers/test_idempotency_outage.py
@@ -52,7 +52,7 @@
         else:
             first.records.release(claimed)
         took_s = asyncio.get_running_loop().time() - began_s
-        assert took_s <= idempotency.FINISH_S + 0.01
+        assert took_s <= idempotency.OUTCOME_WAIT_S + 0.01
 
         if last_word == "finish":
             assert await first.claim_done() == b"7"
