--- a/src/azureramp/controllers/links.py
+++ b/src/azureramp/controllers/links.py
@@ -1,4 +1,4 @@
-"""Replacing the links to other VMs that have gone silent."""
+"""Replaces connections to other VMs that no longer acknowledge heartbeats."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class Links:
-    """Knows when the link to each VM was opened."""
+    """Tracks when the link to each VM was opened."""
 
     __slots__ = ("_board", "_opened_s", "_outbox")
 
     def __init__(
         self, board: blackboard.Blackboard, outbox: outbox_module.Outbox
     ) -> None:
-        """Makes one that knows of no link."""
+        """Creates it without links."""
         self._board = board
         self._outbox = outbox
         self._opened_s: dict[str, float] = {}
 
     def renew(self, times: pace.Pace) -> None:
-        """Opens new links in place of those that have gone silent.
+        """Replaces the links on which acknowledgements are overdue.
 
         Args:
-            times: The times that fit the size of the cell.
+            times: The intervals and timeouts for the size of the cell.
         """
         now_s = asyncio.get_running_loop().time()
         limit_s = times.suspect_s + 2 * times.interval_s
--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -1,4 +1,4 @@
-"""The blackboard's members: from the VM list, and from what is heard."""
+"""The blackboard's members, from the VM list and from received messages."""
 
 from __future__ import annotations
 
@@ -10,46 +10,55 @@
 from azureramp.policy import ownership, pace
 from azureramp.ports.vmlist import api as vmlist_api
 
-HEARD = (blackboard.MemberState.LIVE, blackboard.MemberState.LEAVING)
-"""The states of members that are heard."""
+IN_CONTACT = (blackboard.MemberState.LIVE, blackboard.MemberState.LEAVING)
+"""The states of members from which this VM receives messages."""
 
 
 class Members:
-    """Keeps `Blackboard.members`.
+    """Maintains `Blackboard.members`.
 
     Attributes:
-        leaving: True once this VM itself shuts down.
-        informed: True once this process has had time to hear the others.
-        pace: The times that fit the size of the list read last.
+        leaving: True once this VM shuts down.
+        informed: True once this process has had time to receive heartbeats.
+        pace: The intervals and timeouts for the size of the last VM list.
     """
 
-    __slots__ = ("_board", "_left", "_suspects", "informed", "leaving", "pace")
+    __slots__ = (
+        "_board",
+        "_leaving_vms",
+        "_suspects",
+        "informed",
+        "leaving",
+        "pace",
+    )
 
     def __init__(self, board: blackboard.Blackboard) -> None:
-        """Makes a table of nobody."""
+        """Creates a table without members."""
         self._board = board
-        self._left: set[str] = set()
+        self._leaving_vms: set[str] = set()
         self._suspects: dict[str, frozenset[str]] = {}
         self.leaving = False
         self.informed = False
         self.pace = self._compute_pace(1)
 
     def _compute_pace(self, vms: int) -> pace.Pace:
-        """Computes the times for a list of so many VMs."""
+        """Computes the intervals and timeouts for a number of VMs."""
         settings = self._board.settings
         return pace.compute_pace(
             vms, settings.heartbeat_ms, settings.suspect_ms, settings.lease_ms
         )
 
-    def hear(self, sender: str, incarnation: int) -> bool:
-        """Notes that a VM is heard.
+    def record_contact(self, sender: str, incarnation: int) -> bool:
+        """Records that a message of a VM was received.
 
-        An envelope of an earlier process of the same VM may still be on its
-        way when the new one runs. It says nothing of the new process, so its
-        heartbeat must not make a restarted VM look ready, or an owner.
+        An envelope of an earlier process of the same VM may still be in
+        transit when the new one runs. Its content doesn't apply to the new
+        process: its heartbeat must not mark a restarted VM as ready or as an
+        owner.
 
         Returns:
-            False if the VM is not known, or the process an earlier one.
+            False if the VM is not a member, or the message is from an earlier
+            process than the last one seen.
         """
         member = self._board.members.get(sender)
         if member is None or incarnation < member.incarnation:
@@ -59,10 +68,10 @@
             self._reset(member, incarnation)
         return True
 
-    def take_heartbeat(
+    def apply_heartbeat(
         self, member: blackboard.Member, message: messages.Heartbeat
     ) -> None:
-        """Takes what a VM tells of itself."""
+        """Applies the state that a VM reports in its heartbeat."""
         now_s = _now_s()
         member.ready = message.ready
         member.owns = message.owns
@@ -72,16 +81,17 @@
             member.searchers = message.searchers
         self._suspects[member.vm.name] = frozenset(message.suspects)
         if message.leaving:
-            self._left.add(member.vm.name)
+            self._leaving_vms.add(member.vm.name)
 
-    def take_acknowledgement(
+    def apply_acknowledgement(
         self, sender: str, sent_s: float, message: messages.HeartbeatAck
     ) -> None:
-        """Keeps what the newest acknowledgement says of the configuration.
+        """Stores the configuration state in the newest acknowledgement.
 
-        All of it counts from the sending of the heartbeat: however late the
-        acknowledgement is, it was true then or later. Late ones of an
-        earlier heartbeat, or of a process that has gone, change nothing.
+        Its content counts from the time when the heartbeat was sent: however
+        late the acknowledgement arrives, it was true then or later. An
+        acknowledgement of an earlier heartbeat or of an earlier process is
+        ignored.
         """
         member = self._board.members.get(sender)
         if member is None or sent_s < member.acknowledged_s:
@@ -95,11 +105,11 @@
             sent_s - message.confirmed_age_ms / 1000
         )
 
-    def take_list(self, listed: Mapping[str, vmlist_api.Vm]) -> None:
-        """Brings the members up to a VM list.
+    def apply_list(self, listed: Mapping[str, vmlist_api.Vm]) -> None:
+        """Updates the members from a VM list.
 
-        The list lags: a VM that it no longer names stays a member while it
-        is heard.
+        The list lags behind, so a VM that is no longer listed stays a member
+        as long as messages of it are received.
         """
         members = self._board.members
         self.pace = self._compute_pace(len(listed))
@@ -112,22 +122,26 @@
         for name in [name for name in members if name not in listed]:
             if members[name].heard_s < silent_s:
                 del members[name]
-                self._left.discard(name)
+                self._leaving_vms.discard(name)
                 self._suspects.pop(name, None)
 
-    def judge(self) -> None:
-        """Marks every member."""
+    def update_states(self) -> None:
+        """Updates the state of every member."""
         now_s = _now_s()
-        self._mark_own(now_s)
-        standings = policy.judge(
-            self._get_sightings(), now_s, self.pace.suspect_s
+        self._update_own(now_s)
+        states = policy.judge(
+            self._get_observations(), now_s, self.pace.suspect_s
         )
-        for name, standing in standings.items():
+        for name, standing in states.items():
             state = blackboard.MemberState(standing.value)
-            self._mark(self._board.members[name], state)
+            self._set_state(self._board.members[name], state)
 
-    def excuse(self, pause_s: float) -> None:
-        """Takes an own pause off the silence of the others, in seconds."""
+    def exclude_pause(self, pause_s: float) -> None:
+        """Excludes a pause of this process from the other VMs' silence.
+
+        Args:
+            pause_s: The duration of the pause, in seconds.
+        """
         now_s = _now_s()
         for member in self._board.members.values():
             member.heard_s = min(now_s, member.heard_s + pause_s)
@@ -135,15 +149,16 @@
     def get_candidates(self) -> list[ownership.Candidate]:
         """Returns the VMs that may own searchers, this one included.
 
-        A VM that has just begun knows neither searchers nor the other VMs.
-        Until it says that it takes searchers over, the present owners must
-        keep theirs: handed to it they would have no owner for a while.
+        A VM that has just started knows neither the searchers nor the other
+        VMs. Until it announces that it takes over searchers, the current
+        owners keep theirs: searchers handed to it would have no owner for a
+        while.
         """
         now_s = _now_s()
         members = self._board.members
         candidates = [
             ownership.Candidate(name, members[name].vm.zone)
-            for name, sighting in self._get_sightings().items()
+            for name, sighting in self._get_observations().items()
             if members[name].owns
             and policy.may_own(
                 policy.Standing(members[name].state.value), sighting, now_s
@@ -154,20 +169,20 @@
             candidates.append(ownership.Candidate(own.vm.name, own.vm.zone))
         return candidates
 
-    def get_unheard(self) -> tuple[str, ...]:
-        """Returns the names of the members that this VM does not hear."""
+    def get_unreachable(self) -> tuple[str, ...]:
+        """Returns the names of the members that this VM has no contact with."""
         return tuple(
             name
             for name, member in self._board.members.items()
-            if member.state not in HEARD
+            if member.state not in IN_CONTACT
         )
 
-    def _get_sightings(self) -> dict[str, policy.Sighting]:
-        """Returns what is known of the other VMs."""
+    def _get_observations(self) -> dict[str, policy.Sighting]:
+        """Returns the observations of the other VMs, by name."""
         return {
             name: policy.Sighting(
                 member.heard_s,
-                name in self._left,
+                name in self._leaving_vms,
                 self._suspects.get(name, frozenset()),
                 member.may_own_until_s,
             )
@@ -176,20 +191,20 @@
         }
 
     def _reset(self, member: blackboard.Member, incarnation: int) -> None:
-        """Forgets what an earlier process of a VM said of itself."""
+        """Clears the state that an earlier process of a VM reported."""
         name = member.vm.name
         member.incarnation = incarnation
         member.ready = False
         member.owns = False
         member.revision = 0
         member.searchers = ()
-        self._left.discard(name)
+        self._leaving_vms.discard(name)
         self._suspects.pop(name, None)
         member.state = blackboard.MemberState.LISTED
         self._record(member)
 
-    def _mark_own(self, now_s: float) -> None:
-        """Writes this VM's own entry."""
+    def _update_own(self, now_s: float) -> None:
+        """Updates this VM's own entry."""
         own = self._board.members.get(self._board.settings.vm)
         if own is None:
             return
@@ -206,12 +221,12 @@
         state = blackboard.MemberState.LIVE
         if self.leaving:
             state = blackboard.MemberState.LEAVING
-        self._mark(own, state)
+        self._set_state(own, state)
 
-    def _mark(
+    def _set_state(
         self, member: blackboard.Member, state: blackboard.MemberState
     ) -> None:
-        """Changes a member's state, and records it."""
+        """Sets a member's state; records a change in the timeline."""
         if member.state is not state:
             member.state = state
             self._record(member)
--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats: what each VM tells of itself, and hears of the others."""
+"""Heartbeats: announces this VM's state to the others and receives theirs."""
 
 from __future__ import annotations
 
@@ -17,34 +17,35 @@
 from azureramp.ports.vmlist import api as vmlist_api
 
 SEQUENCE_BITS = 10
-"""How far an incarnation is shifted to give the first sequence number. It
-counts microseconds, and a process sends far fewer than 1024 heartbeats in
-each."""
+"""Number of bits by which an incarnation is shifted to make the first sequence
+number. Incarnations count microseconds, and a process sends far fewer than
+1024 heartbeats per microsecond, so sequence numbers never repeat."""
 
 _logger = logbook.Logger("azureramp.membership")
 
 
 class Membership:
-    """Keeps this VM's view of the others.
+    """Maintains this VM's view of the other VMs.
 
     Attributes:
-        on_owners: Called after the owners or the times to start changed.
+        on_owners: Called after the owners, or the times from which this VM
+            may use its searchers, changed.
     """
 
     __slots__ = (
+        "_announced",
+        "_announced_revision",
         "_board",
-        "_due_s",
+        "_from_old_process",
         "_links",
         "_members",
+        "_next_heartbeat_s",
         "_outbox",
         "_ownership",
-        "_revision",
+        "_pending_acks",
         "_sequence",
-        "_stale",
         "_started_s",
-        "_told",
         "_vmlist",
-        "_waiting",
         "on_owners",
     )
 
@@ -54,49 +55,52 @@
         outbox: outbox_module.Outbox,
         vmlist: vmlist_api.VmList,
     ) -> None:
-        """Makes a controller that has heard of nobody."""
+        """Creates a controller without members; see `make`."""
         self._board = board
         self._outbox = outbox
         self._vmlist = vmlist
         self._members = members_module.Members(board)
         self._ownership: ownership.Ownership | None = None
         self._started_s = math.inf
-        self._due_s = math.inf
-        # An acknowledgement of the last process's heartbeat may still be on
-        # its way: with numbers that start anew it would pass for one of ours.
+        self._next_heartbeat_s = math.inf
+        # An acknowledgement of a heartbeat of this VM's previous process may
+        # still be in transit. If sequence numbers started at zero again, it
+        # would be accepted as one of this process's heartbeats.
         self._sequence = board.incarnation << SEQUENCE_BITS
-        self._stale = False
-        self._revision = 0
+        self._from_old_process = False
+        self._announced_revision = 0
         self._links = links.Links(board, outbox)
-        self._waiting: dict[str, messages.HeartbeatAck] = {}
-        self._told = telling.States()
+        self._pending_acks: dict[str, messages.HeartbeatAck] = {}
+        self._announced = telling.States()
         self.on_owners: Callable[[], None] | None = None
 
     def announce_leaving(self) -> None:
-        """Tells the other VMs that this one goes."""
+        """Announces to the other VMs that this one shuts down."""
         self._members.leaving = True
         self.update()
-        self._beat()
+        self._send_heartbeats()
 
     def receive_envelope(self, sender: str, incarnation: int) -> None:
-        """Notes that a VM is heard; see `inbox.Receivers`."""
-        self._notice_pause()
-        self._stale = not self._members.hear(sender, incarnation)
+        """Records contact with a VM; see `inbox.Receivers`."""
+        self._compensate_pause()
+        self._from_old_process = not self._members.record_contact(
+            sender, incarnation
+        )
 
     def receive_heartbeat(
         self, sender: str, message: messages.Heartbeat
     ) -> None:
-        """Takes a heartbeat and acknowledges it."""
+        """Applies a heartbeat and acknowledges it."""
         member = self._board.members.get(sender)
-        if member is None or self._stale:
+        if member is None or self._from_old_process:
             return
         state = member.state
         if self._ownership is not None:
             for names in message.lists:
                 self._ownership.window.inherit(names, _now_s())
-        self._members.take_heartbeat(member, message)
+        self._members.apply_heartbeat(member, message)
         if state is not blackboard.MemberState.LIVE or message.leaving:
-            self._members.judge()
+            self._members.update_states()
         self._acknowledge(sender, member, message)
         if member.state is not state:
             self.update()
@@ -104,44 +108,44 @@
     def receive_heartbeat_ack(
         self, sender: str, message: messages.HeartbeatAck
     ) -> None:
-        """Counts an acknowledgement towards the lease."""
-        if self._stale or self._ownership is None:
+        """Applies an acknowledgement and counts it towards the lease."""
+        if self._from_old_process or self._ownership is None:
             return
         sent_s = self._ownership.lease.get_sent_s(message.sequence)
         if sent_s is not None:
-            self._members.take_acknowledgement(sender, sent_s, message)
+            self._members.apply_acknowledgement(sender, sent_s, message)
             self._ownership.record_ack(sender, message, _now_s())
 
     async def run(self) -> None:
-        """Reads the list and sends heartbeats, forever."""
+        """Reads the VM list and sends heartbeats, forever."""
         self._start(_now_s())
         async with asyncio.TaskGroup() as group:
             group.create_task(self._read_lists())
-            group.create_task(self._beat_on())
+            group.create_task(self._run_heartbeats())
 
     def update(self) -> None:
-        """Judges the members and computes the owners again."""
+        """Updates the members' states and the owners."""
         if self._ownership is None:
             return
         now_s = _now_s()
-        self._notice_pause()
-        self._members.judge()
-        if not self._knows_enough(now_s):
+        self._compensate_pause()
+        self._members.update_states()
+        if not self._is_informed(now_s):
             return
         if not self._members.informed:
             self._members.informed = True
-            self._members.judge()
+            self._members.update_states()
         candidates = self._members.get_candidates()
         changed = self._ownership.update_owners(candidates, now_s)
         self._ownership.update_lease(now_s)
         if changed:
-            self._beat()
+            self._send_heartbeats()
 
     def _start(self, now_s: float) -> None:
-        """Begins, promising nothing for one lease length.
+        """Starts without granting any lease for one lease duration.
 
-        When `run` is called again after a bug, the promises already made
-        must hold, so the state is kept.
+        If `run` is called again after a failure, the state is kept, since the
+        leases already granted must stay valid.
         """
         if self._ownership is not None:
             return
@@ -155,11 +159,11 @@
         if self.on_owners is not None:
             self.on_owners()
 
-    def _knows_enough(self, now_s: float) -> bool:
-        """Tells whether this process has had time to hear the others.
+    def _is_informed(self, now_s: float) -> bool:
+        """Returns True if this process has had time to receive heartbeats.
 
-        One that has just begun has heard nobody yet, and would take itself
-        for the owner of everything.
+        A process that has just started has received none yet, and would
+        compute itself as the owner of all searchers.
         """
         if now_s >= self._started_s + self._members.pace.suspect_s:
             return True
@@ -173,45 +177,51 @@
         while True:
             result = await self._vmlist.read()
             if result.is_ok():
-                self._take_list({vm.name: vm for vm in result.ok})
+                self._apply_list({vm.name: vm for vm in result.ok})
             else:
-                _logger.info("the VM list can't be read: {}", result.error)
+                _logger.info("cannot read the VM list: {}", result.error)
             await asyncio.sleep(ownership.READ_LIST_S)
 
-    def _take_list(self, listed: dict[str, vmlist_api.Vm]) -> None:
-        """Brings the members and the majorities up to a VM list."""
+    def _apply_list(self, listed: dict[str, vmlist_api.Vm]) -> None:
+        """Updates the members and the majorities from a VM list."""
         if self._ownership is not None and listed:
             self._ownership.window.record(listed, _now_s())
-        self._members.take_list(listed)
+        self._members.apply_list(listed)
         if self._ownership is not None:
             self._ownership.set_pace(self._members.pace)
         self.update()
 
-    async def _beat_on(self) -> None:
+    async def _run_heartbeats(self) -> None:
         """Sends heartbeats, forever."""
         while True:
             self.update()
             self._links.renew(self._members.pace)
-            self._beat()
+            self._send_heartbeats()
             interval_s = self._members.pace.interval_s
-            self._due_s = _now_s() + interval_s
+            self._next_heartbeat_s = _now_s() + interval_s
             await asyncio.sleep(interval_s)
 
-    def _notice_pause(self) -> None:
-        """Excuses the others' silence by an own pause, before any judging.
+    def _compensate_pause(self) -> None:
+        """Detects a pause of this process and compensates for it.
 
-        Whatever the process does first when it goes on comes here: the timer
-        of the heartbeat need not be the first to fire.
+        Other VMs must not become suspects because this process was paused.
+        Called before each evaluation and for each envelope, because after a
+        pause the heartbeat timer isn't necessarily the first callback to run.
         """
         now_s = _now_s()
         interval_s = self._members.pace.interval_s
-        pause_s = policy.compute_pause(self._due_s, now_s, interval_s)
+        pause_s = policy.compute_pause(
+            self._next_heartbeat_s, now_s, interval_s
+        )
         if pause_s > 0.0:
-            self._members.excuse(pause_s)
-            self._due_s = now_s
+            self._members.exclude_pause(pause_s)
+            self._next_heartbeat_s = now_s
 
-    def _beat(self) -> None:
-        """Sends a heartbeat to every other VM, and grants this VM's own."""
+    def _send_heartbeats(self) -> None:
+        """Sends a heartbeat to every other VM, and grants it for this VM.
+
+        Acknowledgements that waited for the heartbeat are sent with it.
+        """
         if self._ownership is None:
             return
         now_s = _now_s()
@@ -219,12 +229,12 @@
         heartbeat = self._make_heartbeat(self._ownership, now_s)
         self._ownership.lease.record_sent(self._sequence, now_s)
         own = self._board.settings.vm
-        waiting, self._waiting = self._waiting, {}
+        pending, self._pending_acks = self._pending_acks, {}
         for name in self._board.members:
             if name != own:
                 self._outbox.send(name, heartbeat)
-                if name in waiting:
-                    self._outbox.send(name, waiting[name])
+                if name in pending:
+                    self._outbox.send(name, pending[name])
         if not self._members.leaving:
             holder = leases.Holder(own, self._board.incarnation)
             ack = self._ownership.grant(holder, heartbeat, now_s)
@@ -243,19 +253,19 @@
             revision=board.configuration.revision,
             confirmed_age_ms=(now_s - board.confirmed_s) * 1000,
             lease_ms=self._members.pace.lease_s * 1000,
-            searchers=self._told.choose(tuple(board.owned.values())),
+            searchers=self._announced.choose(tuple(board.owned.values())),
             claims=tuple(owning.lease.get_claims()),
             lists=owning.get_lists_to_tell(),
-            suspects=self._members.get_unheard(),
+            suspects=self._members.get_unreachable(),
             owns=own is not None and own.owns,
             urgent=self._is_urgent(owning, now_s),
         )
 
     def _is_urgent(self, owning: ownership.Ownership, now_s: float) -> bool:
-        """Tells whether somebody waits for the acknowledgements."""
+        """Returns True if a change or a lease waits for acknowledgements."""
         revision = self._board.configuration.revision
-        changed = revision != self._revision
-        self._revision = revision
+        changed = revision != self._announced_revision
+        self._announced_revision = revision
         return changed or self._members.leaving or owning.waits(now_s)
 
     def _acknowledge(
@@ -264,10 +274,10 @@
         member: blackboard.Member,
         message: messages.Heartbeat,
     ) -> None:
-        """Answers a heartbeat; a VM that leaves promises nothing more.
+        """Acknowledges a heartbeat; a leaving VM grants no further leases.
 
-        An answer that is not urgent travels with our own next heartbeat,
-        since an envelope costs more than what is in it.
+        An acknowledgement that is not urgent is sent with this VM's next
+        heartbeat, since an envelope costs more than its content.
         """
         if self._ownership is None:
             return
@@ -281,7 +291,7 @@
         if message.urgent:
             self._outbox.send(sender, ack)
         else:
-            self._waiting[sender] = ack
+            self._pending_acks[sender] = ack
 
 
 def _now_s() -> float:
@@ -293,5 +303,5 @@
     outbox: outbox_module.Outbox,
     vmlist: vmlist_api.VmList,
 ) -> Membership:
-    """Makes the membership controller of one daemon."""
+    """Creates the membership controller of one daemon."""
     return Membership(board, outbox, vmlist)
