--- a/src/azureramp/controllers/inbox.py
+++ b/src/azureramp/controllers/inbox.py
@@ -1,4 +1,4 @@
-"""Receiving from the other daemons: each message goes to its controller."""
+"""Passes messages received from other daemons to the controllers."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from azureramp import blackboard, messages
 
 Receiver = Callable[[str, Any], None]
-"""Takes the sending VM's name and the message."""
+"""Called with the sending VM's name and the message."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Receivers:
-    """Who takes which message, by the message's type.
+    """The receivers of peer messages.
 
     Attributes:
-        by_type: A receiver for each type of peer message.
-        envelope: Sees each envelope first: its sender and incarnation.
+        by_type: The receiver for each type of peer message.
+        envelope: Called with the sender and the incarnation of each envelope,
+            before its messages are passed on.
     """
 
     by_type: dict[type[messages.PeerMessage], Receiver]
@@ -26,26 +27,26 @@
 
 
 class Inbox:
-    """Hands messages to the controllers."""
+    """Dispatches received messages to the controllers."""
 
     __slots__ = ("_board", "_receivers")
 
     def __init__(
         self, board: blackboard.Blackboard, receivers: Receivers
     ) -> None:
-        """Makes an inbox for these receivers."""
+        """Creates an inbox for a set of receivers."""
         self._board = board
         self._receivers = receivers
 
     def receive(self, envelope: messages.Envelope) -> None:
-        """Takes an envelope from a port."""
+        """Dispatches the messages of an envelope, in order."""
         self._board.timeline.observe_clock(envelope.clock)
         self._receivers.envelope(envelope.sender, envelope.incarnation)
         for message in envelope.messages:
             self.receive_one(envelope.sender, message)
 
     def receive_one(self, sender: str, message: messages.PeerMessage) -> None:
-        """Takes one message; one that nobody receives is ignored."""
+        """Dispatches one message; ignores one without a receiver."""
         receiver = self._receivers.by_type.get(type(message))
         if receiver is not None:
             receiver(sender, message)
--- a/src/azureramp/controllers/outbox.py
+++ b/src/azureramp/controllers/outbox.py
@@ -1,8 +1,8 @@
-"""Sending to the other daemons, batched.
+"""Sends messages to the other daemons in batches.
 
-All messages that one turn of the event loop makes for one peer travel in one
-envelope: a message between processes costs more processor time than its
-content, so the batch is what makes an owner's hop affordable.
+All messages for one peer from one iteration of the event loop are sent in one
+envelope. An envelope between processes costs more CPU time than its content,
+so batching is what makes the extra hop through an owner affordable.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from azureramp import blackboard, messages
 from azureramp.ports.peers import api as peers_api
 
-Local = Callable[[str, messages.PeerMessage], None]
+LocalReceiver = Callable[[str, messages.PeerMessage], None]
 
 
 class Outbox:
     """Batches messages by peer.
 
     Attributes:
-        local: Takes the messages that this VM sends to itself, with the
-            sender's name; set by the wiring.
+        local: Called with the sender's name and each message that this VM
+            sends to itself; set by `daemon.wiring`.
     """
 
     __slots__ = ("_board", "_pending", "_port", "local")
@@ -29,21 +29,22 @@
     def __init__(
         self, board: blackboard.Blackboard, port: peers_api.Peers
     ) -> None:
-        """Makes an outbox that sends through a port."""
+        """Creates an outbox that sends through a port."""
         self._board = board
         self._port = port
         self._pending: dict[str, list[messages.PeerMessage]] = {}
-        self.local: Local | None = None
+        self.local: LocalReceiver | None = None
 
     def send(self, vm: str, message: messages.PeerMessage) -> bool:
-        """Sends a message, at the end of this turn of the loop.
+        """Sends a message in the next iteration of the event loop.
 
         Args:
-            vm: The receiving VM's name; this VM's own is delivered here.
+            vm: The receiving VM's name; messages to this VM itself are passed
+                to `local`.
             message: The message.
 
         Returns:
-            False if the VM is not known, so that nothing is sent.
+            False if the VM is not a member, so that nothing is sent.
         """
         if vm != self._board.settings.vm and vm not in self._board.members:
             return False
@@ -53,14 +54,14 @@
         return True
 
     def reconnect(self, vm: str) -> None:
-        """Gives the link to a VM up and opens a new one."""
+        """Closes the link to a VM and opens a new one."""
         member = self._board.members.get(vm)
         if member is not None:
             self._board.metrics.count("peer.reconnects")
             self._port.reconnect(member.vm.peer_address)
 
     def _flush(self) -> None:
-        """Hands each peer's messages to the port, as one envelope."""
+        """Passes each peer's messages to the port as one envelope."""
         pending, self._pending = self._pending, {}
         for vm, batch in pending.items():
             if vm == self._board.settings.vm:
--- a/src/azureramp/controllers/serving.py
+++ b/src/azureramp/controllers/serving.py
@@ -1,4 +1,4 @@
-"""Whether this VM takes new work from callers."""
+"""Decides whether this VM accepts new work from callers."""
 
 from __future__ import annotations
 
@@ -7,27 +7,31 @@
 
 from azureramp import blackboard, events, resources
 
-HEAR_S = 3.0
-"""Longest time for which a VM that starts waits for the owners' word."""
+MAX_STATES_WAIT_S = 3.0
+"""Maximum time for which a starting VM waits for the owners' announcements of
+searcher states, in seconds."""
 
 
 class Controller:
-    """Keeps `board.serving`, from the rest of the board alone."""
+    """Derives `board.serving` from the rest of the blackboard."""
 
-    __slots__ = ("_board", "_knows", "_until_s")
+    __slots__ = ("_board", "_has_states", "_wait_until_s")
 
     def __init__(self, board: blackboard.Blackboard) -> None:
-        """Makes a controller of one process's state."""
+        """Creates the controller for one process's blackboard."""
         self._board = board
-        self._knows = False
-        self._until_s = math.inf
+        self._has_states = False
+        self._wait_until_s = math.inf
 
     def update(self) -> None:
-        """Decides again, after a change or some time."""
+        """Updates the state; call it after each change and periodically."""
         board = self._board
         now_s = asyncio.get_running_loop().time()
         decided = decide(board, now_s)
-        if decided is blackboard.Serving.READY and not self._has_heard(now_s):
+        if (
+            decided is blackboard.Serving.READY
+            and not self._has_searcher_states(now_s)
+        ):
             decided = blackboard.Serving.STARTING
         if decided is board.serving:
             return
@@ -39,31 +43,34 @@
             now_s,
         )
 
-    def _has_heard(self, now_s: float) -> bool:
-        """Tells whether this VM knows enough of the searchers to begin.
+    def _has_searcher_states(self, now_s: float) -> bool:
+        """Returns True if this VM knows enough of the searchers to start.
 
-        One that has just started has its configuration before the owners
-        have told it of their searchers. If it were advertised then, its
-        first callers would be told that no index version is served. It waits
-        for every owner's word, but not for long: one that is silent must not
-        keep a VM out.
+        A VM that has just started has its configuration before the owners
+        have announced their searchers' states. If it were advertised by then,
+        its first callers would get the error that no index version is served.
+        It waits until all owners have announced theirs, but for a limited
+        time: an owner that doesn't respond must not keep a VM out of service.
         """
         board = self._board
-        if not self._knows:
-            self._until_s = min(self._until_s, now_s + HEAR_S)
+        if not self._has_states:
+            self._wait_until_s = min(
+                self._wait_until_s, now_s + MAX_STATES_WAIT_S
+            )
             states = board.get_searcher_states()
             declared = bool(board.configuration.get_backend_servers())
-            told = all(name in states for name in board.owners)
-            heard = told and (bool(board.owners) or not declared)
-            self._knows = heard or now_s >= self._until_s
-        return self._knows
+            announced = all(name in states for name in board.owners)
+            complete = announced and (bool(board.owners) or not declared)
+            self._has_states = complete or now_s >= self._wait_until_s
+        return self._has_states
 
 
 def decide(board: blackboard.Blackboard, now_s: float) -> blackboard.Serving:
-    """Decides whether a VM takes new work.
+    """Decides whether a VM accepts new work.
 
-    A leaving VM stays leaving. One whose configuration may be outdated can't
-    know whether its zone is still out, so that it is stale is told first.
+    A leaving VM stays in that state. `STALE` takes precedence over `ZONE_OUT`,
+    since a VM whose configuration may be outdated doesn't know whether its
+    zone is still out.
     """
     if board.serving is blackboard.Serving.LEAVING:
         return blackboard.Serving.LEAVING
@@ -78,5 +85,5 @@
 
 
 def make(board: blackboard.Blackboard) -> Controller:
-    """Makes the serving controller of one process."""
+    """Creates the serving controller of one process."""
     return Controller(board)
--- a/src/azureramp/controllers/shutdown.py
+++ b/src/azureramp/controllers/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: unadvertise, hand off, finish what runs, close."""
+"""Graceful shutdown: unadvertise, hand off, finish running work, close."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 _T = TypeVar("_T")
 
 
-class Leaver(Protocol):
-    """What the membership controller offers here."""
+class LeaveAnnouncer(Protocol):
+    """The part of the membership controller that is used here."""
 
     def announce_leaving(self) -> None:
-        """Tells the other VMs that this one goes."""
+        """Announces to the other VMs that this one shuts down."""
 
 
 class Drainer(Protocol):
-    """What the owner and the records offer here."""
+    """The part of the owner and of the records that is used here."""
 
     async def drain(self, limit_s: float) -> None:
-        """Ends what runs, within a limit in seconds."""
+        """Waits until running work ends, up to a limit in seconds."""
 
 
-class Stopper(Protocol):
-    """What the HTTP server offers here."""
+class StoppableServer(Protocol):
+    """The part of the HTTP server that is used here."""
 
     running: int
     closing: bool
 
     async def stop(self, limit_s: float) -> int:
-        """Stops gracefully; returns how many requests were cut."""
+        """Stops gracefully; returns the number of aborted requests."""
 
 
 class Shutdown:
     """Stops one daemon.
 
-    The order matters: the VM is named to no caller any more before it
-    refuses anything, and stays until the last answer that named it has
-    lapsed, so that no caller finds it gone.
+    The order matters: the VM is no longer advertised to callers before it
+    refuses any request, and it keeps running until the last address answer
+    that contains it has expired, so that no caller finds it gone.
     """
 
     __slots__ = (
+        "_abort",
         "_board",
-        "_cutting",
         "_end_s",
         "_membership",
         "_owner",
@@ -56,85 +56,87 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        membership: Leaver,
+        membership: LeaveAnnouncer,
         owner: Drainer,
         records: Drainer,
-        server: Stopper,
+        server: StoppableServer,
     ) -> None:
-        """Makes a shutdown that has not begun."""
+        """Creates a shutdown that has not started; see `run`."""
         self._board = board
         self._membership = membership
         self._owner = owner
         self._records = records
         self._server = server
         self._end_s = 0.0
-        self._cutting = asyncio.Event()
+        self._abort = asyncio.Event()
 
-    async def run(self, cutting: asyncio.Event | None = None) -> int:
+    async def run(self, abort: asyncio.Event | None = None) -> int:
         """Stops gracefully.
 
         Args:
-            cutting: Set once running work is to be cut, as by a second
-                signal.
+            abort: Set once running work is to be aborted, for example by a
+                second signal.
 
         Returns:
-            How many requests were cut; 0 unless the hard limit was reached
-            or `cutting` was set.
+            The number of aborted requests; 0 unless the hard limit was
+            reached or `abort` was set.
         """
-        self._cutting = cutting or self._cutting
+        self._abort = abort or self._abort
         settings = self._board.settings
         self._end_s = _now_s() + settings.drain_ms / 1000
         self._membership.announce_leaving()
         self._server.closing = True
         self._record("unadvertised")
-        await self._stay()
+        await self._wait_for_address_expiry()
         self._record("handing_off")
         self._board.serving = blackboard.Serving.LEAVING
         self._record("draining")
-        cut = await self._stop_server()
-        await self._limit(self._owner.drain(self._get_left_s()))
-        await self._limit(self._records.drain(self._get_left_s()))
-        if cut:
-            self._record("cut", cut)
+        aborted = await self._stop_server()
+        await self._run_step(self._owner.drain(self._get_left_s()))
+        await self._run_step(self._records.drain(self._get_left_s()))
+        if aborted:
+            self._record("cut", aborted)
         self._record("stopped")
-        return cut
+        return aborted
 
-    async def _stay(self) -> None:
-        """Serves on until no caller's address answer names this VM.
+    async def _wait_for_address_expiry(self) -> None:
+        """Continues to serve until no caller's address answer contains this VM.
 
-        Other VMs name it until they hear that it leaves, at the latest by
-        the list, and callers keep an answer for its lifetime. Every answer
-        meanwhile closes its connection, so that in the end none is left that
-        a caller might just be using.
+        Other VMs advertise it until they learn that it leaves, at the latest
+        from the VM list, and callers keep an answer for its lifetime. In the
+        meantime every response closes its connection, so that at the end no
+        connection is left that a caller might be using.
         """
         settings = self._board.settings
-        stay_s = (settings.address_lifetime_ms + settings.list_lag_ms) / 1000
-        limit_s = min(stay_s, self._get_left_s())
-        await self._limit(asyncio.sleep(limit_s))
+        expiry_s = (settings.address_lifetime_ms + settings.list_lag_ms) / 1000
+        limit_s = min(expiry_s, self._get_left_s())
+        await self._run_step(asyncio.sleep(limit_s))
 
     async def _stop_server(self) -> int:
-        """Ends what runs; returns how many requests were cut."""
+        """Stops the server; returns the number of aborted requests."""
         stopping = asyncio.ensure_future(self._server.stop(self._get_left_s()))
-        cut = asyncio.ensure_future(self._cutting.wait())
-        await asyncio.wait({stopping, cut}, return_when=asyncio.FIRST_COMPLETED)
-        cut.cancel()
+        aborted = asyncio.ensure_future(self._abort.wait())
+        await asyncio.wait(
+            {stopping, aborted}, return_when=asyncio.FIRST_COMPLETED
+        )
+        aborted.cancel()
         if not stopping.done():
             stopping.cancel()
             await asyncio.wait({stopping})
             return await self._server.stop(0.0)
         return stopping.result()
 
-    async def _limit(self, work: Coroutine[Any, Any, _T]) -> None:
-        """Runs a step, to its end or until work is to be cut."""
+    async def _run_step(self, work: Coroutine[Any, Any, _T]) -> None:
+        """Runs a step until it ends or running work is to be aborted."""
         step = asyncio.ensure_future(work)
-        cut = asyncio.ensure_future(self._cutting.wait())
-        await asyncio.wait({step, cut}, return_when=asyncio.FIRST_COMPLETED)
-        for task in (step, cut):
+        aborted = asyncio.ensure_future(self._abort.wait())
+        await asyncio.wait({step, aborted}, return_when=asyncio.FIRST_COMPLETED)
+        for task in (step, aborted):
             task.cancel()
-        await asyncio.wait({step, cut})
+        await asyncio.wait({step, aborted})
 
     def _get_left_s(self) -> float:
-        """Returns the time left to the hard limit, in seconds."""
+        """Returns the time left until the hard limit, in seconds."""
         return max(0.0, self._end_s - _now_s())
 
     def _record(self, step: str, running: int | None = None) -> None:
@@ -152,10 +154,10 @@
 
 def make(
     board: blackboard.Blackboard,
-    membership: Leaver,
+    membership: LeaveAnnouncer,
     owner: Drainer,
     records: Drainer,
-    server: Stopper,
+    server: StoppableServer,
 ) -> Shutdown:
-    """Makes the graceful shutdown of one daemon."""
+    """Creates the graceful shutdown of one daemon."""
     return Shutdown(board, membership, owner, records, server)
