--- a/src/azureramp/controllers/caller_api.py
+++ b/src/azureramp/controllers/caller_api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: identity, checks of the input, answers."""
+"""The callers' HTTP interface: authentication, input checks, responses."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         "_board",
         "_coordinator",
         "_execute_decoder",
-        "_next",
+        "_next_number",
         "_orders",
         "_prefix",
         "_query_decoder",
@@ -40,7 +40,7 @@
         coordinator: coordinator_controller.Coordinator,
         rng: random.Random,
     ) -> None:
-        """Makes the interface; see `make`."""
+        """Creates the interface; see `make`."""
         self._board = board
         self._orders = addresses.Orders()
         self._coordinator = coordinator
@@ -48,7 +48,7 @@
         self._execute_decoder = msgspec.json.Decoder(caller_input.ExecuteBody)
         nonce = f"{rng.getrandbits(32):08x}"
         self._prefix = f"{board.settings.vm}-{board.incarnation}-{nonce}"
-        self._next = 0
+        self._next_number = 0
 
     async def handle(self, request: web_api.Request) -> web_api.Response:
         """Answers one request.
@@ -57,7 +57,7 @@
             request: The request.
 
         Returns:
-            The response; its body always has a stable code if it is an error.
+            The response; the body of an error always has a stable code.
         """
         self._board.running += 1
         self._board.metrics.set_gauge("request.running", self._board.running)
@@ -67,10 +67,10 @@
             self._board.running -= 1
 
     async def _route(self, request: web_api.Request) -> web_api.Response:
-        """Finds what was asked for."""
+        """Dispatches a request by its method and path."""
         match request.method, request.path:
             case web_api.UNREADABLE, path:
-                return answers.make_error(_read_bad_request(path))
+                return answers.make_error(_make_server_failure(path))
             case "POST", "/v1/query":
                 return await self._query(request)
             case "POST", "/v1/execute":
@@ -143,7 +143,7 @@
         return self._make_response(result, execute.request_id, caller)
 
     def _answer_addresses(self, request: web_api.Request) -> web_api.Response:
-        """Answers GET /v1/addresses, also while this VM takes no work."""
+        """Answers GET /v1/addresses, even while this VM accepts no work."""
         identified = self._identify(request)
         if identified.is_error():
             return self._make_error(identified.error, None)
@@ -157,11 +157,11 @@
     def _identify(
         self, request: web_api.Request
     ) -> expression.Result[resources.Caller, errors.Failure]:
-        """Finds the caller.
+        """Identifies the caller by its token.
 
-        A VM whose configuration may be old must not tell a new caller that
-        its token is unknown, which says never to ask again: it sends it to
-        the others instead.
+        A VM whose configuration may be outdated must not answer
+        `UNAUTHENTICATED` to a caller that it doesn't know yet, since that
+        means not to retry. It directs the caller to other VMs instead.
         """
         authorization = request.headers.get("authorization", "")
         table = self._coordinator.get_topology()
@@ -173,14 +173,14 @@
         return identified
 
     def _is_stale(self) -> bool:
-        """Tells whether the configuration may lack a new caller."""
+        """Returns True if the configuration may lack a new caller."""
         return self._board.serving in (
             blackboard.Serving.STARTING,
             blackboard.Serving.STALE,
         )
 
     def _check_serving(self) -> errors.Failure | None:
-        """Refuses while this VM takes no new work."""
+        """Returns a failure while this VM accepts no new work."""
         match self._board.serving:
             case blackboard.Serving.READY:
                 return None
@@ -192,17 +192,17 @@
                 return errors.Failure(errors.Kind.STALE_CONFIGURATION)
 
     def _make_request_id(self) -> str:
-        """Makes an id that no other VM or process makes.
+        """Makes an id that is unique among all VMs and processes.
 
-        A clock that was set back may give two processes of a VM the same
-        incarnation; a result meant for the first must not match a request
-        of the second, so the ids carry a random part too.
+        After a clock has been set back, two processes of a VM may have the
+        same incarnation. A result for the first must not match a request of
+        the second, so the ids contain a random part too.
         """
-        self._next += 1
-        return f"{self._prefix}-{self._next}"
+        self._next_number += 1
+        return f"{self._prefix}-{self._next_number}"
 
     def _order_addresses(self, caller: resources.Caller) -> tuple[str, ...]:
-        """Orders the VMs that this caller should use."""
+        """Returns the addresses of the VMs for a caller, best first."""
         table = self._coordinator.get_topology()
         members = self._board.members
         eligible = addresses.choose_eligible(
@@ -235,7 +235,7 @@
         request_id: str,
         caller: resources.Caller,
     ) -> web_api.Response:
-        """Makes the response to a request that was tried."""
+        """Makes the response to a request that the coordinator has run."""
         match result:
             case expression.Result(tag="ok", ok=answer):
                 return answers.make_ok(answer)
@@ -248,7 +248,7 @@
         caller: resources.Caller | None,
         request_id: str = "",
     ) -> web_api.Response:
-        """Makes an error's response; only a known caller gets addresses."""
+        """Makes an error response; only an identified caller gets addresses."""
         others: tuple[str, ...] = ()
         wanted = failure.get_answer().retry is errors.Retry.OTHER_ADDRESS
         if caller is not None and wanted:
@@ -263,21 +263,22 @@
     coordinator: coordinator_controller.Coordinator,
     rng: random.Random,
 ) -> CallerApi:
-    """Makes the callers' interface.
+    """Creates the callers' interface.
 
     Args:
         board: The process's state.
         coordinator: Runs the requests.
-        rng: Draws what makes this process's request ids its own.
+        rng: Source of the random part of this process's request ids.
     """
     return CallerApi(board, coordinator, rng)
 
 
-def _read_bad_request(path: str) -> errors.Failure:
-    """Reads what the HTTP server refused: its status is the path.
+def _make_server_failure(path: str) -> errors.Failure:
+    """Makes the failure for a request that the HTTP server refused.
 
-    A handler that failed by a fault may have sent work before, so that must
-    not be told as a bad request, which says that nothing ran.
+    The server passes its status as the path. A handler that failed because of
+    a bug may have sent work before, so it must not be answered as a bad
+    request, which means that nothing ran.
     """
     if path == "/500":
         return errors.Failure(errors.Kind.INTERNAL)
--- a/src/azureramp/controllers/caller_input.py
+++ b/src/azureramp/controllers/caller_input.py
@@ -1,4 +1,4 @@
-"""What callers may send: the bodies' shapes and the bounds."""
+"""Validation of callers' input: body schemas and limits."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from azureramp.ports.web import api as web_api
 
 MAX_BODY_BYTES = 262_144
-"""Largest body of a request, in bytes."""
+"""Maximum size of a request body, in bytes."""
 
 MAX_KEY_CHARACTERS = 200
-"""Longest idempotency key."""
+"""Maximum length of an idempotency key."""
 
 MAX_DEADLINE_MS = 600_000
 
@@ -26,15 +26,15 @@
 class QueryBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The body of POST /v1/query.
 
-    An unknown field is refused: a misspelt `minimum_coverage` must not turn
-    into none.
+    Unknown fields are refused: a misspelt `minimum_coverage` must not be
+    treated as if there were none.
 
     Attributes:
         service: The service's name.
         index: The index.
         query: The query, any JSON.
         deadline_ms: How long the caller waits, in milliseconds.
-        minimum_coverage: The least coverage that it takes.
+        minimum_coverage: The minimum coverage that the caller accepts.
     """
 
     service: _Name
@@ -63,7 +63,7 @@
 
 
 def check_size(request: web_api.Request) -> errors.Failure | None:
-    """Refuses a body that is too large."""
+    """Returns a failure if the body is too large."""
     if len(request.body) > MAX_BODY_BYTES:
         return errors.Failure(
             errors.Kind.TOO_LARGE, f"most is {MAX_BODY_BYTES} bytes"
@@ -72,7 +72,7 @@
 
 
 def check_key(key: str) -> errors.Failure | None:
-    """Refuses an idempotency key that is missing or not plain."""
+    """Returns a failure if an idempotency key is missing or invalid."""
     if not 0 < len(key) <= MAX_KEY_CHARACTERS:
         return errors.Failure(
             errors.Kind.BAD_REQUEST,
@@ -86,7 +86,7 @@
 
 
 def describe(error: Exception) -> errors.Failure:
-    """Makes a refusal of a body that can't be read."""
+    """Makes the failure for a body that could not be decoded."""
     match error:
         case msgspec.MsgspecError() | UnicodeError():
             detail = str(error)[:200]
--- a/src/azureramp/controllers/directory.py
+++ b/src/azureramp/controllers/directory.py
@@ -1,4 +1,4 @@
-"""Where each searcher is, and the policy, kept until they change."""
+"""Cached lookup of searchers' locations and the policy in force."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Place:
-    """A searcher with its backend server and its availability zone.
+    """A searcher with its backend server.
 
     Attributes:
         searcher: The searcher.
         server: Its backend server.
-        refusal: Why it takes no new work: `ZONE_OUT` or `LEAVING`; None if
-            it takes some.
+        refusal: Why it accepts no new work: `ZONE_OUT` or `LEAVING`; None if
+            it accepts work.
     """
 
     searcher: resources.Searcher
@@ -24,19 +24,22 @@
 
 
 class Directory:
-    """What an owner needs of the configuration, made anew as it changes."""
+    """The parts of the configuration that an owner needs.
 
-    __slots__ = ("_board", "_made_from", "_places", "_policy")
+    They are recomputed when the configuration changes.
+    """
+
+    __slots__ = ("_board", "_places", "_policy", "_source")
 
     def __init__(self, board: blackboard.Blackboard) -> None:
-        """Makes the directory of a process."""
+        """Creates the directory of a process."""
         self._board = board
-        self._made_from: tuple[int, int, int] | None = None
+        self._source: tuple[int, int, int] | None = None
         self._places: dict[str, Place] = {}
         self._policy = resources.Policy(name="default")
 
     def get_places(self) -> dict[str, Place]:
-        """Returns the places by the searchers' names."""
+        """Returns the searchers with their servers, by searcher name."""
         self._refresh()
         return self._places
 
@@ -46,21 +49,21 @@
         return self._policy
 
     def _refresh(self) -> None:
-        """Reads the configuration if it isn't the one read last."""
+        """Updates the cache if the configuration has changed."""
         configuration = self._board.configuration
-        made_from = (
+        source = (
             id(configuration),
             configuration.revision,
             len(configuration.entries),
         )
-        if made_from != self._made_from:
-            self._made_from = made_from
+        if source != self._source:
+            self._source = source
             self._places = _make_places(configuration)
             self._policy = configuration.get_policy()
 
 
 def _make_places(configuration: resources.Configuration) -> dict[str, Place]:
-    """Makes the places of all searchers."""
+    """Returns all searchers with their servers, by searcher name."""
     zones = configuration.get_zones()
     places = {}
     for server in configuration.get_backend_servers().values():
@@ -73,7 +76,7 @@
 def _get_refusal(
     server: resources.BackendServer, zone: resources.Zone | None
 ) -> errors.Kind | None:
-    """Tells why a backend server takes no new work."""
+    """Returns why a backend server accepts no new work; None if it does."""
     if zone is not None and zone.state is resources.ZoneState.OUT:
         return errors.Kind.ZONE_OUT
     if server.state is resources.ServerState.LEAVING:
--- a/src/azureramp/controllers/request_log.py
+++ b/src/azureramp/controllers/request_log.py
@@ -1,4 +1,4 @@
-"""The timeline's and the metrics' account of callers' requests."""
+"""Records callers' requests in the timeline and the metrics."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class RequestLog:
-    """Records each request's admission and answer."""
+    """Records the admission and the answer of each request."""
 
     __slots__ = ("_board",)
 
     def __init__(self, board: blackboard.Blackboard) -> None:
-        """Makes a log on a process's timeline."""
+        """Creates a log that writes to a process's timeline."""
         self._board = board
 
     def record_admitted(
@@ -31,7 +31,7 @@
         version: int,
         idempotency_key: str = "",
     ) -> None:
-        """Records that a request begins on a version, at first or anew."""
+        """Records that a request starts, or restarts, on an index version."""
         event = events.RequestAdmitted(
             request_id=asked.request_id,
             caller=asked.caller.name,
@@ -78,14 +78,15 @@
         version: int,
         started_s: float,
     ) -> None:
-        """Records and counts the answer to what may not be repeated.
+        """Records and counts the answer to a non-idempotent request.
 
         Args:
-            request_id: The request.
+            request_id: The id of the request.
             idempotency_key: The caller's key.
             result: The answer.
-            version: The index version that it ran on; 0 if another did.
-            started_s: When the request came.
+            version: The index version that it ran on; 0 if the answer is the
+                result of another request.
+            started_s: When the request arrived, on the loop's clock.
         """
         match result:
             case expression.Result(tag="ok"):
@@ -126,7 +127,7 @@
         self._board.timeline.record(event, now_s)
 
     def _count(self, started_s: float) -> float:
-        """Counts an answer; returns how long it took, in milliseconds."""
+        """Counts an answer; returns the request's duration in milliseconds."""
         took_ms = (asyncio.get_running_loop().time() - started_s) * 1000
         self._board.metrics.count("request.count")
         self._board.metrics.record_ms("request.took_ms", took_ms)
