--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -1,8 +1,8 @@
-"""The one state of a process, which its controllers read and write.
+"""The shared state of a process, which its controllers read and write.
 
-Each field names the controller that writes it; all others only read. Nothing
-here does I/O or decides. Times ending in `_s` without other word are on the
-event loop's monotonic clock.
+Each field documents the controller that writes it; all others only read it.
+This module does no I/O and makes no decisions. Names ending in `_s` are times
+on the event loop's monotonic clock, in seconds, unless documented otherwise.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Serving(enum.Enum):
-    """Whether this VM takes new work from callers, and if not, why."""
+    """Whether this VM accepts new work from callers, and if not, why."""
 
     STARTING = "starting"
     READY = "ready"
@@ -33,7 +33,7 @@
 
 
 class MemberState(enum.Enum):
-    """What this VM thinks of another one."""
+    """The state of another VM as seen by this one."""
 
     LISTED = "listed"
     LIVE = "live"
@@ -44,28 +44,29 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """Another VM, or this one, as this VM sees it.
+    """A VM of the cell, possibly this one, as seen by this VM.
 
     Attributes:
         vm: Its entry in the VM list.
-        state: What this VM thinks of it.
-        incarnation: Its process's incarnation; 0 while unknown.
-        heard_s: When it was last heard.
+        state: Its state as seen by this VM.
+        incarnation: The incarnation of its process; 0 while unknown.
+        heard_s: When its last message was received.
         ready: True if it serves callers.
-        owns: True once it takes searchers over.
+        owns: True once it takes over searchers.
         revision: Its configuration revision.
-        confirmed_s: When the platform had confirmed its revision, at the
-            earliest, on this VM's clock.
-        may_own_until_s: Until when it may take itself for an owner.
+        confirmed_s: The earliest time at which the platform confirmed its
+            revision, on this VM's clock.
+        may_own_until_s: Until when it may treat itself as an owner, because
+            of a lease granted by this VM.
         searchers: The states of the searchers that it owns.
         acknowledged_s: When this VM sent the newest heartbeat that the other
-            one acknowledged. What the acknowledgement says was true then or
-            later, however long either message was on its way.
+            VM acknowledged. The content of the acknowledgement was true at
+            this time or later, however long either message took.
         acknowledged_revision: The revision in that acknowledgement.
-        acknowledged_incarnation: The incarnation in it.
-        acknowledged_confirmed_s: `acknowledged_s` less the age of
-            confirmation in it: the platform had confirmed that revision at
-            this time of this VM's clock or later.
+        acknowledged_incarnation: The incarnation in that acknowledgement.
+        acknowledged_confirmed_s: `acknowledged_s` minus the confirmation age
+            in that acknowledgement: the platform confirmed the revision at
+            this time on this VM's clock, or later.
     """
 
     vm: vmlist_api.Vm
@@ -89,35 +90,41 @@
 
     Attributes:
         settings: The daemon's settings.
-        incarnation: This process's start number, higher than any earlier
-            process's on this VM.
-        timeline: Everybody records events here.
-        metrics: Everybody counts here.
-        configuration: By the configuration controller.
-        confirmed_s: When the platform confirmed the configuration to be its
-            newest, at the earliest. By the configuration controller.
-        serving: By the serving controller.
-        work_until_s: Until when new work may be sent to searchers on this
-            configuration, unless it is renewed: no change accepted
-            elsewhere can be missing here before then. Checked right before
-            each write, like the lease, since a process that was paused wakes
-            up before any controller runs. By the serving controller.
-        accepted_revision: Changes up to this revision are held by a majority
-            of the listed VMs. By the serving controller.
-        members: The VMs of the cell by name, this one included. By the
-            membership controller.
-        lease_until_s: Until when this VM may send to cold searchers. By the
-            membership controller.
-        owners: The owner VM of each searcher, by names. By the membership
+        incarnation: The start number of this process, higher than that of any
+            earlier process on this VM.
+        timeline: The timeline. Written by all controllers.
+        metrics: The metrics. Written by all controllers.
+        configuration: The configuration in force. Written by the
+            configuration controller.
+        confirmed_s: The earliest time at which the platform confirmed the
+            configuration to be current. Written by the configuration
             controller.
-        may_start_s: For each searcher that this VM owns: from when on it may
-            send there without a handoff, since the old owner's lease must
-            have run out by then. By the membership controller.
-        owned: The states of the searchers that this VM owns, by name. By the
-            owner controller.
-        blame: Which requests crashed backend servers. By the owner and the
-            poison controllers.
-        running: Requests of callers that run here now. By the caller API.
+        serving: Whether this VM accepts new work. Written by the serving
+            controller.
+        work_until_s: Until when new work may be sent to searchers under this
+            configuration, unless it is extended: until then no change
+            accepted elsewhere can be missing here. Checked right before each
+            write, like the lease, since a process that was paused may resume
+            in a write before any controller runs. Written by the serving
+            controller.
+        accepted_revision: A majority of the listed VMs has all changes up to
+            this revision. Written by the serving controller.
+        members: The VMs of the cell by name, including this one. Written by
+            the membership controller.
+        lease_until_s: Until when this VM may send to cold searchers. Written
+            by the membership controller.
+        owners: The name of the owner VM of each searcher, by searcher name.
+            Written by the membership controller.
+        may_start_s: For each searcher that this VM owns, the time from which
+            this VM may send to it without a handoff, since the previous
+            owner's lease has expired by then. Written by the membership
+            controller.
+        owned: The states of the searchers that this VM owns, by name. Written
+            by the owner controller.
+        blame: Crashes of backend servers attributed to requests. Written by
+            the owner and the poison controllers.
+        running: Number of callers' requests that are running on this VM.
+            Written by the caller API.
     """
 
     __slots__ = (
@@ -146,7 +153,7 @@
         timeline: timelines.Timeline,
         counters: metrics.Metrics,
     ) -> None:
-        """Makes the state of a process that has just begun."""
+        """Creates the state of a process that has just started."""
         self.settings = daemon_settings
         self.incarnation = incarnation
         self.timeline = timeline
@@ -165,7 +172,7 @@
         self.running = 0
 
     def get_searcher_states(self) -> dict[str, messages.SearcherState]:
-        """Returns what the owners tell of their searchers, by name."""
+        """Returns the states announced by the searchers' owners, by name."""
         states = {
             state.searcher: state
             for name, member in self.members.items()
