--- a/src/azureramp/events.py
+++ b/src/azureramp/events.py
@@ -1,4 +1,4 @@
-"""The typed events of a timeline, a closed list; see `timelines`."""
+"""The typed events of a timeline, a closed set; see `timelines`."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True, tag_field="event"):
-    """What all events have: their type's tag."""
+    """Base class of all events, which are tagged by type."""
 
 
 class RequestAdmitted(Event, frozen=True, kw_only=True, tag="request.admitted"):
-    """A coordinator took a request and pinned its snapshot."""
+    """A coordinator admitted a request and pinned its snapshot."""
 
     request_id: str
     caller: str
@@ -28,10 +28,10 @@
     Attributes:
         code: `ok`, or the code of the error kind.
         ran: `ran`, `not_run` or `unknown`.
-        version: The answer's index version; 0 for none.
-        coverage: The stated coverage.
-        missing: The stated missing ranges, as (low, high).
-        items: How many items the answer holds.
+        version: The index version of the answer; 0 for none.
+        coverage: The coverage stated in the answer.
+        missing: The missing ranges stated in the answer, as (low, high).
+        items: Number of items in the answer.
     """
 
     request_id: str
@@ -49,10 +49,11 @@
     """An owner is about to write a sub-request to a searcher.
 
     Attributes:
-        in_use: Requests that run there now, this one included.
-        limit: The most that may run there now.
-        cold: True if the owner takes the searcher for cold.
-        lease_ms: Time left of the heartbeat lease.
+        in_use: Number of requests running on the searcher, including this
+            one.
+        limit: Current maximum of requests running on the searcher.
+        cold: True if the owner treats the searcher as cold.
+        lease_ms: Remaining time of the heartbeat lease, in milliseconds.
     """
 
     request_id: str
@@ -72,11 +73,11 @@
 
 
 class PartEnded(Event, frozen=True, kw_only=True, tag="part.ended"):
-    """A coordinator took, or refused, the result of a sub-request.
+    """A coordinator accepted or refused the result of a sub-request.
 
     Attributes:
         code: `ok`, or the code of the error kind.
-        merged: True if the result is part of the answer.
+        merged: True if the result was merged into the answer.
     """
 
     request_id: str
@@ -107,7 +108,7 @@
 class IdempotencyChanged(
     Event, frozen=True, kw_only=True, tag="idempotency.changed"
 ):
-    """An idempotency record changed, as far as this VM knows.
+    """An idempotency record changed, as seen by this VM.
 
     Attributes:
         state: `claimed`, `finished`, `unknown`, `released` or `replayed`.
@@ -124,9 +125,9 @@
     """A configuration revision came into force on this VM.
 
     Attributes:
-        source: `store`, or the peer that it came from.
+        source: `store`, `peers`, or the name of the VM that sent it.
         changed: The changed resources as `kind/name`, at most 32 of them.
-        zones_out: The availability zones out of service.
+        zones_out: The availability zones that are out of service.
         leaving: The backend servers that are leaving.
     """
 
@@ -148,7 +149,7 @@
 
 
 class ServingChanged(Event, frozen=True, kw_only=True, tag="serving.changed"):
-    """This VM began or ceased to take new work.
+    """This VM started or stopped accepting new work.
 
     Attributes:
         state: A value of `blackboard.Serving`.
@@ -168,10 +169,10 @@
 
 
 class OwnerChanged(Event, frozen=True, kw_only=True, tag="membership.owner"):
-    """This VM began or ceased to own a searcher.
+    """This VM became the owner of a searcher, or ceased to be it.
 
     Attributes:
-        owned: True if this VM owns it now.
+        owned: True if this VM is the owner now.
         reason: `handoff`, `lease_end`, `first` or `released`.
     """
 
@@ -185,7 +186,7 @@
 
     Attributes:
         state: `cold`, `warm`, `lost` or `crashed`.
-        reason: Why, in a word.
+        reason: The reason, as a single word.
     """
 
     searcher: str
@@ -196,7 +197,7 @@
 
 
 class FingerprintBlamed(Event, frozen=True, kw_only=True, tag="poison.blamed"):
-    """A crash was blamed on a request."""
+    """A crash of a backend server was attributed to a request."""
 
     server: str
     crash_id: str
@@ -206,11 +207,12 @@
 
 
 class StopChanged(Event, frozen=True, kw_only=True, tag="stop.changed"):
-    """This VM's shutdown went a step on.
+    """This VM's shutdown reached a step.
 
     Attributes:
         step: `unadvertised`, `handing_off`, `draining`, `stopped` or `cut`.
-        running: Requests that still run.
+        running: Number of requests that are still running; for `cut`, the
+            number of aborted requests.
     """
 
     step: str
@@ -218,7 +220,7 @@
 
 
 class ProcessStarted(Event, frozen=True, kw_only=True, tag="process.started"):
-    """This process began."""
+    """This process started."""
 
     incarnation: int
     zone: str
--- a/src/azureramp/messages.py
+++ b/src/azureramp/messages.py
@@ -1,9 +1,9 @@
 """The messages between the daemons.
 
 Peer messages are msgspec structs (classes with slots and a codec), tagged by
-type, packed as MessagePack. A message never carries a wall-clock time to
-decide by: times are durations, in milliseconds, that the receiver counts
-from the arrival on its own monotonic clock.
+type and encoded as MessagePack. No decision depends on a wall-clock time in a
+message: times are sent as durations in milliseconds, which the receiver counts
+from the message's arrival on its own monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True, tag_field="type"):
-    """What all peer messages have: their type's tag."""
+    """Base class of all peer messages, which are tagged by type."""
 
 
 class PartRequest(msgspec.Struct, frozen=True, array_like=True):
     """One sub-request: one shard on one searcher.
 
     Attributes:
-        part: The sub-request's number, unique within its request, hedges and
-            retries included.
+        part: The sub-request's number, unique among the request's
+            sub-requests, including hedges and retries.
         searcher: The searcher's name.
         shard: The shard's name in the pinned shard map.
         low: The first key of the shard.
@@ -42,15 +42,16 @@
     """All sub-requests of one request for the searchers of one owner.
 
     Attributes:
-        request_id: The request, unique in the deployment.
+        request_id: The id of the request, unique in the deployment.
         index: The index.
         version: The pinned index version.
         priority: The caller's priority.
-        remaining_ms: Time left until the request's deadline at sending, with
-            the hop's margin taken off.
-        fingerprint: The hash by which crashes are blamed on a request.
+        remaining_ms: Time from sending until the request's deadline, minus a
+            margin for this hop.
+        fingerprint: The hash by which crashes are attributed to a request.
         repeatable: False if at most one attempt may ever be made.
-        isolated: True if nothing else may run beside it on its searcher.
+        isolated: True if no other request may run on the searcher at the same
+            time.
         body: The caller's query, JSON.
         parts: The sub-requests.
     """
@@ -68,10 +69,10 @@
 
 
 class Cancel(Message, frozen=True, kw_only=True, tag="cancel"):
-    """Sub-requests whose result nobody waits for any more.
+    """Sub-requests whose results are no longer needed.
 
     Attributes:
-        request_id: The request.
+        request_id: The id of the request.
         parts: The numbers of the sub-requests.
     """
 
@@ -80,7 +81,7 @@
 
 
 class PartDone(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """A sub-request's whole result, as the searcher stated it.
+    """The complete result of a sub-request, as returned by the searcher.
 
     Attributes:
         part: The sub-request's number.
@@ -88,7 +89,7 @@
         low: The first key of the range that it covers.
         high: The first key after that range.
         items: The result's items, a JSON array.
-        service_ms: Time that the searcher took, in milliseconds.
+        service_ms: The searcher's processing time, in milliseconds.
     """
 
     part: int
@@ -106,8 +107,8 @@
         part: The sub-request's number.
         kind: The code of the error kind, a value of `errors.Kind`.
         sent: True if any byte may have reached the backend server.
-        retry_after_ms: Time until asking again can help, in milliseconds.
-        detail: Words for the log.
+        retry_after_ms: Time after which a retry can succeed, in milliseconds.
+        detail: A message for the log.
     """
 
     part: int
@@ -121,11 +122,11 @@
 
 
 class PartResults(Message, frozen=True, kw_only=True, tag="part_results"):
-    """Results of sub-requests of one request, on their way back.
+    """Results of sub-requests of one request, sent back to its coordinator.
 
     Attributes:
-        request_id: The request.
-        results: One result for each sub-request that ended.
+        request_id: The id of the request.
+        results: One result for each finished sub-request.
     """
 
     request_id: str
@@ -133,13 +134,13 @@
 
 
 class PartsLate(Message, frozen=True, kw_only=True, tag="parts_late"):
-    """Sub-requests that run for unusually long on their searchers.
+    """Sub-requests that run unusually long on their searchers.
 
-    Only the owner can tell a call that runs long from one that has waited
-    long, and only for the first is a second attempt worth its cost.
+    Only the owner can distinguish a call that runs long from one that has
+    been queued long, and an extra call is worth its cost only for the former.
 
     Attributes:
-        request_id: The request.
+        request_id: The id of the request.
         parts: The numbers of the sub-requests.
     """
 
@@ -148,15 +149,15 @@
 
 
 class SearcherState(msgspec.Struct, frozen=True, array_like=True):
-    """What an owner tells the others of one of its searchers.
+    """The state of a searcher, as announced by its owner to the other VMs.
 
     Attributes:
         searcher: The searcher's name.
-        incarnation: The searcher process's start number, as it reports it;
-            0 while unknown.
-        usable: True while the owner would send work there.
-        limit: How many requests it gets at once now, after its cold ramp.
-        queued: Sub-requests that wait for it.
+        incarnation: The start number of the searcher's process, as reported
+            by the process; 0 while unknown.
+        usable: True while the owner would send work to it.
+        limit: Current maximum of concurrent requests, from its cold ramp.
+        queued: Number of sub-requests queued for it.
         service_ms: Its median service time, in milliseconds; 0 if unknown.
         versions: The `index.version` names that it serves.
     """
@@ -187,7 +188,8 @@
     "suspects": "p",
     "urgent": "u",
 }
-"""Keys on the wire: heartbeats are most of the traffic of a quiet cell."""
+"""The field names on the wire. They are short, because heartbeats are most of
+the traffic of an idle cell."""
 
 
 class Heartbeat(
@@ -198,27 +200,27 @@
     rename=HEARTBEAT_KEYS,
     tag="heartbeat",
 ):
-    """A VM's state, to every other VM of its cell.
+    """The state of a VM, sent to every other VM of its cell.
 
     Attributes:
-        sequence: Ascending within the sender's incarnation; echoed in the
+        sequence: Ascending within the sender's incarnation; returned in the
             acknowledgement.
         leaving: True once the sender shuts down.
         ready: True once the sender has a configuration and serves callers.
-        revision: The configuration revision that it has in force.
-        confirmed_age_ms: How long ago the platform confirmed that this
-            revision is its newest, at most; infinity if never.
-        lease_ms: The heartbeat lease asked for, in milliseconds; 0 for none.
-        searchers: The states of the searchers that it owns; None if they are
-            as in the last heartbeat.
-        claims: The identities (see `policy.leases`) of the searchers that it
-            asks a lease for.
-        lists: The names in the VM lists that it has read of late, if they
-            were several.
-        suspects: The listed VMs that it does not hear.
-        owns: True once the sender takes searchers over.
-        urgent: True if the acknowledgement should come at once; else it may
-            wait for the answerer's own next heartbeat.
+        revision: The configuration revision in force on the sender.
+        confirmed_age_ms: Maximum age of the platform's confirmation that this
+            revision is current, in milliseconds; infinity if there is none.
+        lease_ms: The requested heartbeat lease, in milliseconds; 0 for none.
+        searchers: The states of the searchers that the sender owns; None if
+            they are unchanged since the last heartbeat with states.
+        claims: The identities (see `policy.leases`) of the searchers for
+            which the sender requests a lease.
+        lists: The names in the VM lists that the sender has read recently,
+            if the lists differed.
+        suspects: The listed VMs with which the sender has no contact.
+        owns: True once the sender takes over searchers.
+        urgent: True if the acknowledgement should be sent at once; otherwise
+            it may be sent with the receiver's next heartbeat.
     """
 
     sequence: int
@@ -243,19 +245,23 @@
     rename=HEARTBEAT_KEYS,
     tag="heartbeat_ack",
 ):
-    """The answer to a heartbeat.
+    """The acknowledgement of a heartbeat.
+
+    Its sender is the VM that received the heartbeat; the holder is the VM
+    that sent the heartbeat.
 
     Attributes:
         sequence: The heartbeat's sequence.
-        granted: True if the answerer promises to see no other owner of the
-            sender's searchers before the lease has run out.
-        revision: The answerer's configuration revision; 0 while it has none
-            of its own right, so that it counts towards no majority.
-        confirmed_age_ms: As in a heartbeat, of the answerer.
-        incarnation: The answerer's incarnation.
-        refused: The claims that it does not grant, since it has promised
-            these searchers to another VM or incarnation.
-        lists: The hashes of the VM lists that it has read of late.
+        granted: True if the sender guarantees to accept no other owner of the
+            holder's searchers before the lease has expired.
+        revision: The sender's configuration revision; 0 while its
+            configuration is unconfirmed, so that it counts towards no
+            majority.
+        confirmed_age_ms: As in a heartbeat, for the sender.
+        incarnation: The sender's incarnation.
+        refused: The claims that are not granted, since these searchers are
+            already granted to another VM or incarnation.
+        lists: The hashes of the VM lists that the sender has read recently.
     """
 
     sequence: int
@@ -270,7 +276,7 @@
 class ConfigurationRequest(
     Message, frozen=True, kw_only=True, tag="configuration_request"
 ):
-    """Asks a peer for the entries that the sender lacks.
+    """Requests from a peer the entries that the sender lacks.
 
     Attributes:
         after: The sender's revision.
@@ -299,19 +305,20 @@
 
 
 class Handoff(Message, frozen=True, kw_only=True, tag="handoff"):
-    """An old owner gives a searcher to the new one.
+    """The previous owner of a searcher hands it off to the new owner.
 
     Attributes:
         searcher: The searcher's name.
-        incarnation: The searcher's incarnation that the state belongs to.
-        in_use: Slots still in use by the old owner; the new owner leaves so
-            many free until `HandoffDone`, or until the old lease ran out.
-        limit: The cold ramp's limit.
+        incarnation: The searcher's incarnation to which the state belongs.
+        in_use: Number of slots still in use by the previous owner. The new
+            owner keeps as many free until `HandoffDone`, or until the
+            previous owner's lease has expired.
+        limit: The limit of the cold ramp.
         service_ms: The median service time, in milliseconds.
-        running_ms: The longest time that what still runs may take, in
-            milliseconds: each call ends at its deadline.
+        running_ms: Maximum remaining time of the calls that are still
+            running, in milliseconds: each call ends at its deadline.
         versions: The `index.version` names that it serves.
-        slow: How many of its recent calls were slow.
+        slow: Number of its recent calls that were slow.
     """
 
     searcher: str
@@ -325,10 +332,10 @@
 
 
 class HandoffDone(Message, frozen=True, kw_only=True, tag="handoff_done"):
-    """The old owner has nothing running on the searchers any more.
+    """The previous owner has no more calls running on the searchers.
 
     Attributes:
-        searchers: Their names.
+        searchers: The searchers' names.
     """
 
     searchers: tuple[str, ...]
@@ -339,9 +346,11 @@
 
     Attributes:
         server: The backend server's name.
-        crash_id: Unique, so that a notice counts once however it arrives.
-        fingerprints: The fingerprints in flight there.
-        quarantine_ms: For those already quarantined, the time left; 0 else.
+        crash_id: Unique id of the crash, so that it is counted once even if
+            several notices of it arrive.
+        fingerprints: The fingerprints of the requests in flight on it.
+        quarantine_ms: Remaining quarantine of the requests if they are
+            already quarantined, in milliseconds; 0 otherwise.
     """
 
     server: str
@@ -371,7 +380,7 @@
     Attributes:
         sender: The sending VM's name.
         incarnation: The sending process's incarnation.
-        clock: The sender's hybrid logical clock, see `events`.
+        clock: The sender's hybrid logical clock; see `timelines`.
         messages: The messages, in order.
     """
 
--- a/src/azureramp/resources.py
+++ b/src/azureramp/resources.py
@@ -17,7 +17,7 @@
 
 
 class Priority(enum.IntEnum):
-    """How urgent a caller is; the lower number goes first."""
+    """The priority of a caller's requests; lower numbers are served first."""
 
     URGENT = 0
     NORMAL = 1
@@ -25,36 +25,36 @@
 
 
 class ZoneState(enum.Enum):
-    """Whether an availability zone takes new work."""
+    """Whether an availability zone accepts new work."""
 
     IN_SERVICE = "in_service"
     OUT = "out"
 
 
 class ServerState(enum.Enum):
-    """Whether a backend server takes new work."""
+    """Whether a backend server accepts new work."""
 
     IN_SERVICE = "in_service"
     LEAVING = "leaving"
 
 
 class Resource(msgspec.Struct, frozen=True, kw_only=True, tag_field="kind"):
-    """What all resources have.
+    """Base class of all resources.
 
     Attributes:
-        name: Unique among its kind, Unicode NFC.
+        name: Unique among the resources of its kind, in Unicode NFC.
     """
 
     name: str
 
 
 class Service(Resource, frozen=True, kw_only=True, tag="service"):
-    """A service whose callers may query some indexes.
+    """A service, which permits its callers to query some indexes.
 
     Attributes:
         indexes: The names of the indexes that this service may query.
-        shards: The shards that it may query, of each index: shard names, or
-            empty for every shard.
+        shards: The names of the shards that it may query in each index; empty
+            for all shards.
     """
 
     indexes: tuple[str, ...]
@@ -62,14 +62,15 @@
 
 
 class Caller(Resource, frozen=True, kw_only=True, tag="caller"):
-    """A caller, known by the hash of its token.
+    """A caller, identified by the hash of its token.
 
     Attributes:
         token_sha256: Lower-case hexadecimal SHA-256 of the caller's token.
         services: The names of the services that it may call.
-        priority: How urgent its requests are.
-        weight: Its share of address answers, relative to other callers.
-        revoked: True once nothing may be accepted from it.
+        priority: The priority of its requests.
+        weight: Its weight in the distribution of callers over VMs, relative
+            to other callers.
+        revoked: True if its requests are refused.
     """
 
     token_sha256: str
@@ -83,7 +84,7 @@
     """An availability zone.
 
     Attributes:
-        state: Whether the zone takes new work.
+        state: Whether the zone accepts new work.
     """
 
     state: ZoneState = ZoneState.IN_SERVICE
@@ -95,9 +96,11 @@
     Attributes:
         name: Unique in the deployment, such as `claims-03-a`.
         address: `IP:port` of its HTTP interface.
-        slots: How many requests it runs at once.
-        connections: How many connections it accepts from everybody.
-        cold_limit: How many requests it bears at once in cold start.
+        slots: Number of requests that it runs concurrently.
+        connections: Number of connections that it accepts from all clients
+            together.
+        cold_limit: Number of concurrent requests that it can handle during
+            cold start.
     """
 
     name: str
@@ -111,10 +114,10 @@
     """A backend server: one instance with its searchers.
 
     Attributes:
-        service: The name of the service whose index it holds.
+        service: The name of the service whose index it stores.
         zone: The name of its availability zone.
-        searchers: Its searchers; they crash together.
-        state: Whether it takes new work.
+        searchers: Its searchers, which crash together.
+        state: Whether it accepts new work.
     """
 
     service: str
@@ -129,10 +132,10 @@
     Attributes:
         name: Unique in its shard map.
         low: The first key of the range.
-        high: The first key after the range; more than `low`.
-        size: How much data the range holds, in documents; the weight of the
+        high: The first key after the range; greater than `low`.
+        size: Number of documents in the range, which is the weight of the
             range in an answer's coverage.
-        searchers: The names of the searchers that hold a replica.
+        searchers: The names of the searchers that have a replica.
     """
 
     name: str
@@ -143,14 +146,15 @@
 
 
 class ShardMap(Resource, frozen=True, kw_only=True, tag="shard_map"):
-    """How one version of an index is cut into shards.
+    """The division of one index version into shards.
 
-    The name is `{index}.{version}`. The ranges meet without gap or overlap.
+    The name is `{index}.{version}`. The ranges are contiguous and don't
+    overlap.
 
     Attributes:
         index: The index.
         version: The index version; a higher number is newer.
-        shards: The shards, ascending by key.
+        shards: The shards, in ascending order of their keys.
     """
 
     index: str
@@ -159,13 +163,14 @@
 
 
 class Policy(Resource, frozen=True, kw_only=True, tag="policy"):
-    """Settings of the query path that operators may change while it runs.
+    """Settings of the query path that operators can change at run time.
 
     Attributes:
-        hedge_budget: Hedges as a share of needed calls, 0 to 1.
+        hedge_budget: Hedged calls as a share of needed calls, 0 to 1.
         retry_budget: Retries as a share of needed calls, 0 to 1.
-        queue_limit: Most sub-requests queued for a searcher.
-        queue_ms: Longest time that one may be queued, in milliseconds.
+        queue_limit: Maximum number of sub-requests queued per searcher.
+        queue_ms: Maximum time that a sub-request may be queued, in
+            milliseconds.
         quarantine_s: How long a poison request is refused, in seconds.
     """
 
@@ -197,10 +202,10 @@
     """A resource with the store's revision of its entry.
 
     Attributes:
-        resource: The resource; None once it was deleted.
+        resource: The resource; None if it was deleted.
         kind: The resource's kind, a key of `KINDS`.
         name: The resource's name.
-        revision: The store revision that wrote it.
+        revision: The store revision of the write.
     """
 
     resource: AnyResource | None
@@ -210,18 +215,18 @@
 
 
 class Configuration:
-    """Every resource in force on this VM, at one store revision.
+    """All resources in force on this VM, at one store revision.
 
     Attributes:
-        revision: The store revision that this state reflects; 0 is none.
-        entries: The newest known entry for each `(kind, name)`, deleted ones
-            included so that an older entry can't bring them back.
+        revision: The store revision that this state reflects; 0 for none.
+        entries: The newest known entry for each `(kind, name)`. Deleted ones
+            are included, so that an older entry can't restore them.
     """
 
     __slots__ = ("entries", "revision")
 
     def __init__(self) -> None:
-        """Makes an empty configuration."""
+        """Creates an empty configuration."""
         self.revision = 0
         self.entries: dict[tuple[str, str], Versioned] = {}
 
@@ -246,7 +251,7 @@
         return self._get(ShardMap)
 
     def get_policy(self) -> Policy:
-        """Returns the policy `default`, or one of default values."""
+        """Returns the policy `default`, or one with default values."""
         return self._get(Policy).get("default") or Policy(name="default")
 
     def _get(self, wanted: type[_T]) -> dict[str, _T]:
--- a/src/azureramp/responses.py
+++ b/src/azureramp/responses.py
@@ -1,4 +1,4 @@
-"""The bodies of the answers to callers and operators, as JSON."""
+"""The JSON bodies of the responses to callers and operators."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
     """The answer to a query.
 
     Attributes:
-        request_id: The request.
+        request_id: The id of the request.
         index: The index.
-        version: The one index version that every item comes from.
+        version: The index version from which all items come.
         complete: True if every key range was answered.
-        coverage: The share of the index's documents that the answered
-            ranges hold, 0 to 1, rounded down; 1 only if complete.
-        missing: The key ranges not answered, ascending, joined.
+        coverage: The share of the index's documents in the answered ranges,
+            0 to 1, rounded down; 1 only if complete.
+        missing: The key ranges that were not answered, in ascending order,
+            with adjacent ranges joined.
         items: The merged items, a JSON array.
         took_ms: Time from admission to this answer, in milliseconds.
     """
@@ -45,12 +46,12 @@
 
 
 class ExecuteAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a request that may not be repeated.
+    """The answer to a non-idempotent request.
 
     Attributes:
-        request_id: The request that ran.
+        request_id: The id of the request that ran.
         idempotency_key: The caller's key.
-        replayed: True if this is a recorded outcome of an earlier run.
+        replayed: True if this is the recorded outcome of an earlier run.
         result: The backend server's result, JSON.
         took_ms: Time from admission to this answer, in milliseconds.
     """
@@ -63,11 +64,11 @@
 
 
 class AddressAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The entry VMs that a caller should use, best first.
+    """The VMs that a caller should use, best first.
 
     Attributes:
         addresses: `IP:port` of the VMs' HTTP interfaces.
-        lifetime_ms: How long the answer may be kept, in milliseconds.
+        lifetime_ms: How long the answer may be cached, in milliseconds.
     """
 
     addresses: tuple[str, ...]
@@ -75,12 +76,12 @@
 
 
 class FieldProblem(msgspec.Struct, frozen=True, kw_only=True):
-    """One rule that one field of a resource breaks.
+    """One rule that one field of a resource violates.
 
     Attributes:
         field: The field's path, such as `shards[1].low`.
         rule: The rule's stable code.
-        value: The value that breaks it, or what it should be.
+        value: The invalid value, or the expected one.
         text_en: The rule in English.
         text_hu: The rule in Hungarian.
     """
@@ -93,19 +94,19 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of every answer that is an error.
+    """The body of every error response.
 
     Attributes:
         code: The stable code of the error kind.
         ran: `not_run`, `ran` or `unknown`.
-        retry: What to do next, a value of `errors.Retry`.
-        retry_after_ms: Time until asking again can help, in milliseconds.
+        retry: How to proceed, a value of `errors.Retry`.
+        retry_after_ms: Time after which a retry can succeed, in milliseconds.
         text_en: The meaning in English.
         text_hu: The meaning in Hungarian.
-        detail: What was wrong with this request, if that may be told.
-        request_id: The request, if one was admitted.
-        addresses: Other entry VMs to use, `IP:port`.
-        present: The state that a stale change ran into, if any.
+        detail: What is wrong with this request, if it may be disclosed.
+        request_id: The id of the request, if it was admitted.
+        addresses: Other VMs to use, `IP:port`.
+        present: The current state, if a change conflicted with it.
         problems: What is wrong with a resource, by field.
     """
 
--- a/src/azureramp/texts.py
+++ b/src/azureramp/texts.py
@@ -1,6 +1,6 @@
-"""The texts of every code, in English and in Hungarian.
+"""The texts for all codes, in English and Hungarian.
 
-The code is always shown beside the text, so that two operators without a
+The code is always shown next to the text, so that two operators without a
 common language can compare what they see.
 """
 
@@ -14,11 +14,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Text:
-    """One meaning in both languages.
+    """A text in both languages.
 
     Attributes:
-        en: English.
-        hu: Hungarian.
+        en: The English text.
+        hu: The Hungarian text.
     """
 
     en: str
@@ -254,4 +254,4 @@
         "Az azóta történt változások nem mind ismertek; minden következik.",
     ),
 }
-"""What the operators' tool says, by code."""
+"""Messages of the operators' command-line tool, by code."""
