--- a/src/azureramp/settings.py
+++ b/src/azureramp/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings, checked before anything starts."""
+"""The daemon's settings, validated at startup."""
 
 from __future__ import annotations
 
@@ -27,15 +27,14 @@
         operator_token_sha256: Lower-case hexadecimal SHA-256 of the
             operators' token.
         heartbeat_ms: Time between heartbeats.
-        lease_ms: Length of the heartbeat lease.
-        suspect_ms: Silence after which a VM is no longer taken for live.
-        probe_ms: Time between health reads of an owned searcher.
-        address_lifetime_ms: How long an address answer may be kept.
-        confirm_ms: Longest age of the platform's confirmation that still
-            counts as fresh.
+        lease_ms: Duration of the heartbeat lease.
+        suspect_ms: Silence after which a VM is no longer treated as live.
+        probe_ms: Time between health checks of an owned searcher.
+        address_lifetime_ms: How long an address answer may be cached.
+        confirm_ms: Maximum age of a valid confirmation of the configuration.
         drain_ms: Hard limit of a graceful shutdown.
-        list_lag_ms: How long the VM list may lag.
-        watchers: How many VMs of a cell hold the configuration watch.
+        list_lag_ms: Maximum lag of the VM list.
+        watchers: Number of VMs of a cell that watch the configuration.
     """
 
     vm: str
@@ -60,10 +59,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Word:
-    """A setting that is a word, possibly with some characters barred.
+    """A setting that is a string.
 
     Attributes:
-        may_be_empty: True if the empty word is allowed.
+        may_be_empty: True if the empty string is allowed.
     """
 
     may_be_empty: bool = False
@@ -74,7 +73,7 @@
     """A setting that is `IP:port`.
 
     Attributes:
-        may_be_empty: True if the empty word is allowed.
+        may_be_empty: True if the empty string is allowed.
     """
 
     may_be_empty: bool = False
@@ -90,8 +89,8 @@
     """A setting that is a whole number.
 
     Attributes:
-        low: The least value allowed.
-        high: The greatest value allowed.
+        low: The minimum.
+        high: The maximum.
     """
 
     low: int
@@ -107,9 +106,9 @@
 
     Attributes:
         field: The field of `Settings`.
-        form: What its value may be.
-        help: What it does.
-        default: The value if it is not given; None if it must be.
+        form: The values that are allowed.
+        help: The help text.
+        default: The default value; None if the setting is required.
     """
 
     field: str
@@ -130,12 +129,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Problem:
-    """A setting that is not allowed.
+    """An invalid setting.
 
     Attributes:
         option: The option.
-        value: The value given; None if none was.
-        allowed: What is allowed.
+        value: The given value; None if there was none.
+        allowed: A description of the allowed values.
     """
 
     option: Option
@@ -143,7 +142,7 @@
     allowed: str
 
     def __str__(self) -> str:
-        """Returns one line that names flag, variable, value and rule."""
+        """Returns one line with the flag, variable, value and rule."""
         given = "no value" if self.value is None else f"{self.value!r}"
         return (
             f"{self.option.flag} ({self.option.variable}): {given}; "
@@ -154,7 +153,7 @@
 def _make_ms(
     field: str, low: int, high: int, default: int, words: str
 ) -> Option:
-    """Makes an option for a duration in milliseconds."""
+    """Creates an option for a duration in milliseconds."""
     return Option(field, Integer(low, high), words, str(default))
 
 
@@ -178,37 +177,37 @@
         "SHA-256 of the operators' token, in hexadecimal.",
     ),
     _make_ms("heartbeat_ms", 10, 10_000, 250, "Time between heartbeats."),
-    _make_ms("lease_ms", 100, 60_000, 1500, "Length of the heartbeat lease."),
+    _make_ms("lease_ms", 100, 60_000, 1500, "Duration of the heartbeat lease."),
     _make_ms(
         "suspect_ms",
         50,
         60_000,
         1000,
-        "Silence after which a VM is no longer taken for live.",
+        "Silence after which a VM is no longer treated as live.",
     ),
-    _make_ms("probe_ms", 50, 60_000, 500, "Time between health reads."),
+    _make_ms("probe_ms", 50, 60_000, 500, "Time between health checks."),
     _make_ms(
         "address_lifetime_ms",
         100,
         600_000,
         5000,
-        "How long an address answer may be kept.",
+        "How long an address answer may be cached.",
     ),
     _make_ms(
         "confirm_ms",
         100,
         60_000,
         2000,
-        "Longest age of a fresh confirmation of the configuration.",
+        "Maximum age of a valid confirmation of the configuration.",
     ),
     _make_ms(
         "drain_ms", 0, 3_600_000, 30_000, "Hard limit of a graceful shutdown."
     ),
-    _make_ms("list_lag_ms", 0, 600_000, 5000, "How long the VM list may lag."),
+    _make_ms("list_lag_ms", 0, 600_000, 5000, "Maximum lag of the VM list."),
     Option(
         "watchers",
         Integer(1, 16),
-        "How many VMs of a cell hold the configuration watch.",
+        "Number of VMs of a cell that watch the configuration.",
         "2",
     ),
 )
@@ -217,10 +216,11 @@
 def parse(
     values: Mapping[str, str | None],
 ) -> expression.Result[Settings, Problem]:
-    """Checks the values of all settings.
+    """Validates the values of all settings.
 
     Args:
-        values: The given values by field; None or missing takes the default.
+        values: The given values by field; for None or a missing field the
+            default applies.
 
     Returns:
         The settings, or the first problem.
@@ -243,12 +243,12 @@
 
 
 def _check(option: Option, value: str | None) -> str | int | Problem:
-    """Checks one value against its option's form."""
+    """Validates one value; returns it in its final type, or a problem."""
     match option.form:
         case Word(may_be_empty):
             if value is not None and (value or may_be_empty):
                 return unicodedata.normalize("NFC", value)
-            return Problem(option, value, "a word that is not empty")
+            return Problem(option, value, "a string that is not empty")
         case Address(may_be_empty):
             if value == "" and may_be_empty:
                 return value
@@ -269,7 +269,7 @@
 
 
 def is_address(value: str) -> bool:
-    """Tells whether a text is `IP:port`, an IPv6 address in brackets."""
+    """Returns True if a string is `IP:port`, with an IPv6 IP in brackets."""
     host, _, port = value.rpartition(":")
     if host.startswith("[") != host.endswith("]"):
         return False
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -34,8 +34,8 @@
 @pytest.mark.parametrize(
     ("field", "value", "allowed"),
     [
-        ("vm", None, "a word that is not empty"),
-        ("vm", "", "a word that is not empty"),
+        ("vm", None, "a string that is not empty"),
+        ("vm", "", "a string that is not empty"),
         ("http_address", "localhost:80", "IP:port"),
         ("http_address", "127.0.0.1", "IP:port"),
         ("http_address", "127.0.0.1:70000", "IP:port"),
