--- a/tests/controllers/records_machine.py
+++ b/tests/controllers/records_machine.py
@@ -1,8 +1,8 @@
-"""A state machine over idempotency records, VMs, faults and time.
+"""A state machine of idempotency records, VMs, faults and time.
 
-Callers send, resend and abandon requests through three VMs; VMs crash and
-hold on to claims for long; writes get lost, late or unanswered. Whatever
-happens, a key runs at most once and nobody is told what is not true.
+Callers send, retry and abandon requests through three VMs; VMs crash and hold
+claims for long; writes are lost, delayed or unanswered. In all cases a key
+runs at most once, and no caller gets an untrue answer.
 """
 
 from __future__ import annotations
@@ -46,12 +46,12 @@
     """One daemon's records, until it crashes."""
 
     def __init__(self, number: int, state: store_state.State) -> None:
-        """Starts it."""
+        """Starts the records of a VM."""
         super().__init__(f"vm-{number}", state)
         self.alive = True
 
     def crash(self) -> None:
-        """Ends it; nothing that it does afterwards reaches the store."""
+        """Stops the VM; none of its later calls reach the store."""
         self.alive = False
         self.store.faults = memory.Faults(down=True)
         self.task.cancel()
@@ -63,9 +63,10 @@
 
     Attributes:
         ran: True once it was dispatched.
-        ended: True once its holder has said its last word.
-        finished: True if that word was its outcome.
-        result: What `claim` returned.
+        ended: True once its holder has recorded or released it.
+        finished: True if its holder has recorded its result.
+        checked: True once the answer to the claim has been checked.
+        result: The return value of `claim`.
     """
 
     request_id: str
@@ -80,7 +81,7 @@
     result: idempotency.Answer | None = None
 
     def get_claimed(self) -> idempotency.Claimed | None:
-        """Returns the right to dispatch, if it has it."""
+        """Returns the claim; None if it was not granted."""
         if self.result is not None and self.result.is_ok():
             claimed = self.result.ok
             if isinstance(claimed, idempotency.Claimed):
--- a/tests/controllers/records_vms.py
+++ b/tests/controllers/records_vms.py
@@ -1,4 +1,4 @@
-"""VMs with only their idempotency records, under virtual time."""
+"""VMs reduced to their idempotency records, in virtual time."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 def run(coroutine: Coroutine[Any, Any, None]) -> None:
-    """Runs a test under virtual time."""
+    """Runs a test in virtual time."""
     with asyncio.Runner(loop_factory=async_solipsism.EventLoop) as runner:
         runner.run(coroutine)
 
 
 class Vm:
-    """One VM's records, with its own way to the shared store."""
+    """One VM's records, with its own connection to the shared store."""
 
     def __init__(self, name: str, state: store_state.State) -> None:
         """Starts the records' background work."""
@@ -57,20 +57,20 @@
         result = await self.records.claim("office", key, request_hash, "r")
         return result.ok if result.is_ok() else result.error.kind
 
-    async def claim_right(self, key: str = "k") -> idempotency.Claimed:
+    async def claim_free_key(self, key: str = "k") -> idempotency.Claimed:
         """Claims a key that must be free."""
         claimed = await self.claim(key)
         assert isinstance(claimed, idempotency.Claimed), claimed
         return claimed
 
-    async def claim_done(self, key: str = "k") -> bytes:
-        """Claims a key that has run, and returns the recorded result."""
+    async def claim_finished_key(self, key: str = "k") -> bytes:
+        """Claims a key whose request has run; returns the recorded result."""
         recorded = await self.claim(key)
         assert isinstance(recorded, idempotency.Recorded), recorded
         return recorded.result
 
     def get_states(self) -> list[str]:
-        """Returns the states that its timeline tells."""
+        """Returns the states of records in the VM's timeline."""
         return [
             record.event.state
             for record in self.board.timeline.get_records()
@@ -78,6 +78,6 @@
         ]
 
 
-def make_two() -> tuple[Vm, Vm]:
+def make_two_vms() -> tuple[Vm, Vm]:
     state = store_state.State()
     return Vm("one", state), Vm("two", state)
--- a/tests/controllers/test_idempotency.py
+++ b/tests/controllers/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency records: what callers are told, whatever happens."""
+"""Tests of the answers from idempotency records under faults."""
 
 from __future__ import annotations
 
@@ -17,22 +17,21 @@
 from tests.controllers import records_vms
 
 
-def test_a_second_request_with_the_key_gets_the_recorded_outcome() -> None:
-    """A funeral director's grant is sent again through another VM.
+def test_retry_with_same_key_gets_recorded_outcome() -> None:
+    """A retry through another VM, after the first reply was lost.
 
-    The first run's reply to the caller was lost. The retry must get that
-    run's answer, and must not run.
+    The retry must get the result of the first run and must not run again.
     """
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        claimed = await first.claim_right()
+        first, second = records_vms.make_two_vms()
+        claimed = await first.claim_free_key()
         assert await first.claim() is errors.Kind.IN_PROGRESS
         assert await second.claim() is errors.Kind.IN_PROGRESS
         await first.records.finish(claimed, b'{"grant":7}')
 
         for vm in (first, second):
-            assert await vm.claim_done() == b'{"grant":7}'
+            assert await vm.claim_finished_key() == b'{"grant":7}'
             assert await vm.claim("k", 2) is errors.Kind.KEY_REUSED
         assert first.get_states() == ["claimed", "finished", "replayed"]
         assert second.get_states() == ["replayed"]
@@ -40,10 +39,10 @@
     records_vms.run(go())
 
 
-def test_a_result_that_is_too_large_is_known_to_have_run() -> None:
+def test_too_large_result_is_recorded_as_run() -> None:
     async def go() -> None:
-        first, second = records_vms.make_two()
-        claimed = await first.claim_right()
+        first, second = records_vms.make_two_vms()
+        claimed = await first.claim_free_key()
         large = b'"' + b"x" * policy.MAX_RESULT_BYTES + b'"'
         await first.records.finish(claimed, large)
 
@@ -53,8 +52,8 @@
     records_vms.run(go())
 
 
-# What goes wrong between the first VM and the store while it claims, and
-# what it may answer: None stands for the right to dispatch.
+# Faults between the first VM and the store during a claim, and the expected
+# failure; None if the claim succeeds.
 CLAIM_FAULTS = [
     ({"down": True}, errors.Kind.STORE_UNAVAILABLE),
     ({"lost_replies": 1}, None),
@@ -71,19 +70,19 @@
 
 
 @pytest.mark.parametrize(("faults", "kind"), CLAIM_FAULTS)
-def test_a_claim_is_held_for_sure_or_not_at_all(
+def test_claim_is_confirmed_or_refused_without_effect(
     faults: dict[str, Any], kind: errors.Kind | None
 ) -> None:
-    """The store fails while an order's key is being claimed.
+    """The store fails while a key is being claimed.
 
-    The claim's write may have landed, may never land, or may land minutes
-    later. Refused with `not run`, the order must not run; and its retry must
-    neither find the key blocked for good nor be told that it has run.
+    The claim's write may have taken effect, may never do so, or may do so
+    minutes later. A request refused with `not_run` must not run, and a retry
+    must not find the key blocked forever, nor be answered as having run.
     """
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        await first.claim_right("other")
+        first, second = records_vms.make_two_vms()
+        await first.claim_free_key("other")
         first.store.faults = memory.Faults(**faults)
 
         claimed = await first.claim()
@@ -94,26 +93,26 @@
         if kind is None:
             assert await second.claim() is errors.Kind.IN_PROGRESS
             return
-        taken = await second.claim_right()
+        taken = await second.claim_free_key()
         await second.records.finish(taken, b"1")
         await asyncio.sleep(1000.0)
-        assert await first.claim_done() == b"1"
+        assert await first.claim_finished_key() == b"1"
 
     records_vms.run(go())
 
 
-def test_a_claim_whose_holder_died_ends_as_unknown_and_never_runs() -> None:
-    """A VM dies with an order that it may or may not have sent.
+def test_claim_of_crashed_holder_becomes_unknown_and_never_runs() -> None:
+    """A VM crashes while it holds a claim, before or after dispatch.
 
-    Nobody can know, so nobody may run it again or say `not run`. A
-    dispatcher who is told that the outcome is unknown looks it up and orders
-    anew, so from then on the first order must never run: the holder, if it
-    was only paused, finds its time to dispatch over.
+    No other VM can know which, so none may run the request or answer
+    `not_run`. A caller that gets `OUTCOME_UNKNOWN` may send a new request, so
+    from then on the first one must never run: if the holder was only paused,
+    its time to dispatch must be over when it resumes.
     """
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        claimed = await first.claim_right()
+        first, second = records_vms.make_two_vms()
+        claimed = await first.claim_free_key()
         loop = asyncio.get_running_loop()
 
         assert await second.claim() is errors.Kind.IN_PROGRESS
@@ -128,16 +127,16 @@
     records_vms.run(go())
 
 
-def test_an_unknown_outcome_is_recorded_before_it_is_told() -> None:
-    """The holder comes back with its result while others give it up.
+def test_unknown_outcome_is_recorded_before_it_is_answered() -> None:
+    """The store fails for the VM that records a claim's outcome as unknown.
 
-    The store fails for the VM that would record the claim as unknown, so it
-    must not say so: the holder could still release the key.
+    That VM must not answer `OUTCOME_UNKNOWN` without the record: the holder
+    could still release the key, and a retry could run the request.
     """
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        claimed = await first.claim_right()
+        first, second = records_vms.make_two_vms()
+        claimed = await first.claim_free_key()
         await second.claim()
         await asyncio.sleep(policy.UNKNOWN_S)
         second.store.faults.delay_s = 0.1
@@ -148,41 +147,41 @@
 
         first.records.release(claimed)
         await asyncio.sleep(1.0)
-        await second.claim_right()
+        await second.claim_free_key()
 
     records_vms.run(go())
 
 
-def test_a_late_outcome_replaces_an_unknown_one() -> None:
+def test_late_outcome_replaces_unknown_one() -> None:
     async def go() -> None:
-        first, second = records_vms.make_two()
-        claimed = await first.claim_right()
+        first, second = records_vms.make_two_vms()
+        claimed = await first.claim_free_key()
         await first.records.mark_unknown(claimed)
         assert await second.claim() is errors.Kind.OUTCOME_UNKNOWN
 
         await first.records.finish(claimed, b"7")
-        assert await second.claim_done() == b"7"
+        assert await second.claim_finished_key() == b"7"
 
     records_vms.run(go())
 
 
 @pytest.mark.parametrize("paused_at", ["write", "reply"])
-def test_a_holder_that_was_paused_while_it_claimed_may_not_dispatch(
+def test_holder_paused_while_claiming_may_not_dispatch(
     paused_at: str,
 ) -> None:
-    """A VM stops for a minute while it claims, before or after the reply.
+    """A VM is paused for a minute during a claim, before or after the reply.
 
-    Others may have given its claim up as unknown meanwhile, so it must not
-    go on as if no time had passed.
+    Other VMs may have recorded the claim as unknown in the meantime, so the
+    VM must not dispatch when it resumes.
     """
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        await first.claim_right("other")
+        first, second = records_vms.make_two_vms()
+        await first.claim_free_key("other")
         loop: Any = asyncio.get_running_loop()
 
         def pause(_: backoff.Backoff | None = None) -> None:
-            # The clock jumps ahead with nothing run in between.
+            # Advances the clock without running any callbacks.
             loop._selector.clock.advance(70.0)
 
         claiming = asyncio.ensure_future(first.claim())
@@ -192,38 +191,38 @@
                 pause()
             assert await claiming is errors.Kind.STORE_UNAVAILABLE
         await asyncio.sleep(1.0)
-        await second.claim_right()
+        await second.claim_free_key()
 
     records_vms.run(go())
 
 
-def test_an_abandoned_claim_is_released() -> None:
-    """A hospital buyer closes the page while the claim is on its way."""
+def test_abandoned_claim_is_released() -> None:
+    """A caller disconnects while its claim is being written."""
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        await first.claim_right("other")
+        first, second = records_vms.make_two_vms()
+        await first.claim_free_key("other")
         first.store.faults.delay_s = 0.5
         claiming = asyncio.ensure_future(first.claim())
         await asyncio.sleep(0.3)
         claiming.cancel()
         await asyncio.sleep(5.0)
 
-        await second.claim_right()
+        await second.claim_free_key()
 
     records_vms.run(go())
 
 
-def test_both_claims_of_one_key_on_their_way_are_released() -> None:
-    """A VM loses two claims of one key, and the first one lands late.
+def test_both_in_flight_claims_of_one_key_are_released() -> None:
+    """Two claims of one key get no reply, and the first takes effect late.
 
-    The second claim's release must not take the place of the first's, or
-    the key stays blocked by a request that was refused as not run.
+    The release of the second claim must not replace that of the first.
+    Otherwise a request that was refused with `not_run` blocks the key.
     """
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        await first.claim_right("other")
+        first, second = records_vms.make_two_vms()
+        await first.claim_free_key("other")
         first.store.faults.late_s = 9.0
         assert await first.claim() is errors.Kind.STORE_UNAVAILABLE
         first.store.faults = memory.Faults(lost_requests=1000)
@@ -233,24 +232,25 @@
         first.store.faults = memory.Faults()
         await asyncio.sleep(20.0)
 
-        await second.claim_right()
+        await second.claim_free_key()
 
     records_vms.run(go())
 
 
 @pytest.mark.parametrize("faults", [{"down": True}, {"past": 9}])
-def test_an_outcome_that_cannot_be_read_is_not_called_unknown(
+def test_unreadable_outcome_is_not_answered_as_unknown(
     faults: dict[str, Any],
 ) -> None:
-    """A grant has run, and the VM that is asked can't see its outcome yet.
+    """A request has run, but the retry's VM can't read its outcome.
 
-    Its read fails, or answers from before the outcome was saved. That must
-    not be told as `unknown`, let alone recorded, while the truth is there.
+    The read fails, or returns a state from before the outcome was saved. The
+    outcome must neither be answered nor recorded as unknown, since it is in
+    the store.
     """
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        await first.records.finish(await first.claim_right(), b"7")
+        first, second = records_vms.make_two_vms()
+        await first.records.finish(await first.claim_free_key(), b"7")
         second.store.faults.delay_s = 0.1
         claiming = asyncio.ensure_future(second.claim())
         await asyncio.sleep(0.12)
@@ -259,16 +259,16 @@
 
         second.store.faults = memory.Faults()
         await asyncio.sleep(policy.UNKNOWN_S)
-        assert await second.claim_done() == b"7"
+        assert await second.claim_finished_key() == b"7"
 
     records_vms.run(go())
 
 
-def test_two_processes_with_the_same_seed_never_share_a_nonce() -> None:
-    """A VM is replaced, and the new one's clock is behind.
+def test_processes_with_same_seed_use_different_nonces() -> None:
+    """A VM is replaced by one whose clock is behind.
 
-    It gets the old one's incarnation and draws the same random numbers. A
-    claim of the old one must not be taken for its own.
+    The new process gets the same incarnation and the same random numbers as
+    the old one. It must not treat the old one's claim as its own.
     """
 
     async def go() -> None:
@@ -278,7 +278,7 @@
             records_vms.Vm("one", state),
         )
 
-        await first.claim_right()
+        await first.claim_free_key()
         assert await again.claim() is errors.Kind.IN_PROGRESS
 
     records_vms.run(go())
--- a/tests/controllers/test_idempotency_machine.py
+++ b/tests/controllers/test_idempotency_machine.py
@@ -1,4 +1,4 @@
-"""The state machine over idempotency records, and its own test."""
+"""Tests of idempotency records by state machine, and of that machine."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 
 
-def test_a_key_runs_at_most_once_and_nobody_is_told_otherwise() -> None:
+def test_key_runs_at_most_once_and_answers_are_true() -> None:
     stateful.run_state_machine_as_test(
         records_machine.RecordsMachine, settings=SETTINGS
     )
@@ -35,46 +35,46 @@
 CLAIM = record_claimer.RecordClaimer.claim
 
 
-def judge_with_takeover(
+def judge_old_claim_as_free(
     record: policy.Record | None, nonce: str, request_hash: int, age_s: float
 ) -> policy.Verdict:
-    """Takes over a claim that has been known for long, as if it never ran."""
+    """Treats an old claim as free, as if its request had never run."""
     verdict = JUDGE(record, nonce, request_hash, age_s)
     if verdict == policy.Refuse(errors.Kind.OUTCOME_UNKNOWN):
         return policy.Free()
     return verdict
 
 
-def judge_without_state(
+def judge_claim_as_outcome(
     record: policy.Record | None, nonce: str, request_hash: int, age_s: float
 ) -> policy.Verdict:
-    """Replays a recorded outcome of any claim, run or not."""
+    """Replays any claim as an outcome, even if its request has not run."""
     if record is not None and record.state is policy.State.CLAIMED:
         return policy.Replay(record)
     return JUDGE(record, nonce, request_hash, age_s)
 
 
-def replace_anything(
+def release_any_claim(
     record: policy.Record | None, wanted: policy.Record
 ) -> bool:
-    """Lets a holder's late word overwrite another's claim."""
+    """Lets a late release overwrite another holder's claim."""
     return True
 
 
-def take_nothing(self: record_releases.RecordReleases, release: Any) -> None:
-    """Forgets every release."""
+def drop_release(self: record_releases.RecordReleases, release: Any) -> None:
+    """Drops every release."""
 
 
-async def believe_claim(
+async def accept_unconfirmed_claim(
     self: record_claimer.RecordClaimer, store_key: str, record: policy.Record
 ) -> record_claimer.Outcome:
-    """Takes a claim whose reply was lost for a success."""
+    """Treats a claim whose reply was lost as successful."""
     outcome = await CLAIM(self, store_key, record)
     return 1 if isinstance(outcome, errors.Failure) else outcome
 
 
-def send_twice(machine: records_machine.RecordsMachine) -> None:
-    """One request through two VMs, sent again after the first is stuck."""
+def retry_after_timeout(machine: records_machine.RecordsMachine) -> None:
+    """One request through two VMs, retried after the first one's timeout."""
     machine.claim(0, "order-1", 1, 0.3)
     machine.claim(1, "order-1", 1, 0.3)
     machine.pass_time(61.0)
@@ -83,8 +83,8 @@
     machine.dispatch(0)
 
 
-def resend_soon(machine: records_machine.RecordsMachine) -> None:
-    """The same, while the first holder may still dispatch."""
+def retry_early(machine: records_machine.RecordsMachine) -> None:
+    """The same, with a retry while the first holder may still dispatch."""
     machine.claim(0, "order-1", 1, 0.3)
     machine.claim(1, "order-1", 1, 0.3)
     machine.pass_time(6.0)
@@ -92,8 +92,8 @@
     machine.dispatch(0)
 
 
-def run_then_resend(machine: records_machine.RecordsMachine) -> None:
-    """A request that ran, and whose holder says nothing, is sent again."""
+def run_then_retry(machine: records_machine.RecordsMachine) -> None:
+    """A request that ran is retried before its holder records an outcome."""
     machine.claim(0, "order-1", 1, 0.3)
     machine.dispatch(0)
     machine.claim(1, "order-1", 1, 0.3)
@@ -103,7 +103,7 @@
 
 
 def lose_requests(machine: records_machine.RecordsMachine) -> None:
-    """A claim that never reached the store, and a retry through another."""
+    """A claim that never reached the store, and a retry through another VM."""
     machine.break_store(0, {"lost_requests": 20})
     machine.claim(0, "order-1", 1, 4.0)
     machine.claim(1, "order-1", 1, 0.3)
@@ -111,8 +111,8 @@
     machine.dispatch(0)
 
 
-def land_late(machine: records_machine.RecordsMachine) -> None:
-    """A claim that lands after its request was refused as not run."""
+def take_effect_late(machine: records_machine.RecordsMachine) -> None:
+    """A claim that takes effect after its request was refused as not run."""
     machine.break_store(0, {"late_s": 8.0})
     machine.claim(0, "order-1", 1, 4.0)
     machine.break_store(0, {"down": True})
@@ -121,7 +121,7 @@
 
 
 def release_late(machine: records_machine.RecordsMachine) -> None:
-    """An abandoned claim's release meets the claim of somebody else."""
+    """The release of an abandoned claim conflicts with another's claim."""
     machine.break_store(0, {"late_s": 90.0})
     machine.claim(0, "order-1", 1, 4.0)
     machine.break_store(0, {"down": True})
@@ -136,32 +136,35 @@
 Script = Callable[[records_machine.RecordsMachine], None]
 
 BROKEN: dict[str, tuple[object, str, object, Script]] = {
-    "a claim known for long is taken over": (
-        policy, "judge", judge_with_takeover, run_then_resend,
+    "an old claim is treated as free": (
+        policy, "judge", judge_old_claim_as_free, run_then_retry,
     ),
     "a claim is replayed as if it had run": (
-        policy, "judge", judge_without_state, send_twice,
+        policy, "judge", judge_claim_as_outcome, retry_after_timeout,
     ),
-    "a late word overwrites another claim": (
-        policy, "may_release", replace_anything, release_late,
+    "a late release overwrites another claim": (
+        policy, "may_release", release_any_claim, release_late,
     ),
-    "a claim that may land is not released": (
-        record_releases.RecordReleases, "add", take_nothing, land_late,
+    "a claim that may take effect is not released": (
+        record_releases.RecordReleases, "add", drop_release, take_effect_late,
     ),
-    "an outcome is called unknown too early": (
-        policy, "UNKNOWN_S", 5.0, resend_soon,
+    "an outcome is answered as unknown too early": (
+        policy, "UNKNOWN_S", 5.0, retry_early,
     ),
     "a holder may dispatch for too long": (
-        policy, "DISPATCH_S", 1000.0, send_twice,
+        policy, "DISPATCH_S", 1000.0, retry_after_timeout,
     ),
-    "a claim is believed without proof": (
-        record_claimer.RecordClaimer, "claim", believe_claim, lose_requests,
+    "an unconfirmed claim is accepted": (
+        record_claimer.RecordClaimer,
+        "claim",
+        accept_unconfirmed_claim,
+        lose_requests,
     ),
 }  # fmt: skip
 
 
 def play(script: Script) -> None:
-    """Plays a script of the machine's rules to its end."""
+    """Runs a script of the machine's rules, then its final checks."""
     machine = records_machine.RecordsMachine()
     try:
         script(machine)
@@ -170,8 +173,8 @@
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_the_machine_catches_each_broken_guard(name: str) -> None:
-    """The machine is tested too: without a guard its checks turn red."""
+def test_machine_detects_each_broken_safeguard(name: str) -> None:
+    """The machine's checks must fail when a safeguard is removed."""
     place, attribute, broken, script = BROKEN[name]
     play(script)
 
@@ -182,16 +185,16 @@
         play(script)
 
 
-FOUND = (
+FOUND_WITHOUT_SCRIPT = (
     "a claim is replayed as if it had run",
-    "a claim that may land is not released",
-    "a claim is believed without proof",
+    "a claim that may take effect is not released",
+    "an unconfirmed claim is accepted",
 )
-"""Broken guards that the random search finds within its usual examples."""
+"""Broken safeguards that the random search finds without a script."""
 
 
-@pytest.mark.parametrize("name", FOUND)
-def test_the_machine_finds_a_broken_guard_by_itself(name: str) -> None:
+@pytest.mark.parametrize("name", FOUND_WITHOUT_SCRIPT)
+def test_machine_finds_broken_safeguard_without_script(name: str) -> None:
     place, attribute, broken, _ = BROKEN[name]
     with (
         mock.patch.object(place, attribute, broken),
--- a/tests/controllers/test_idempotency_outage.py
+++ b/tests/controllers/test_idempotency_outage.py
@@ -1,4 +1,4 @@
-"""Idempotency records: outages, their end, and what the records cost."""
+"""Tests of idempotency records in store outages, and of their cost."""
 
 from __future__ import annotations
 
@@ -29,58 +29,58 @@
 
 
 @pytest.mark.parametrize("faults", SAVE_FAULTS)
-@pytest.mark.parametrize("last_word", ["finish", "mark_unknown", "release"])
-def test_a_holders_last_word_reaches_the_store_after_an_outage(
-    faults: dict[str, Any], last_word: str
+@pytest.mark.parametrize("ending", ["finish", "mark_unknown", "release"])
+def test_final_state_reaches_store_after_outage(
+    faults: dict[str, Any], ending: str
 ) -> None:
-    """The store fails just as a grant's run ends.
+    """The store fails just as a request's run ends.
 
-    The caller gets its answer within its time all the same. Once the store
-    works again, a retry through any VM must hear the same.
+    The caller must get its answer in time nevertheless. Once the store works
+    again, a retry through any VM must get the same answer.
     """
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        claimed = await first.claim_right()
+        first, second = records_vms.make_two_vms()
+        claimed = await first.claim_free_key()
         first.store.faults = memory.Faults(**faults)
         began_s = asyncio.get_running_loop().time()
 
-        if last_word == "finish":
+        if ending == "finish":
             await first.records.finish(claimed, b"7")
-        elif last_word == "mark_unknown":
+        elif ending == "mark_unknown":
             await first.records.mark_unknown(claimed)
         else:
             first.records.release(claimed)
         took_s = asyncio.get_running_loop().time() - began_s
         assert took_s <= idempotency.OUTCOME_WAIT_S + 0.01
 
-        if last_word == "finish":
-            assert await first.claim_done() == b"7"
+        if ending == "finish":
+            assert await first.claim_finished_key() == b"7"
         await asyncio.sleep(20.0)
         first.store.faults = memory.Faults()
         await asyncio.sleep(20.0)
-        match last_word:
+        match ending:
             case "finish":
-                assert await second.claim_done() == b"7"
+                assert await second.claim_finished_key() == b"7"
             case "mark_unknown":
                 kind = await second.claim()
                 assert kind is errors.Kind.OUTCOME_UNKNOWN
             case _:
-                await second.claim_right()
+                await second.claim_free_key()
 
     records_vms.run(go())
 
 
-def test_claims_are_refused_at_once_during_an_outage() -> None:
-    """The store is silent for minutes while orders keep coming in.
+def test_claims_are_refused_immediately_during_outage() -> None:
+    """The store doesn't respond for minutes while requests arrive.
 
-    Each must be refused at once with a time to come back, not after the
-    store's timeout, and the store must not meet all of them as calls.
+    Each must be refused immediately with a retry time, not after the store's
+    timeout, and must not cause a call to the store each.
     """
 
     async def go() -> None:
-        first, _ = records_vms.make_two()
-        await first.claim_right("other")
+        first, _ = records_vms.make_two_vms()
+        await first.claim_free_key("other")
         first.store.faults.delay_s = 60.0
         loop = asyncio.get_running_loop()
         for number in range(3):
@@ -98,63 +98,63 @@
     records_vms.run(go())
 
 
-def test_a_record_ends_with_its_retention() -> None:
+def test_record_expires_after_retention() -> None:
     async def go() -> None:
-        first, second = records_vms.make_two()
-        await first.records.finish(await first.claim_right(), b"7")
+        first, second = records_vms.make_two_vms()
+        await first.records.finish(await first.claim_free_key(), b"7")
 
         await asyncio.sleep(record_bounds.RETENTION_S - 1.0)
-        assert await second.claim_done() == b"7"
+        assert await second.claim_finished_key() == b"7"
         await asyncio.sleep(2 * record_bounds.WINDOW_S)
-        await second.claim_right()
+        await second.claim_free_key()
 
     records_vms.run(go())
 
 
-def test_a_last_word_after_the_retention_is_not_told_again() -> None:
-    """A run's end is noticed more than a day after its claim.
+def test_outcome_after_retention_is_not_replayed() -> None:
+    """A run ends more than a day after its claim.
 
-    The key is free by then and may be used anew, so the old outcome must not
-    be told as the new request's.
+    The key is free by then and may be reused, so the old outcome must not be
+    returned for the new request.
     """
 
     async def go() -> None:
-        first, second = records_vms.make_two()
-        claimed = await first.claim_right()
+        first, second = records_vms.make_two_vms()
+        claimed = await first.claim_free_key()
         for _ in range(2):
             await asyncio.sleep(
                 record_bounds.RETENTION_S / 2 + record_bounds.WINDOW_S
             )
         await first.records.finish(claimed, b"7")
 
-        await first.claim_right()
+        await first.claim_free_key()
         assert await second.claim() is errors.Kind.IN_PROGRESS
 
     records_vms.run(go())
 
 
-def test_a_lost_lease_costs_one_refusal() -> None:
+def test_lost_lease_costs_one_refusal() -> None:
     async def go() -> None:
-        first, _ = records_vms.make_two()
-        await first.claim_right("other")
+        first, _ = records_vms.make_two_vms()
+        await first.claim_free_key("other")
         first.store.state.expire_leases(1e9)
 
         assert await first.claim() is errors.Kind.STORE_UNAVAILABLE
-        await first.claim_right()
+        await first.claim_free_key()
 
     records_vms.run(go())
 
 
 @mock.patch.object(record_bounds, "MAX_STORED_BYTES", 200_000)
-def test_records_past_the_size_bound_are_refused_until_there_is_room() -> None:
-    """More orders come than the store may hold until their retention ends.
+def test_records_beyond_size_bound_are_refused_until_space_is_free() -> None:
+    """More requests arrive than the store may hold within the retention time.
 
-    The bound holds whatever comes; what is refused has not run, and is taken
-    as room comes back.
+    The size bound must hold under any load. Refused requests have not run,
+    and are accepted once expired records free space.
     """
 
     async def go() -> None:
-        first, _ = records_vms.make_two()
+        first, _ = records_vms.make_two_vms()
         state = first.store.state
         loop = asyncio.get_running_loop()
         refused = most = number = 0
@@ -179,10 +179,10 @@
     records_vms.run(go())
 
 
-def test_outcomes_that_come_up_together_share_a_write() -> None:
+def test_simultaneous_outcomes_share_a_write() -> None:
     async def go() -> None:
-        first, second = records_vms.make_two()
-        claims = [await first.claim_right(f"{n}") for n in range(40)]
+        first, second = records_vms.make_two_vms()
+        claims = [await first.claim_free_key(f"{n}") for n in range(40)]
         before = first.store.state.revision
 
         first.store.faults.lost_replies = 1
@@ -193,49 +193,47 @@
 
         assert first.store.state.revision - before <= 3
         for number in range(40):
-            assert await second.claim_done(f"{number}") == b"7"
+            assert await second.claim_finished_key(f"{number}") == b"7"
 
     records_vms.run(go())
 
 
-def test_the_first_retry_costs_one_write_and_one_read_and_the_next_none() -> (
-    None
-):
+def test_first_retry_costs_one_write_and_one_read_and_next_none() -> None:
     async def go() -> None:
-        first, second = records_vms.make_two()
+        first, second = records_vms.make_two_vms()
         second.records = idempotency.make(
             second.board,
             counting.CountingStore(second.store, second.board.metrics),
             random.Random(2),
         )
-        await second.claim_right("other")
+        await second.claim_free_key("other")
         second.board.metrics.counts.clear()
-        await first.records.finish(await first.claim_right(), b"7")
+        await first.records.finish(await first.claim_free_key(), b"7")
 
-        await second.claim_done()
+        await second.claim_finished_key()
         counts = second.board.metrics.counts
         assert counts["store.writes"] == counts["store.reads"] == 1
-        await second.claim_done()
+        await second.claim_finished_key()
         assert counts["store.writes"] == counts["store.reads"] == 1
 
     records_vms.run(go())
 
 
-def test_claims_that_come_back_together_are_paced() -> None:
+def test_simultaneous_claims_are_rate_limited() -> None:
     async def go() -> None:
-        first, _ = records_vms.make_two()
+        first, _ = records_vms.make_two_vms()
         share = int(record_bounds.RECORDS_PER_S)
         kinds = [await first.claim(f"{n}") for n in range(share + 9)]
 
         assert kinds.count(errors.Kind.OVERLOADED) == 9
         await asyncio.sleep(0.5)
         for number in range(share // 2):
-            await first.claim_right(f"later-{number}")
+            await first.claim_free_key(f"later-{number}")
 
     records_vms.run(go())
 
 
-def test_a_record_takes_no_more_room_than_the_quota_counts() -> None:
+def test_record_size_stays_within_quota_estimate() -> None:
     async def go() -> None:
         state = store_state.State()
         vm = records_vms.Vm("v" * 40, state)
@@ -255,15 +253,15 @@
 
 
 @mock.patch.object(record_bounds, "MAX_STORED_BYTES", 20_000_000)
-def test_an_outage_uses_up_no_room() -> None:
-    """Hundreds of orders are refused in an outage; then the store returns.
+def test_claims_refused_in_outage_use_no_quota() -> None:
+    """A thousand requests are refused in an outage, then the store recovers.
 
-    What was refused must not have used the share of those that come after.
+    The refused requests must not have used up the quota of later ones.
     """
 
     async def go() -> None:
-        first, _ = records_vms.make_two()
-        await first.claim_right("other")
+        first, _ = records_vms.make_two_vms()
+        await first.claim_free_key("other")
         first.store.faults.down = True
         for number in range(1000):
             await first.claim(f"{number}")
@@ -271,21 +269,22 @@
         await asyncio.sleep(3.0)
 
         for number in range(int(record_bounds.RECORDS_PER_S)):
-            await first.claim_right(f"after-{number}")
+            await first.claim_free_key(f"after-{number}")
 
     records_vms.run(go())
 
 
-def test_releases_that_piled_up_are_written_at_a_bounded_rate() -> None:
-    """A hundred claims were given back during an outage.
+def test_release_backlog_is_written_at_bounded_rate() -> None:
+    """A hundred claims were released during an outage.
 
-    When the store returns it must not meet all of them, from every VM, at
-    once; a VM that leaves hurries, since nobody else can write them.
+    When the store recovers, it must not get the whole backlog of every VM at
+    once. A VM that shuts down writes its backlog without the rate limit,
+    since no other VM can write it.
     """
 
     async def go() -> None:
-        first, _ = records_vms.make_two()
-        claims = [await first.claim_right(f"{n}") for n in range(100)]
+        first, _ = records_vms.make_two_vms()
+        claims = [await first.claim_free_key(f"{n}") for n in range(100)]
         first.store.faults.down = True
         for claimed in claims:
             first.records.release(claimed)
@@ -302,12 +301,12 @@
     records_vms.run(go())
 
 
-def test_the_return_of_the_store_meets_no_stampede() -> None:
-    """A hospital's orders pile up while the store is down.
+def test_store_recovery_causes_no_load_peak() -> None:
+    """Requests accumulate while the store is down.
 
-    Every caller asks again as it is told. When the store returns, all are
-    waiting; it must meet no more than the share of the records, and all must
-    be served soon.
+    Every caller retries at the time that it was given. When the store
+    recovers, all are waiting: the load on the store must stay within the
+    records' share, and all requests must be served soon.
     """
 
     async def go() -> None:
