--- a/tests/controllers/configured.py
+++ b/tests/controllers/configured.py
@@ -1,4 +1,4 @@
-"""Several VMs' configuration over the in-memory ports."""
+"""The configuration controllers of several VMs, over in-memory ports."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Process:
-    """One VM's process, as far as the configuration needs it."""
+    """One VM's process, reduced to membership and configuration."""
 
     def __init__(self, deployment: Deployment, number: int, start: int) -> None:
         self.name = f"vm-{number}"
@@ -102,7 +102,7 @@
         await self.port.close()
 
     def may_work(self) -> bool:
-        """Tells whether new work may be sent now."""
+        """Returns True if new work may be sent now."""
         now_s = asyncio.get_running_loop().time()
         return now_s < self.board.work_until_s
 
@@ -165,7 +165,7 @@
         await asyncio.sleep(settle_s)
 
     async def restart(self, number: int) -> Process:
-        """Replaces a process by one that remembers nothing."""
+        """Replaces a process by a new one without state."""
         await self.processes[number].stop()
         self._starts[number] += 1
         process = Process(self, number, self._starts[number])
@@ -178,7 +178,7 @@
             await process.stop()
 
     def cut(self, *numbers: int) -> None:
-        """Cuts some VMs off from all the others, both ways."""
+        """Cuts some VMs off from all the others, in both directions."""
         size = len(self.processes)
         for inside in numbers:
             for outside in set(range(size)) - set(numbers):
@@ -189,7 +189,7 @@
         self.network.faults.cut.clear()
 
     def set_down(self, *numbers: int) -> None:
-        """Makes the store unreachable for these VMs, reachable for others."""
+        """Makes the store unreachable for exactly these VMs."""
         for number, store in enumerate(self.stores):
             store.faults.down = number in numbers
 
--- a/tests/controllers/propagation_machine.py
+++ b/tests/controllers/propagation_machine.py
@@ -1,4 +1,4 @@
-"""Configuration under every fault at once, as a hypothesis state machine."""
+"""A hypothesis state machine of the configuration under combined faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 SAMPLE_S = 0.05
 STEP_S = 0.3
 QUIET_S = 20.0
-"""Time without faults after which all must be well, in seconds."""
+"""Time without faults after which all VMs must have recovered, in seconds."""
 
 NAMES = ("d", "e")
 NOT_RUN = ("conflict", "store_unavailable", "stale_configuration")
@@ -32,11 +32,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Asked:
-    """A change that an operator asked for.
+    """A change that an operator requested.
 
     Attributes:
-        change_id: Its id.
-        code: `ok` or the refusal's code; empty while there is no answer.
+        change_id: The id of the change.
+        code: `ok` or the code of the refusal; empty while there is no answer.
     """
 
     change_id: str
--- a/tests/controllers/test_configuration.py
+++ b/tests/controllers/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration controller, several VMs under faults."""
+"""Tests of the configuration controllers of several VMs under faults."""
 
 from __future__ import annotations
 
@@ -14,24 +14,25 @@
 from tests.controllers import configured
 
 BOUND_S = 2.0
-"""From acceptance to the last new work on the old configuration."""
+"""Maximum time from acceptance of a change to the last new work under the old
+configuration, in seconds."""
 
-Story = Callable[[configured.Deployment], Awaitable[None]]
+Scenario = Callable[[configured.Deployment], Awaitable[None]]
 
 
-def run(story: Story, size: int = 5) -> None:
-    """Runs a story on a settled deployment, with the zone `d` declared."""
+def run(scenario: Scenario, size: int = 5) -> None:
+    """Runs a scenario on a stable deployment with a declared zone `d`."""
 
-    async def whole() -> None:
+    async def main() -> None:
         deployment = configured.Deployment(size)
         await deployment.start()
         response = await deployment.processes[0].put(configured.make_zone("d"))
         assert response.status == 200, response.body
         await asyncio.sleep(2.0)
-        await story(deployment)
+        await scenario(deployment)
         await deployment.stop()
 
-    virtual.run(whole())
+    virtual.run(main())
 
 
 def get_revision(response_body: bytes) -> int:
@@ -54,7 +55,7 @@
 
 
 async def drain(process: configured.Process) -> int:
-    """Takes the zone `d` out through a VM; returns the revision."""
+    """Takes the zone `d` out of service through a VM; returns the revision."""
     present = process.board.configuration.entries[("availability_zone", "d")]
     response = await process.put(
         configured.make_zone("d", out=True), present.revision
@@ -63,8 +64,8 @@
     return get_revision(response.body)
 
 
-def test_a_change_is_in_force_on_every_vm_at_once() -> None:
-    async def story(deployment: configured.Deployment) -> None:
+def test_change_is_in_force_on_every_vm_immediately() -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         revision = await drain(deployment.processes[3])
         await asyncio.sleep(0.01)
         for process in deployment.processes:
@@ -74,74 +75,73 @@
             assert process.board.configuration.revision >= revision
             assert process.board.accepted_revision >= revision
 
-    run(story)
+    run(scenario)
 
 
-def test_only_a_few_vms_hold_the_watch() -> None:
-    async def story(deployment: configured.Deployment) -> None:
+def test_only_few_vms_watch_store() -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         before = [count_calls(process) for process in deployment.processes]
         await asyncio.sleep(60.0)
         after = [count_calls(process) for process in deployment.processes]
         assert sum(x != y for x, y in zip(before, after, strict=True)) == 2
 
-    run(story)
+    run(scenario)
 
 
-def test_a_vm_cut_off_from_its_peers_goes_on_by_the_store() -> None:
-    """The peers' links of vm-4 are cut; it reaches the store.
+def test_vm_without_peers_continues_with_store() -> None:
+    """vm-4 is cut off from its peers but reaches the store.
 
-    An operator takes a zone out through vm-0. No peer can tell vm-4, so it
-    must hear it from the store within the bound, or send nothing more.
+    An operator takes a zone out of service through vm-0. No peer can send the
+    change to vm-4, so vm-4 must read it from the store within the bound.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
-        lonely = deployment.processes[4]
+    async def scenario(deployment: configured.Deployment) -> None:
+        isolated = deployment.processes[4]
         deployment.cut(4)
         for _ in range(50):
             await asyncio.sleep(0.1)
-            assert lonely.may_work()
+            assert isolated.may_work()
         await drain(deployment.processes[0])
         await asyncio.sleep(BOUND_S)
-        assert lonely.get_zones_out() == {"d"}
-        assert get_serving(lonely) == "ready"
+        assert isolated.get_zones_out() == {"d"}
+        assert get_serving(isolated) == "ready"
 
-    run(story)
+    run(scenario)
 
 
-def test_a_vm_cut_off_from_peers_and_store_stops_within_the_bound() -> None:
-    """vm-4 loses the store and its peers; callers still reach it.
+def test_vm_without_peers_and_store_stops_within_bound() -> None:
+    """vm-4 loses the store and its peers, but callers still reach it.
 
-    A zone is taken out, the change is accepted by the others. vm-4 knows
-    nothing of it: unless it stops by itself, it sends work there for good.
+    A zone is taken out of service and the other VMs accept the change. vm-4
+    doesn't get it: unless vm-4 stops on its own, it continues to send work to
+    that zone.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
-        lonely = deployment.processes[4]
+    async def scenario(deployment: configured.Deployment) -> None:
+        isolated = deployment.processes[4]
         deployment.cut(4)
         deployment.set_down(4)
         await drain(deployment.processes[0])
         await asyncio.sleep(BOUND_S)
-        assert lonely.get_zones_out() == set()
-        assert not lonely.may_work()
-        assert get_serving(lonely) == "stale"
+        assert isolated.get_zones_out() == set()
+        assert not isolated.may_work()
+        assert get_serving(isolated) == "stale"
         deployment.heal()
         await asyncio.sleep(1.0)
-        assert lonely.get_zones_out() == {"d"}
-        assert get_serving(lonely) == "ready"
+        assert isolated.get_zones_out() == {"d"}
+        assert get_serving(isolated) == "ready"
 
-    run(story)
+    run(scenario)
 
 
-def test_a_change_through_a_vm_without_a_majority_is_refused_and_not_run() -> (
-    None
-):
-    """vm-3 and vm-4 are cut off from the three others, not from the store.
+def test_change_without_majority_is_refused_and_not_run() -> None:
+    """vm-3 and vm-4 are cut off from the other three, but not from the store.
 
-    An operator asks vm-4 to take a zone out. The others might not hear of it
-    in time, so vm-4 must not take the change, and says that it did not.
+    An operator requests a change through vm-4. The others might not get it in
+    time, so vm-4 must refuse the change and answer that it was not run.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         deployment.cut(3, 4)
         await asyncio.sleep(BOUND_S)
         present = deployment.state.revision
@@ -154,11 +154,11 @@
         changed = deployment.state.list_changes("/azureramp/res", present)
         assert changed.entries == ()
 
-    run(story)
+    run(scenario)
 
 
-def test_all_vms_go_on_through_an_outage() -> None:
-    async def story(deployment: configured.Deployment) -> None:
+def test_all_vms_continue_during_store_outage() -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         deployment.set_down(0, 1, 2, 3, 4)
         for _ in range(300):
             await asyncio.sleep(1.0)
@@ -169,24 +169,22 @@
         )
         assert get_code(response.body) == "store_unavailable"
 
-    run(story)
+    run(scenario)
 
 
-def test_the_minority_stops_in_an_outage() -> None:
-    async def story(deployment: configured.Deployment) -> None:
+def test_minority_stops_during_store_outage() -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         deployment.set_down(0, 1, 2, 3, 4)
         deployment.cut(3, 4)
         await asyncio.sleep(BOUND_S + 0.1)
         states = [process.may_work() for process in deployment.processes]
         assert states == [True, True, True, False, False]
 
-    run(story)
+    run(scenario)
 
 
-def test_a_vm_that_starts_in_an_outage_takes_its_configuration_from_peers() -> (
-    None
-):
-    async def story(deployment: configured.Deployment) -> None:
+def test_vm_started_in_outage_gets_configuration_from_peers() -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         await drain(deployment.processes[0])
         await asyncio.sleep(1.0)
         deployment.set_down(0, 1, 2, 3, 4)
@@ -195,18 +193,19 @@
         assert get_serving(process) == "ready"
         assert process.get_zones_out() == {"d"}
 
-    run(story)
+    run(scenario)
 
 
-def test_a_vm_that_starts_beside_stale_peers_only_does_not_serve() -> None:
-    """vm-3 and vm-4 are cut off when a zone is taken out, with the store.
+def test_vm_started_with_only_stale_peers_does_not_serve() -> None:
+    """vm-3 and vm-4 are cut off, also from the store, while a zone is drained.
 
     Then vm-2, which had acknowledged the change, is replaced, and its new
-    process reaches only the two stale ones. With the two it makes a majority
-    of five: if it took their word, all three would send work to the zone.
+    process reaches only the two stale VMs. The three are a majority of five:
+    if vm-2 accepted their configuration, all three would send work to the
+    zone.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         deployment.cut(3, 4)
         deployment.set_down(3, 4)
         await drain(deployment.processes[0])
@@ -222,19 +221,17 @@
         for number in (3, 4):
             assert not deployment.processes[number].may_work()
 
-    run(story)
+    run(scenario)
 
 
-def test_a_store_that_answers_from_the_past_reverts_and_confirms_nothing() -> (
-    None
-):
+def test_stale_store_reads_revert_and_confirm_nothing() -> None:
     """After a failover the store answers reads from an old replica.
 
-    A VM that starts then would take the zone for being in service, and one
-    that re-reads would put the old state back.
+    A VM that starts then would treat a drained zone as in service, and a VM
+    that reads the store again would restore the old state.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         revision = await drain(deployment.processes[0])
         await asyncio.sleep(1.0)
         deployment.cut(4)
@@ -251,31 +248,32 @@
         await asyncio.sleep(2.0)
         assert started.get_zones_out() == {"d"}
 
-    run(story)
+    run(scenario)
 
 
-def test_a_write_whose_reply_is_lost_is_settled_by_its_id() -> None:
-    """The write takes effect, but its reply does not come back.
+def test_write_with_lost_reply_is_recognized_by_its_id() -> None:
+    """A write takes effect, but its reply is lost.
 
-    The operator must not read "unknown", nor a conflict with the own change.
+    The operator must neither get `STORE_OUTCOME_UNKNOWN` nor a conflict with
+    the operator's own change.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         deployment.stores[0].faults.lost_replies = 3
         await drain(deployment.processes[0])
         assert deployment.processes[0].get_zones_out() == {"d"}
 
-    run(story)
+    run(scenario)
 
 
-def test_a_lost_write_that_lands_late_changes_nothing_twice() -> None:
-    """The first try is held up on its way and the second one is taken.
+def test_delayed_write_does_not_take_effect_twice() -> None:
+    """The first attempt of a write is delayed and the second takes effect.
 
-    The late one lands after another operator has put the zone back: it must
-    not take it out again.
+    The delayed one arrives after another operator has put the zone back into
+    service, and must not take it out again.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         process = deployment.processes[0]
         process.store.faults.late_s = 5.0
         task = asyncio.create_task(drain(process))
@@ -288,19 +286,19 @@
         for other in deployment.processes:
             assert other.get_zones_out() == set()
 
-    run(story)
+    run(scenario)
 
 
-def test_two_operators_with_equal_values_are_one_change_and_one_conflict() -> (
+def test_equal_changes_of_two_operators_are_one_change_and_one_conflict() -> (
     None
 ):
-    """Both take the same zone out at once; the first one's reply is lost.
+    """Two operators drain the same zone, and the first one's request is lost.
 
-    By comparing values each would take the change for its own. Then both
-    would think that they may put the zone back.
+    If changes were compared by value, each operator would treat the change as
+    their own, and both would assume that they may revert it.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         first, second = deployment.processes[:2]
         entry = first.board.configuration.entries[("availability_zone", "d")]
         first.store.faults.lost_requests = 1
@@ -315,17 +313,18 @@
         assert answer.code == "store_outcome_unknown"
         assert answer.present is not None
 
-    run(story)
+    run(scenario)
 
 
-def test_an_operator_who_goes_away_leaves_no_change_half_made() -> None:
-    """The tool is interrupted while the store takes its time.
+def test_change_completes_after_operator_disconnects() -> None:
+    """The operator's tool is interrupted while the store is slow.
 
-    The write still lands. The VM that made it is the only one that reaches
-    the store now, so the others hear of it only if it goes on by itself.
+    The write still takes effect. The VM that made it is the only one that
+    reaches the store, so the others get the change only if that VM continues
+    without the operator.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         before = [count_calls(process) for process in deployment.processes]
         await asyncio.sleep(12.0)
         process = next(
@@ -343,11 +342,11 @@
         for other in deployment.processes:
             assert other.get_zones_out() == {"d"}
 
-    run(story)
+    run(scenario)
 
 
-def test_a_deleted_resource_stays_deleted_and_resumes_as_such() -> None:
-    async def story(deployment: configured.Deployment) -> None:
+def test_deleted_resource_stays_deleted_and_is_sent_as_deleted() -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         process = deployment.processes[0]
         before = process.board.configuration.revision
         response = await process.ask(
@@ -362,11 +361,11 @@
         for other in deployment.processes:
             assert not other.board.configuration.get_zones()
 
-    run(story)
+    run(scenario)
 
 
-def test_an_answer_about_a_lost_deletion_is_that_it_is_gone() -> None:
-    async def story(deployment: configured.Deployment) -> None:
+def test_deletion_with_lost_reply_succeeds() -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         process = deployment.processes[0]
         process.store.faults.lost_replies = 1
         response = await process.ask(
@@ -377,20 +376,20 @@
         assert response.status == 200, response.body
         assert get_revision(response.body) > 0
 
-    run(story)
+    run(scenario)
 
 
 @pytest.mark.parametrize("field", ["down", "delay_s"])
-def test_changes_of_others_arrive_though_the_watchers_have_no_store(
+def test_external_changes_arrive_while_watchers_lack_store(
     field: str,
 ) -> None:
-    """The two VMs that hold the watch are the ones cut off from the store.
+    """The two VMs that watch the store, and two more, are cut off from it.
 
-    Somebody changes an entry beside us. The others must take over, in turns,
-    and not only watch the two fail.
+    Another program changes an entry. A VM that reaches the store must take
+    over the watch.
     """
 
-    async def story(deployment: configured.Deployment) -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         present = deployment.state.read(
             "/azureramp/resources/availability_zone/d"
         )
@@ -410,11 +409,11 @@
             ages.append(deployment.processes[0].get_zones_out())
         assert ages[-1] == {"d"}
 
-    run(story)
+    run(scenario)
 
 
-def test_a_change_id_tells_a_retry_from_another_operators_change() -> None:
-    async def story(deployment: configured.Deployment) -> None:
+def test_change_id_distinguishes_retry_from_other_change() -> None:
+    async def scenario(deployment: configured.Deployment) -> None:
         first, second = deployment.processes[:2]
         zone = configured.make_zone("c")
         one = await first.configuration.put(zone, 0, "change-1")
@@ -424,4 +423,4 @@
         refusal: changes.Refusal = other.error
         assert refusal.failure.kind is errors.Kind.CONFLICT
 
-    run(story)
+    run(scenario)
--- a/tests/controllers/test_propagation_machine.py
+++ b/tests/controllers/test_propagation_machine.py
@@ -1,4 +1,4 @@
-"""The state machine holds, and a broken policy does not get past it."""
+"""Tests of the configuration by state machine, and of that machine."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
     run(15)
 
 
-def test_a_copy_that_takes_whatever_comes_last_is_caught(
+def test_copy_that_applies_outdated_entries_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The broken policy that stays: late messages replace newer entries."""
+    """With this broken policy, late messages replace newer entries."""
 
     def apply_all(
         self: propagation.Copy, entries: Iterable[resources.Versioned]
