--- a/tests/controllers/test_membership.py
+++ b/tests/controllers/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership controllers of a few VMs, over links with faults."""
+"""Tests of the membership controllers of five VMs, over links with faults."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     *((f"s{number}", f"z{number % 3}") for number in range(12))
 )
 SETTLE_S = 4.0
-"""From the start until leases and owners are settled, in seconds."""
+"""Time from the start until leases and owners are stable, in seconds."""
 
 
 class Cell:
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.listed = [vms.make_vm(f"vm{n}", f"z{n % 3}") for n in range(5)]
-        self.listing = vms.ListFake(*self.listed)
+        self.listing = vms.FakeVmList(*self.listed)
         self.network = memory.Network()
         self.nodes: dict[str, vms.Node] = {}
 
@@ -42,7 +42,7 @@
         return [n.board for name, n in self.nodes.items() if name not in but]
 
     def count_changes(self, since_s: float) -> int:
-        """Counts the changed views of members since a time."""
+        """Counts the changes of members' states since a time."""
         return sum(
             isinstance(record.event, events.MemberChanged)
             and record.monotonic_s >= since_s
@@ -52,7 +52,7 @@
 
 
 def run(test: Callable[[Cell], Awaitable[None]]) -> None:
-    """Starts a cell, lets it settle, and runs a test on it."""
+    """Starts a cell, waits until it is stable, and runs a test on it."""
 
     async def body() -> None:
         cell = Cell()
@@ -71,7 +71,11 @@
 
 
 def assert_agreed(boards: list[blackboard.Blackboard]) -> dict[str, str]:
-    """All see the same owners, each holds a lease and may start on its own."""
+    """Checks that VMs agree on the owners and may use their searchers.
+
+    Returns:
+        The names of the owner VMs, by searcher name.
+    """
     owners = boards[0].owners
     assert len(owners) == 24
     for board in boards:
@@ -85,7 +89,7 @@
     return owners
 
 
-def test_vms_agree_on_owners_in_the_searchers_zone_after_a_start() -> None:
+def test_vms_agree_on_owners_in_searcher_zone_after_start() -> None:
     async def test(cell: Cell) -> None:
         owners = assert_agreed(cell.get_boards())
         zones = {vm.name: vm.zone for vm in cell.listed}
@@ -96,11 +100,11 @@
     run(test)
 
 
-def test_nobody_starts_on_a_searcher_before_the_first_grants() -> None:
-    """All VMs start at once, and nobody acknowledges for a lease length.
+def test_no_vm_uses_searchers_before_first_lease() -> None:
+    """All VMs start at once and grant no lease for one lease duration.
 
-    A VM that took this for the loss of the majority would start without a
-    lease, and answer short since its cold searchers wait.
+    A VM that treated this as the loss of the majority would start without a
+    lease, and return incomplete answers because its cold searchers wait.
     """
 
     async def body() -> None:
@@ -117,11 +121,11 @@
     virtual.run(body())
 
 
-def test_a_lost_heartbeat_or_two_changes_nothing() -> None:
-    """For 0.6 s every heartbeat is lost, as when a switch reboots.
+def test_few_lost_heartbeats_change_nothing() -> None:
+    """All heartbeats are lost for 0.6 s, for example while a switch reboots.
 
-    A VM that acted on a missing one would move searchers to and fro, and
-    each move costs a cold ramp's wait.
+    A VM that reacted to a single missing heartbeat would move searchers back
+    and forth, and each move costs the delay of a cold ramp.
     """
 
     async def test(cell: Cell) -> None:
@@ -136,11 +140,11 @@
     run(test)
 
 
-def test_a_killed_vms_searchers_move_once_its_lease_has_ended() -> None:
-    """A host fails, and its searchers get no work until others own them.
+def test_searchers_of_killed_vm_move_after_its_lease() -> None:
+    """A host fails, and its searchers get no work until other VMs own them.
 
-    The new owner may start only after the dead one's lease has ended, and
-    all the others must come to the same owners.
+    The new owner may use them only after the failed VM's lease has expired,
+    and all other VMs must agree on the new owners.
     """
 
     async def test(cell: Cell) -> None:
@@ -165,11 +169,11 @@
     run(test)
 
 
-def test_an_own_pause_declares_nobody_dead() -> None:
-    """The processes stand still for ten seconds, as in a live migration.
+def test_process_pause_makes_no_vm_suspect() -> None:
+    """The processes are paused for ten seconds, as in a live migration.
 
-    When one goes on, everybody's last heartbeat is ten seconds old, and its
-    timer fires before it reads what waits in its sockets.
+    When a process resumes, the last heartbeat of every VM is ten seconds old,
+    and its timer fires before it reads the messages waiting in its sockets.
     """
 
     async def test(cell: Cell) -> None:
@@ -182,10 +186,10 @@
     run(test)
 
 
-def test_a_cut_link_between_two_vms_moves_no_searcher() -> None:
-    """Two VMs lose each other, and all others hear both.
+def test_cut_link_between_two_vms_moves_no_searcher() -> None:
+    """Two VMs lose contact with each other, but not with the other VMs.
 
-    If each took the other for dead, both would claim the same searchers.
+    If each treated the other as failed, both would claim the same searchers.
     """
 
     async def test(cell: Cell) -> None:
@@ -199,13 +203,11 @@
     run(test)
 
 
-def test_without_a_majority_there_is_no_lease_but_searchers_have_owners() -> (
-    None
-):
+def test_without_majority_searchers_have_owners_but_no_lease() -> None:
     """A VM is cut off from all others.
 
-    It can't know what they do with its searchers, so cold ones must wait,
-    while warm ones go on.
+    It can't know how they use its searchers, so cold searchers must wait,
+    while warm ones continue to get work.
     """
 
     async def test(cell: Cell) -> None:
@@ -224,11 +226,11 @@
     run(test)
 
 
-def test_a_restarted_vm_is_not_taken_for_its_earlier_process() -> None:
-    """A VM is replaced under its name and address.
+def test_restarted_vm_is_distinguished_from_earlier_process() -> None:
+    """A VM is replaced by a new process with the same name and address.
 
-    A heartbeat of the old process, late on its way, says that it leaves; it
-    must not take the new one out of service.
+    A delayed heartbeat of the old process announces that it leaves. It must
+    not take the new process out of service.
     """
 
     async def test(cell: Cell) -> None:
@@ -255,11 +257,11 @@
     run(test)
 
 
-def test_a_new_vm_owns_nothing_before_it_has_heard_the_others() -> None:
-    """A VM is replaced; it hears the others later than they hear it.
+def test_new_vm_owns_nothing_before_receiving_heartbeats() -> None:
+    """A VM is replaced, and receives heartbeats later than the others do.
 
-    Were it taken for an owner at once, the searchers handed to it would have
-    no owner until it knows that it is one, and answers would be short.
+    If it were treated as an owner at once, the searchers handed to it would
+    have no owner until it receives them, and answers would be incomplete.
     """
 
     async def test(cell: Cell) -> None:
@@ -280,7 +282,7 @@
     run(test)
 
 
-def test_a_leaving_vm_gives_its_searchers_up_within_a_beat() -> None:
+def test_leaving_vm_releases_searchers_within_one_heartbeat() -> None:
     async def test(cell: Cell) -> None:
         cell.nodes["vm0"].membership.announce_leaving()
         await asyncio.sleep(0.05)
@@ -293,7 +295,7 @@
 
 
 @pytest.mark.parametrize("change", ["shrinks", "fails"])
-def test_a_list_that_lags_or_fails_drops_nobody_who_is_heard(
+def test_lagging_or_failing_list_removes_no_live_vm(
     change: str,
 ) -> None:
     async def test(cell: Cell) -> None:
@@ -325,14 +327,14 @@
         ),
     ],
 )
-def test_a_half_open_link_is_replaced_by_a_new_one(
+def test_half_open_link_is_replaced(
     pairs: list[tuple[str, str]],
 ) -> None:
-    """Something between two VMs loses track of their connections.
+    """A device between two VMs loses the state of their connections.
 
-    Both ends stay open and no error comes, but nothing arrives any more,
-    while a new connection works. The heartbeats that nobody acknowledges
-    show it, whether the VM is heard or not.
+    Both ends stay open without an error, but messages no longer arrive, while
+    a new connection works. Unacknowledged heartbeats reveal this, whether or
+    not messages arrive in the other direction.
     """
 
     async def test(cell: Cell) -> None:
--- a/tests/controllers/test_shutdown.py
+++ b/tests/controllers/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown, step by step, with its neighbours replaced."""
+"""Tests of the graceful shutdown, with stubs for the other controllers."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from azureramp.ports.web import server as web_server
 from azureramp_standins import virtual
 
-STAY_S = 10.0
+ADDRESS_EXPIRY_S = 10.0
 LIMIT_S = 30.0
 
 
-class Neighbours:
-    """Stands for the membership, the owner, the records and the server."""
+class ControllerStub:
+    """Replaces the membership, the owner, the records and the server."""
 
     def __init__(self, work_s: float) -> None:
         self.running = 2
@@ -32,18 +32,18 @@
         self.steps: list[tuple[str, float]] = []
         self._work_s = work_s
 
-    def note(self, step: str) -> None:
+    def record(self, step: str) -> None:
         self.steps.append((step, asyncio.get_running_loop().time()))
 
     def announce_leaving(self) -> None:
-        self.note("leaving")
+        self.record("leaving")
 
     async def drain(self, limit_s: float) -> None:
-        self.note("drain")
+        self.record("drain")
 
     async def stop(self, limit_s: float) -> int:
-        """Ends what runs, or cuts it at the limit."""
-        self.note("stop")
+        """Waits for running work; aborts it at the limit."""
+        self.record("stop")
         await asyncio.sleep(min(self._work_s, limit_s))
         if self._work_s <= limit_s:
             self.running = 0
@@ -54,34 +54,34 @@
     work_s: float, signal_s: float | None
 ) -> tuple[int, list[tuple[str, float]], list[events.StopChanged], str]:
     async def body() -> int:
-        cutting = asyncio.Event()
+        abort = asyncio.Event()
         if signal_s is not None:
-            asyncio.get_running_loop().call_later(signal_s, cutting.set)
+            asyncio.get_running_loop().call_later(signal_s, abort.set)
         made = shutdown.make(board, stub, stub, stub, stub)
-        return await made.run(cutting)
+        return await made.run(abort)
 
-    stub = Neighbours(work_s)
+    stub = ControllerStub(work_s)
     made = settings.Settings("vm", "z", "h:1", "p:1", "s:1", "l:1")
     timeline = timelines.Timeline("vm", wall=lambda: 0.0)
     board = blackboard.Blackboard(made, 1, timeline, metrics.Metrics())
-    cut = virtual.run(body())
+    aborted = virtual.run(body())
     stops = [
         record.event
         for record in timeline.get_records()
         if isinstance(record.event, events.StopChanged)
     ]
-    return cut, stub.steps, stops, board.serving.value
+    return aborted, stub.steps, stops, board.serving.value
 
 
-def test_a_vm_is_unadvertised_long_before_it_refuses_work() -> None:
-    cut, steps, stops, serving = run(work_s=1.0, signal_s=None)
+def test_vm_is_unadvertised_before_it_refuses_work() -> None:
+    aborted, steps, stops, serving = run(work_s=1.0, signal_s=None)
 
-    assert cut == 0
+    assert aborted == 0
     assert steps == [
         ("leaving", 0.0),
-        ("stop", STAY_S),
-        ("drain", STAY_S + 1.0),
-        ("drain", STAY_S + 1.0),
+        ("stop", ADDRESS_EXPIRY_S),
+        ("drain", ADDRESS_EXPIRY_S + 1.0),
+        ("drain", ADDRESS_EXPIRY_S + 1.0),
     ]
     assert serving == "leaving"
     assert [event.step for event in stops] == [
@@ -96,26 +96,26 @@
     ("work_s", "signal_s", "ended_s"),
     [
         pytest.param(60.0, None, LIMIT_S, id="hard limit"),
-        pytest.param(60.0, 3.0, 3.0, id="second signal while it stays"),
-        pytest.param(60.0, 12.0, 12.0, id="second signal while it drains"),
+        pytest.param(60.0, 3.0, 3.0, id="second signal while still advertised"),
+        pytest.param(60.0, 12.0, 12.0, id="second signal while draining"),
     ],
 )
-def test_work_is_cut_only_by_limit_or_signal_and_it_is_said(
+def test_work_is_aborted_only_by_limit_or_signal_and_recorded(
     work_s: float, signal_s: float | None, ended_s: float
 ) -> None:
-    cut, steps, stops, _ = run(work_s, signal_s)
+    aborted, steps, stops, _ = run(work_s, signal_s)
 
-    assert cut == 2
+    assert aborted == 2
     assert steps[-1] == ("drain", ended_s)
     assert events.StopChanged(step="cut", running=2) in stops
     assert stops[-1].step == "stopped"
 
 
-def test_a_closing_server_takes_connections_and_closes_each_in_turn() -> None:
-    """A caller keeps its connection to a VM that is about to go.
+def test_closing_server_accepts_connections_and_closes_each() -> None:
+    """A caller keeps a connection to a VM that is about to stop.
 
-    Were it left open until the end, the VM could close it in the very
-    moment in which the caller sends its next request, which is then lost.
+    If the connection stayed open until the end, the VM could close it just
+    when the caller sends its next request, which would be lost.
     """
 
     async def answer(request: web_api.Request) -> web_api.Response:
--- a/tests/controllers/vms.py
+++ b/tests/controllers/vms.py
@@ -1,4 +1,4 @@
-"""Several VMs' membership controllers on an in-memory network."""
+"""The membership controllers of several VMs, on an in-memory network."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from azureramp.ports.vmlist import api as vmlist_api
 
 
-class ListFake:
-    """A VM list that the test changes."""
+class FakeVmList:
+    """A VM list whose content a test sets."""
 
     def __init__(self, *vms: vmlist_api.Vm) -> None:
         self.vms = vms
@@ -47,7 +47,7 @@
 
 
 def make_configuration(*servers: tuple[str, str]) -> resources.Configuration:
-    """Makes a configuration of backend servers, given as (name, zone)."""
+    """Creates a configuration of backend servers, given as (name, zone)."""
     configuration = resources.Configuration()
     configuration.revision = 1
     for name, zone in servers:
@@ -72,7 +72,7 @@
         self,
         network: memory.Network,
         vm: vmlist_api.Vm,
-        listing: ListFake,
+        listing: FakeVmList,
         configuration: resources.Configuration,
         incarnation: int = 1,
     ) -> None:
