--- a/tests/controllers/test_caller_api.py
+++ b/tests/controllers/test_caller_api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""Tests of the callers' HTTP interface."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     return await api.handle(request)
 
 
-def test_a_known_caller_gets_its_whole_answer() -> None:
+def test_known_caller_gets_complete_answer() -> None:
     async def main() -> web_api.Response:
         return await call(query_cell.Cell(), make_request())
 
@@ -76,7 +76,7 @@
         (make_request("/v1/execute"), errors.Kind.BAD_REQUEST),
     ],
 )
-def test_a_bad_request_gets_its_code_and_reaches_no_searcher(
+def test_bad_request_gets_its_code_and_reaches_no_searcher(
     request_: web_api.Request, kind: errors.Kind
 ) -> None:
     async def main() -> tuple[web_api.Response, int]:
@@ -99,7 +99,7 @@
         (blackboard.Serving.LEAVING, errors.Kind.LEAVING),
     ],
 )
-def test_a_vm_that_takes_no_work_names_other_addresses(
+def test_vm_that_accepts_no_work_returns_other_addresses(
     serving: blackboard.Serving, kind: errors.Kind
 ) -> None:
     async def main() -> web_api.Response:
@@ -115,7 +115,7 @@
     assert body.addresses
 
 
-def test_addresses_never_name_a_zone_that_is_out() -> None:
+def test_addresses_exclude_zone_out_of_service() -> None:
     async def main() -> web_api.Response:
         cell = query_cell.Cell()
         cell.put(resources.Zone(name="zone-1", state=resources.ZoneState.OUT))
@@ -170,13 +170,13 @@
         (500, "internal", "unknown"),
     ],
 )
-def test_what_the_server_refused_or_failed_at_is_told_truly(
+def test_server_errors_state_whether_request_ran(
     status: int, code: str, ran: str
 ) -> None:
-    """A fault of this program ends a grant's handler after it was sent.
+    """A bug ends a request's handler after the request was dispatched.
 
-    The server then asks for the answer to status 500. Told that nothing ran,
-    a clerk would send the grant again under a new key.
+    The server then requests the response for status 500. If it stated that
+    nothing ran, the caller would send the request again under a new key.
     """
 
     async def main() -> web_api.Response:
@@ -222,8 +222,8 @@
         assert "Traceback" not in response.body.decode()
 
 
-def test_a_revoked_caller_is_refused_from_the_next_request_on() -> None:
-    """A stolen token is revoked; nothing tells its user that it was known."""
+def test_revoked_caller_is_refused_from_next_request() -> None:
+    """A revoked token gets the same answer as an unknown one."""
 
     async def main() -> tuple[web_api.Response, ...]:
         cell = query_cell.Cell()
@@ -248,13 +248,13 @@
 @pytest.mark.parametrize(
     "serving", [blackboard.Serving.STARTING, blackboard.Serving.STALE]
 )
-def test_a_vm_without_the_newest_configuration_calls_no_token_unknown(
+def test_outdated_vm_does_not_reject_unknown_token(
     serving: blackboard.Serving,
 ) -> None:
-    """A new caller comes to a VM that has not heard of it yet.
+    """A new caller sends a request to a VM that doesn't know it yet.
 
-    `unauthenticated` says never to ask again; it must go elsewhere instead,
-    and learn no address as long as nobody knows it.
+    `unauthenticated` means not to retry, so the caller must be sent to other
+    VMs instead. It gets no addresses, since it is not authenticated.
     """
 
     async def main() -> web_api.Response:
@@ -272,7 +272,7 @@
 @pytest.mark.parametrize(
     ("minimum", "status", "coverage"), [(0.0, 200, 0.5), (0.6, 403, None)]
 )
-def test_shards_that_a_service_may_not_query_count_as_missing(
+def test_forbidden_shards_count_as_missing(
     minimum: float, status: int, coverage: float | None
 ) -> None:
     async def main() -> tuple[web_api.Response, web_api.Response]:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings."""
+"""Tests of the daemon's settings."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from azureramp import settings
 
-GIVEN: dict[str, str | None] = {
+VALUES: dict[str, str | None] = {
     "vm": "edinburgh-1",
     "zone": "edinburgh-a",
     "http_address": "127.0.0.1:8700",
@@ -18,15 +18,15 @@
 }
 
 
-def test_the_defaults_are_allowed() -> None:
-    parsed = settings.parse(GIVEN)
+def test_defaults_are_valid() -> None:
+    parsed = settings.parse(VALUES)
 
     assert parsed.ok.watchers == 2
     assert parsed.ok.zone == "edinburgh-a"
 
 
-def test_a_name_is_normalized() -> None:
-    parsed = settings.parse({**GIVEN, "zone": "Gyo\u030br"})
+def test_name_is_normalized() -> None:
+    parsed = settings.parse({**VALUES, "zone": "Gyo\u030br"})
 
     assert parsed.ok.zone == "Győr"
 
@@ -48,10 +48,10 @@
         ("lease_ms", "500", "more than twice --heartbeat-ms (250)"),
     ],
 )
-def test_a_wrong_value_is_one_line_that_names_all(
+def test_invalid_value_is_described_in_one_complete_line(
     field: str, value: str | None, allowed: str
 ) -> None:
-    line = str(settings.parse({**GIVEN, field: value}).error)
+    line = str(settings.parse({**VALUES, field: value}).error)
 
     assert "\n" not in line
     assert f"--{field.replace('_', '-')}" in line
