--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -110,12 +110,12 @@
         """
         now_s = asyncio.get_running_loop().time()
         store_key = idempotency.make_store_key(caller, key)
-        known = self._memory.look_up(store_key, request_hash, now_s)
-        if known is not None:
-            return self._answer(key, known)
+        found = self._memory.find_answer(store_key, request_hash, now_s)
+        if found is not None:
+            return self._answer(key, found)
         if self._writer.get_wait_s() > 0:
             return expression.Error(self._make_unavailable())
-        refusal = self._check_room(now_s)
+        refusal = self._check_limits(now_s)
         if refusal is not None:
             return expression.Error(refusal)
         if not self._writer.may_call():
@@ -129,7 +129,7 @@
                 self._quota.give_back(record_bounds.OVERHEAD_BYTES)
                 self._outcomes.close_claim(claim.group)
         if isinstance(outcome, idempotency.Record):
-            self._memory.keep(store_key, outcome, now_s)
+            self._memory.cache_outcome(store_key, outcome, now_s)
         if not isinstance(outcome, int):
             return self._answer(key, outcome)
         until_s = now_s + idempotency.DISPATCH_S
@@ -140,20 +140,20 @@
             # The process was paused while the claim was being written.
             self.release(claimed)
             return expression.Error(self._make_unavailable())
-        self._memory.hold(claimed)
+        self._memory.add_claim(claimed)
         return expression.Ok(claimed)
 
     async def finish(self, claimed: Claimed, result: bytes) -> None:
         """Records the result; waits up to `OUTCOME_WAIT_S` for the write."""
         outcome = idempotency.make_finished(result)
-        self._give_back(claimed, outcome)
+        self._return_unused_quota(claimed, outcome)
         self._record(claimed.idempotency_key, claimed.record, "finished")
         await self._save(claimed, outcome)
 
     async def mark_unknown(self, claimed: Claimed) -> None:
         """Records that the request may have been executed."""
         outcome = idempotency.Outcome(state=idempotency.State.UNKNOWN)
-        self._give_back(claimed, outcome)
+        self._return_unused_quota(claimed, outcome)
         self._record(claimed.idempotency_key, claimed.record, "unknown")
         await self._save(claimed, outcome)
 
@@ -163,8 +163,8 @@
         Call it only if the request was not dispatched.
         """
         record = idempotency.change(claimed.record, idempotency.State.RELEASED)
-        self._memory.drop(claimed)
-        self._give_back(claimed, None)
+        self._memory.remove_claim(claimed)
+        self._return_unused_quota(claimed, None)
         self._releases.add(
             record_releases.Release(claimed.store_key, record, claimed.revision)
         )
@@ -194,11 +194,11 @@
             limit_s: The limit, in seconds.
         """
         self._releases.draining = True
-        waiting = [each.done for each in self._releases.waiting.values()]
-        waiting += self._outcomes.get_waiting()
+        pending = [each.done for each in self._releases.pending.values()]
+        pending += self._outcomes.get_pending()
         try:
             async with asyncio.timeout(limit_s):
-                for done in waiting:
+                for done in pending:
                     await done.wait()
         except TimeoutError:
             return
@@ -214,10 +214,10 @@
             request_hash=request_hash,
             request_id=request_id,
             vm=self._board.settings.vm,
-            group=self._outcomes.name_group(),
+            group=self._outcomes.assign_group(),
         )
 
-    def _give_back(
+    def _return_unused_quota(
         self, claimed: Claimed, outcome: idempotency.Outcome | None
     ) -> None:
         """Returns the storage that was reserved for a claim but not used."""
@@ -228,7 +228,7 @@
             stored += len(idempotency.encode_group({nonce: outcome}))
         self._quota.give_back(stored)
 
-    def _check_room(self, now_s: float) -> errors.Failure | None:
+    def _check_limits(self, now_s: float) -> errors.Failure | None:
         """Returns a failure if a new claim would exceed a bound."""
         if self._memory.is_full(now_s):
             return errors.Failure(errors.Kind.OVERLOADED, "too many claims")
@@ -250,17 +250,17 @@
         return None
 
     def _answer(
-        self, key: str, known: idempotency.Record | errors.Failure
+        self, key: str, found: idempotency.Record | errors.Failure
     ) -> Answer:
         """Makes the answer for a claim that was not granted."""
-        if isinstance(known, errors.Failure):
-            if known.kind is errors.Kind.STORE_UNAVAILABLE:
-                known = self._make_unavailable()
-            return expression.Error(known)
+        if isinstance(found, errors.Failure):
+            if found.kind is errors.Kind.STORE_UNAVAILABLE:
+                found = self._make_unavailable()
+            return expression.Error(found)
         self._board.metrics.count("idempotency.replayed")
-        self._record(key, known, "replayed")
+        self._record(key, found, "replayed")
         return expression.Ok(
-            Recorded(known.request_id, known.result, known.whole)
+            Recorded(found.request_id, found.result, found.whole)
         )
 
     def _make_unavailable(self) -> errors.Failure:
@@ -276,7 +276,7 @@
     ) -> None:
         """Saves an outcome; waits up to `OUTCOME_WAIT_S` for the write."""
         now_s = asyncio.get_running_loop().time()
-        self._memory.remember(claimed, outcome, now_s)
+        self._memory.finish_claim(claimed, outcome, now_s)
         done = self._outcomes.add(claimed.record, outcome)
         if outcome.state is idempotency.State.FINISHED:
             self._outcomes.close_claim(claimed.record.group)
--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -38,7 +38,7 @@
     but the request is never dispatched.
     """
 
-    __slots__ = ("_releases", "_sightings", "_writer")
+    __slots__ = ("_observed", "_releases", "_writer")
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         """
         self._writer = writer
         self._releases = releases
-        self._sightings = record_bounds.Sightings()
+        self._observed = record_bounds.Sightings()
 
     async def claim(self, store_key: str, claim: idempotency.Record) -> Outcome:
         """Writes a claim, repeatedly until its outcome is known.
@@ -67,51 +67,51 @@
             confirmed, so that the request must not be dispatched.
         """
         expected = api.CREATE
-        may_land = False
+        may_take_effect = False
         until_s = asyncio.get_running_loop().time() + CLAIM_TIMEOUT_S
         data = idempotency.encode(claim)
         try:
             for _ in range(MAX_WRITES):
-                left_s = until_s - asyncio.get_running_loop().time()
-                if left_s <= 0:
+                remaining_s = until_s - asyncio.get_running_loop().time()
+                if remaining_s <= 0:
                     break
-                might_land, may_land = may_land, True
+                could_take_effect, may_take_effect = may_take_effect, True
                 result = await self._writer.write(
-                    store_key, data, expected, min(left_s, WRITE_TIMEOUT_S)
+                    store_key, data, expected, min(remaining_s, WRITE_TIMEOUT_S)
                 )
                 if result.is_error():
                     kind = result.error.kind
                     if kind is errors.Kind.STORE_OUTCOME_UNKNOWN:
                         continue
-                    may_land = might_land
+                    may_take_effect = could_take_effect
                     break
-                may_land = False
+                may_take_effect = False
                 if isinstance(result.ok, api.Written):
                     return result.ok.revision
-                present = result.ok.present
-                if present is None:
+                current = result.ok.present
+                if current is None:
                     expected = api.CREATE
                     continue
-                match await self._evaluate_conflict(present, claim):
+                match await self._evaluate_conflict(current, claim):
                     case idempotency.Mine():
-                        return present.revision
+                        return current.revision
                     case idempotency.Replay(record=record):
                         return record
                     case idempotency.Refuse(kind=kind):
                         return errors.Failure(kind)
                     case idempotency.Free():
-                        expected = present.revision
+                        expected = current.revision
             return errors.Failure(errors.Kind.STORE_UNAVAILABLE)
         finally:
             # Also runs if the caller disconnects during a write.
-            if may_land:
+            if may_take_effect:
                 released = idempotency.change(claim, idempotency.State.RELEASED)
                 self._releases.add(
                     record_releases.Release(store_key, released, expected)
                 )
 
     async def _evaluate_conflict(
-        self, present: api.Entry, claim: idempotency.Record
+        self, current: api.Entry, claim: idempotency.Record
     ) -> idempotency.Verdict:
         """Evaluates the record with which a claim conflicted.
 
@@ -121,7 +121,7 @@
         the request after all. While it can't be recorded, the answer is
         `IN_PROGRESS`.
         """
-        record = idempotency.decode(present.value or b"")
+        record = idempotency.decode(current.value or b"")
         if record is None:
             return idempotency.judge(None, claim.nonce, claim.request_hash, 0.0)
         verdict = idempotency.judge(
@@ -136,27 +136,27 @@
             return verdict
         record = idempotency.complete(record, outcomes.get(record.nonce))
         now_s = asyncio.get_running_loop().time()
-        age_s = self._sightings.get_age_s(record.nonce, now_s)
+        age_s = self._observed.get_age_s(record.nonce, now_s)
         verdict = idempotency.judge(
             record, claim.nonce, claim.request_hash, age_s
         )
         if (
             record.state is idempotency.State.CLAIMED
             and age_s >= idempotency.UNKNOWN_S
-            and not await self._record_unknown(present, record)
+            and not await self._record_unknown(current, record)
         ):
             return idempotency.Refuse(errors.Kind.IN_PROGRESS)
         return verdict
 
     async def _record_unknown(
-        self, present: api.Entry, record: idempotency.Record
+        self, current: api.Entry, record: idempotency.Record
     ) -> bool:
         """Records a claim's outcome as unknown; returns True if stored."""
         unknown = idempotency.change(record, idempotency.State.UNKNOWN)
         written = await self._writer.write(
-            present.key,
+            current.key,
             idempotency.encode(unknown),
-            present.revision,
+            current.revision,
             WRITE_TIMEOUT_S,
         )
         return written.is_ok() and isinstance(written.ok, api.Written)
--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -9,17 +9,17 @@
 from azureramp import errors
 from azureramp.policy import idempotency, record_bounds
 
-MAX_REMEMBERED = 1000
+MAX_CACHED_OUTCOMES = 1000
 """Maximum number of cached outcomes, replayed without a call to the store."""
 
-REMEMBERED_S = 600.0
+CACHE_TTL_S = 600.0
 """Time for which an outcome is cached, in seconds.
 
 Longer than the time within which retries arrive, and short enough that a
 record leaves the cache soon after the store has deleted it.
 """
 
-MAX_HELD = 5000
+MAX_CLAIMS = 5000
 """Maximum number of claims that this VM holds at once."""
 
 
@@ -64,24 +64,24 @@
 class RecordMemory:
     """The claims held by this VM, and a cache of recent outcomes."""
 
-    __slots__ = ("_held", "_remembered")
+    __slots__ = ("_claims", "_outcomes")
 
     def __init__(self) -> None:
         """Creates an empty cache."""
-        self._held: dict[str, Claimed] = {}
-        self._remembered: collections.OrderedDict[
+        self._claims: dict[str, Claimed] = {}
+        self._outcomes: collections.OrderedDict[
             str, tuple[idempotency.Record, float]
         ] = collections.OrderedDict()
 
-    def hold(self, claimed: Claimed) -> None:
+    def add_claim(self, claimed: Claimed) -> None:
         """Adds a claim."""
-        self._held[claimed.store_key] = claimed
+        self._claims[claimed.store_key] = claimed
 
-    def drop(self, claimed: Claimed) -> None:
+    def remove_claim(self, claimed: Claimed) -> None:
         """Removes a claim."""
-        self._held.pop(claimed.store_key, None)
+        self._claims.pop(claimed.store_key, None)
 
-    def remember(
+    def finish_claim(
         self, claimed: Claimed, outcome: idempotency.Outcome, now_s: float
     ) -> None:
         """Removes a claim and caches its outcome for retries.
@@ -89,20 +89,20 @@
         An outcome that arrives after the retention time is not cached: the
         key is free by then, and another request may have claimed it.
         """
-        self.drop(claimed)
+        self.remove_claim(claimed)
         began_s = claimed.may_dispatch_until_s - idempotency.DISPATCH_S
-        if now_s + REMEMBERED_S < began_s + record_bounds.RETENTION_S:
+        if now_s + CACHE_TTL_S < began_s + record_bounds.RETENTION_S:
             record = idempotency.complete(claimed.record, outcome)
-            self.keep(claimed.store_key, record, now_s)
+            self.cache_outcome(claimed.store_key, record, now_s)
 
-    def keep(
+    def cache_outcome(
         self, store_key: str, record: idempotency.Record, now_s: float
     ) -> None:
         """Caches a record with its outcome; evicts the oldest if full."""
-        self._remembered[store_key] = (record, now_s + REMEMBERED_S)
-        self._remembered.move_to_end(store_key)
-        while len(self._remembered) > MAX_REMEMBERED:
-            self._remembered.popitem(last=False)
+        self._outcomes[store_key] = (record, now_s + CACHE_TTL_S)
+        self._outcomes.move_to_end(store_key)
+        while len(self._outcomes) > MAX_CACHED_OUTCOMES:
+            self._outcomes.popitem(last=False)
 
     def is_full(self, now_s: float) -> bool:
         """Returns True if no further claim may be held.
@@ -110,29 +110,29 @@
         A claim without an outcome is removed here once other processes may
         record it as unknown; the store still has it.
         """
-        for store_key, held in list(self._held.items()):
+        for store_key, held in list(self._claims.items()):
             until_s = held.may_dispatch_until_s + idempotency.UNKNOWN_S
             if now_s < until_s:
                 break
-            del self._held[store_key]
-        return len(self._held) >= MAX_HELD
+            del self._claims[store_key]
+        return len(self._claims) >= MAX_CLAIMS
 
-    def look_up(
+    def find_answer(
         self, store_key: str, request_hash: int, now_s: float
     ) -> idempotency.Record | errors.Failure | None:
         """Returns the cached answer to a claim; None if there is none."""
-        held = self._held.get(store_key)
+        held = self._claims.get(store_key)
         if held is not None:
             record, until_s = held.record, math.inf
-        elif store_key in self._remembered:
-            record, until_s = self._remembered[store_key]
+        elif store_key in self._outcomes:
+            record, until_s = self._outcomes[store_key]
         else:
             return None
         if now_s >= until_s:
             return None
         match idempotency.judge(record, "", request_hash, 0.0):
-            case idempotency.Replay(record=known):
-                return known
+            case idempotency.Replay(record=found):
+                return found
             case idempotency.Refuse(kind=kind):
                 return errors.Failure(kind)
         return None
--- a/src/azureramp/controllers/record_outcomes.py
+++ b/src/azureramp/controllers/record_outcomes.py
@@ -38,7 +38,7 @@
         revision: The store revision of the value; `api.CREATE` for none.
         saved: Number of changes of `outcomes` that are in the store.
         changes: Number of changes of `outcomes` in total.
-        waiting: The number of each unsaved change, with an event that is set
+        pending: The number of each unsaved change, with an event that is set
             once the change is saved.
     """
 
@@ -49,7 +49,7 @@
     revision: int = api.CREATE
     saved: int = 0
     changes: int = 0
-    waiting: collections.deque[tuple[int, asyncio.Event]] = dataclasses.field(
+    pending: collections.deque[tuple[int, asyncio.Event]] = dataclasses.field(
         default_factory=collections.deque
     )
 
@@ -58,7 +58,7 @@
     """The groups of one process, and the task that writes them.
 
     Attributes:
-        given_up: Number of groups dropped unsaved because of `MAX_GROUPS`.
+        dropped_count: Number of groups dropped unsaved because of `MAX_GROUPS`.
     """
 
     __slots__ = (
@@ -69,7 +69,7 @@
         "_prefix",
         "_wake",
         "_writer",
-        "given_up",
+        "dropped_count",
     )
 
     def __init__(
@@ -95,9 +95,9 @@
         self._current = self._open_group(0)
         self._last_write_s = -FLUSH_S
         self._wake = asyncio.Event()
-        self.given_up = 0
+        self.dropped_count = 0
 
-    def name_group(self) -> str:
+    def assign_group(self) -> str:
         """Returns the name of the group for the outcome of a new claim."""
         if self._current.claims >= idempotency.MAX_GROUP:
             number = int(self._current.name.rpartition(".")[2])
@@ -132,14 +132,14 @@
             return done
         group.outcomes[record.nonce] = outcome
         group.changes += 1
-        group.waiting.append((group.changes, done))
+        group.pending.append((group.changes, done))
         self._wake.set()
         return done
 
-    def get_waiting(self) -> list[asyncio.Event]:
+    def get_pending(self) -> list[asyncio.Event]:
         """Returns an event for each outcome that is not yet saved."""
         return [
-            done for group in self._groups.values() for _, done in group.waiting
+            done for group in self._groups.values() for _, done in group.pending
         ]
 
     async def run(self) -> None:
@@ -180,11 +180,11 @@
                 group.revision = revision
                 group.saved = changes
                 self._counters.count("idempotency.segments")
-                while group.waiting and group.waiting[0][0] <= changes:
-                    group.waiting.popleft()[1].set()
+                while group.pending and group.pending[0][0] <= changes:
+                    group.pending.popleft()[1].set()
                 self._drop_if_complete(group)
-            case api.Conflicted(present=present):
-                group.revision = present.revision if present else api.CREATE
+            case api.Conflicted(present=current):
+                group.revision = current.revision if current else api.CREATE
 
     def _find_changed(self) -> Group | None:
         """Returns the oldest group that has an unsaved change."""
@@ -202,8 +202,8 @@
             saved = (each for each in groups if each.saved == each.changes)
             dropped = next(saved, groups[0])
             del self._groups[dropped.name]
-            self.given_up += dropped.saved < dropped.changes
-            for _, done in dropped.waiting:
+            self.dropped_count += dropped.saved < dropped.changes
+            for _, done in dropped.pending:
                 done.set()
         return group
 
--- a/src/azureramp/controllers/record_releases.py
+++ b/src/azureramp/controllers/record_releases.py
@@ -17,7 +17,7 @@
 from azureramp.policy import idempotency
 from azureramp.ports.store import api
 
-MAX_WAITING = 10_000
+MAX_PENDING = 10_000
 """Maximum number of pending releases; beyond it the oldest is dropped."""
 
 MAX_CONCURRENT = 16
@@ -50,20 +50,20 @@
     """The pending releases, and the task that writes them.
 
     Attributes:
-        given_up: Number of releases dropped because of `MAX_WAITING`.
+        dropped_count: Number of releases dropped because of `MAX_PENDING`.
         draining: True to write overdue releases without the rate limit, while
             this VM shuts down.
-        waiting: The pending releases by nonce, oldest first.
+        pending: The pending releases by nonce, oldest first.
     """
 
     __slots__ = (
-        "_overdue_from_s",
+        "_next_overdue_s",
         "_running",
         "_wake",
         "_writer",
         "draining",
-        "given_up",
-        "waiting",
+        "dropped_count",
+        "pending",
     )
 
     def __init__(self, writer: record_writer.RecordWriter) -> None:
@@ -75,10 +75,10 @@
         self._writer = writer
         self._wake = asyncio.Event()
         self._running: dict[str, asyncio.Task[None]] = {}
-        self._overdue_from_s = 0.0
-        self.given_up = 0
+        self._next_overdue_s = 0.0
+        self.dropped_count = 0
         self.draining = False
-        self.waiting: collections.OrderedDict[str, Release] = (
+        self.pending: collections.OrderedDict[str, Release] = (
             collections.OrderedDict()
         )
 
@@ -89,11 +89,11 @@
         one key may both be in flight, and either may take effect.
         """
         release.overdue = not self._writer.backoff.is_open()
-        self.waiting[release.record.nonce] = release
-        while len(self.waiting) > MAX_WAITING:
-            _, dropped = self.waiting.popitem(last=False)
+        self.pending[release.record.nonce] = release
+        while len(self.pending) > MAX_PENDING:
+            _, dropped = self.pending.popitem(last=False)
             dropped.done.set()
-            self.given_up += 1
+            self.dropped_count += 1
         self._wake.set()
 
     async def run(self) -> None:
@@ -119,9 +119,9 @@
             depends only on a new release or on the end of a running write.
         """
         now_s = asyncio.get_running_loop().time()
-        later_s = max(self._overdue_from_s - now_s, 0.0)
+        later_s = max(self._next_overdue_s - now_s, 0.0)
         skipped = False
-        for release in list(self.waiting.values()):
+        for release in list(self.pending.values()):
             if len(self._running) >= MAX_CONCURRENT:
                 return None
             if release.record.nonce in self._running:
@@ -133,7 +133,7 @@
                 return self._writer.get_wait_s()
             if release.overdue:
                 later_s = 1 / OVERDUE_PER_S
-                self._overdue_from_s = now_s + later_s
+                self._next_overdue_s = now_s + later_s
             task = asyncio.ensure_future(self._write(release))
             self._running[release.record.nonce] = task
         return later_s if skipped else None
@@ -152,8 +152,8 @@
             match result.ok:
                 case api.Written():
                     self._finish(release)
-                case api.Conflicted(present=present):
-                    self._handle_conflict(release, present)
+                case api.Conflicted(present=current):
+                    self._handle_conflict(release, current)
         finally:
             del self._running[release.record.nonce]
             self._wake.set()
@@ -162,17 +162,17 @@
         """Marks a failed release as overdue; in an outage, all releases."""
         failed.overdue = True
         if not self._writer.backoff.is_open():
-            for release in self.waiting.values():
+            for release in self.pending.values():
                 release.overdue = True
 
     def _handle_conflict(
-        self, release: Release, present: api.Entry | None
+        self, release: Release, current: api.Entry | None
     ) -> None:
         """Prepares the next write after a conflict, or ends the release."""
-        if present is not None:
-            record = idempotency.decode(present.value or b"")
+        if current is not None:
+            record = idempotency.decode(current.value or b"")
             if idempotency.may_release(record, release.record):
-                release.expected = present.revision
+                release.expected = current.revision
                 return
         # The store doesn't hold this claim, and the claim's own write can no
         # longer take effect: another write has used up the revision that it
@@ -181,5 +181,5 @@
 
     def _finish(self, release: Release) -> None:
         """Removes a release and sets its event."""
-        self.waiting.pop(release.record.nonce, None)
+        self.pending.pop(release.record.nonce, None)
         release.done.set()
