--- a/src/azureramp/controllers/changes.py
+++ b/src/azureramp/controllers/changes.py
@@ -81,8 +81,8 @@
             match result.ok:
                 case store_api.Written(revision):
                     return expression.Ok(revision)
-                case store_api.Conflicted(present):
-                    return _settle(change, present, uncertain)
+                case store_api.Conflicted(current):
+                    return _resolve_conflict(change, current, uncertain)
         failure = result.error
         if failure.kind is errors.Kind.STORE_OUTCOME_UNKNOWN:
             uncertain = True
@@ -107,25 +107,25 @@
     return await store.write(key, msgspec.json.encode(fields), change.expected)
 
 
-def _settle(
-    change: Change, present: store_api.Entry | None, uncertain: bool
+def _resolve_conflict(
+    change: Change, current: store_api.Entry | None, uncertain: bool
 ) -> expression.Result[int, Refusal]:
     """Returns the outcome of a write that found an unexpected revision."""
-    if present is None:
+    if current is None:
         # A deletion leaves no id. The key is gone, as requested; whether this
         # attempt or another operator deleted it makes no difference.
         if change.resource is None and uncertain:
             return expression.Ok(0)
         return expression.Error(Refusal(errors.Failure(errors.Kind.CONFLICT)))
-    if change.resource is not None and _get_id(present) == change.change_id:
-        return expression.Ok(present.revision)
+    if change.resource is not None and _get_id(current) == change.change_id:
+        return expression.Ok(current.revision)
     # After a lost reply, this change may have taken effect before the current
     # entry replaced it, so answering "not run" could be wrong.
     kind = errors.Kind.CONFLICT
     if uncertain:
         kind = errors.Kind.STORE_OUTCOME_UNKNOWN
     return expression.Error(
-        Refusal(errors.Failure(kind), store_link.decode_entry(present))
+        Refusal(errors.Failure(kind), store_link.decode_entry(current))
     )
 
 
--- a/src/azureramp/controllers/dry_run.py
+++ b/src/azureramp/controllers/dry_run.py
@@ -11,18 +11,18 @@
 
 def check(
     configuration: resources.Configuration,
-    asked: Sequence[resource_answers.Checked],
+    items: Sequence[resource_answers.Checked],
 ) -> resource_answers.CheckAnswer:
     """Checks resources as if they were written one after another.
 
     Args:
         configuration: The configuration in force; it is not changed.
-        asked: The resources, in the order in which they would be written.
+        items: The resources, in the order in which they would be written.
     """
     scratch = resources.Configuration()
     scratch.revision = configuration.revision
     scratch.entries = dict(configuration.entries)
-    results = tuple(_check_one(scratch, item) for item in asked)
+    results = tuple(_check_one(scratch, item) for item in items)
     return resource_answers.CheckAnswer(
         revision=configuration.revision, results=results
     )
--- a/src/azureramp/controllers/request_log.py
+++ b/src/azureramp/controllers/request_log.py
@@ -26,19 +26,19 @@
 
     def record_admitted(
         self,
-        asked: admitting.Asked,
+        request: admitting.Asked,
         header: dispatching.Header,
         version: int,
         idempotency_key: str = "",
     ) -> None:
         """Records that a request starts, or restarts, on an index version."""
         event = events.RequestAdmitted(
-            request_id=asked.request_id,
-            caller=asked.caller.name,
-            service=asked.service,
-            index=asked.index,
+            request_id=request.request_id,
+            caller=request.caller.name,
+            service=request.service,
+            index=request.index,
             version=version,
-            priority=int(asked.caller.priority),
+            priority=int(request.caller.priority),
             fingerprint=header.fingerprint,
             idempotency_key=idempotency_key,
         )
--- a/src/azureramp/controllers/resource_api.py
+++ b/src/azureramp/controllers/resource_api.py
@@ -163,13 +163,13 @@
 
     def _check(self, request: web_api.Request) -> web_api.Response:
         try:
-            asked = msgspec.json.decode(
+            requested = msgspec.json.decode(
                 request.body, type=resource_answers.CheckRequest
             )
         except msgspec.DecodeError as error:
             return _refuse_problems([_make_problem(error)])
         return answers.make_ok(
-            dry_run.check(self._board.configuration, asked.resources)
+            dry_run.check(self._board.configuration, requested.resources)
         )
 
     async def _watch(self, request: web_api.Request) -> web_api.Response:
@@ -189,11 +189,11 @@
         )
 
     def _get_status(self, request: web_api.Request) -> web_api.Response:
-        asked = None
+        requested = None
         if "revision" in request.query:
-            asked = _get_int(request, "revision", 0)
+            requested = _get_int(request, "revision", 0)
         return answers.make_ok(
-            vm_status.make_status(self._board, self._configuration, asked)
+            vm_status.make_status(self._board, self._configuration, requested)
         )
 
     def _get_timeline(self, request: web_api.Request) -> web_api.Response:
--- a/src/azureramp/controllers/store_link.py
+++ b/src/azureramp/controllers/store_link.py
@@ -42,11 +42,11 @@
 
     Attributes:
         entries: The entries that could be decoded.
-        present: The keys of all entries, including those that could not.
+        keys: The keys of all entries, including those that could not.
     """
 
     entries: list[resources.Versioned]
-    present: frozenset[propagation.Key]
+    keys: frozenset[propagation.Key]
 
 
 def make_key(kind: str, name: str) -> str:
@@ -178,7 +178,7 @@
         if revision > 0 and not self._differs(decoded):
             return []
         return self._copy.take_whole(
-            decoded.entries, decoded.present, listing.revision
+            decoded.entries, decoded.keys, listing.revision
         )
 
     def _differs(self, decoded: Decoded) -> bool:
@@ -189,12 +189,12 @@
         treat it as a change.
         """
         configuration = self._copy.configuration
-        known = {
+        existing = {
             key
             for key, entry in configuration.entries.items()
             if entry.resource is not None
         }
-        return not known <= decoded.present or any(
+        return not existing <= decoded.keys or any(
             entry.revision > configuration.revision for entry in decoded.entries
         )
 
@@ -232,6 +232,6 @@
                     return revision
                 case store_api.Conflicted(None):
                     self._barrier_revision = store_api.CREATE
-                case store_api.Conflicted(present) if present is not None:
-                    self._barrier_revision = present.revision
+                case store_api.Conflicted(current) if current is not None:
+                    self._barrier_revision = current.revision
         return None
--- a/src/azureramp/controllers/vm_status.py
+++ b/src/azureramp/controllers/vm_status.py
@@ -13,20 +13,20 @@
 def make_status(
     board: blackboard.Blackboard,
     configuration: configuration_module.Controller,
-    asked: int | None,
+    requested: int | None,
 ) -> resource_answers.StatusAnswer:
     """Makes the answer to a status request.
 
     Args:
         board: The VM's state.
         configuration: The VM's configuration controller.
-        asked: The revision whose progress is requested; None for the VM's own
-            revision.
+        requested: The revision whose progress is requested; None for the
+            VM's own revision.
     """
     now_s = asyncio.get_running_loop().time()
     own = board.settings
     revision = board.configuration.revision
-    asked = revision if asked is None else asked
+    requested = revision if requested is None else requested
     members = sorted(
         (
             *(
@@ -38,7 +38,9 @@
         ),
         key=lambda member: member.vm,
     )
-    without = tuple(member.vm for member in members if member.revision < asked)
+    without = tuple(
+        member.vm for member in members if member.revision < requested
+    )
     return resource_answers.StatusAnswer(
         vm=own.vm,
         zone=own.zone,
@@ -48,8 +50,8 @@
         confirmed_age_ms=_to_age_ms(now_s - board.confirmed_s),
         accepted_revision=board.accepted_revision,
         running=board.running,
-        asked_revision=asked,
-        state=_decide_state(board, configuration, asked, bool(without)),
+        asked_revision=requested,
+        state=_decide_state(board, configuration, requested, bool(without)),
         in_force=len(members) - len(without),
         listed=len(members),
         without=without,
@@ -60,7 +62,7 @@
 def _decide_state(
     board: blackboard.Blackboard,
     configuration: configuration_module.Controller,
-    asked: int,
+    requested: int,
     is_lacking: bool,
 ) -> resource_answers.ChangeState:
     """Returns the state of a revision.
@@ -71,8 +73,8 @@
     """
     now_s = asyncio.get_running_loop().time()
     window_s = board.settings.confirm_ms / 1000
-    accepted_s = configuration.get_accepted_s(asked)
-    if board.configuration.revision < asked:
+    accepted_s = configuration.get_accepted_s(requested)
+    if board.configuration.revision < requested:
         return resource_answers.ChangeState.UNKNOWN
     if math.isinf(accepted_s):
         return resource_answers.ChangeState.STORED
--- a/src/azureramp/controllers/writing.py
+++ b/src/azureramp/controllers/writing.py
@@ -133,9 +133,9 @@
         lower than the ones in force. An entry written after that would be
         dropped by all VMs as outdated.
         """
-        known = self._copy.configuration.entries.get((entry.kind, entry.name))
+        current = self._copy.configuration.entries.get((entry.kind, entry.name))
         return entry.revision <= self._copy.configuration.revision and (
-            known is None or known.revision < entry.revision
+            current is None or current.revision < entry.revision
         )
 
     async def _wait_for_contact(self) -> bool:
