--- a/src/azureramp/controllers/shutdown.py
+++ b/src/azureramp/controllers/shutdown.py
@@ -92,8 +92,8 @@
         self._board.serving = blackboard.Serving.LEAVING
         self._record("draining")
         aborted = await self._stop_server()
-        await self._run_step(self._owner.drain(self._get_left_s()))
-        await self._run_step(self._records.drain(self._get_left_s()))
+        await self._run_step(self._owner.drain(self._get_remaining_s()))
+        await self._run_step(self._records.drain(self._get_remaining_s()))
         if aborted:
             self._record("cut", aborted)
         self._record("stopped")
@@ -109,17 +109,19 @@
         """
         settings = self._board.settings
         expiry_s = (settings.address_lifetime_ms + settings.list_lag_ms) / 1000
-        limit_s = min(expiry_s, self._get_left_s())
+        limit_s = min(expiry_s, self._get_remaining_s())
         await self._run_step(asyncio.sleep(limit_s))
 
     async def _stop_server(self) -> int:
         """Stops the server; returns the number of aborted requests."""
-        stopping = asyncio.ensure_future(self._server.stop(self._get_left_s()))
-        aborted = asyncio.ensure_future(self._abort.wait())
+        stopping = asyncio.ensure_future(
+            self._server.stop(self._get_remaining_s())
+        )
+        abort_wait = asyncio.ensure_future(self._abort.wait())
         await asyncio.wait(
-            {stopping, aborted}, return_when=asyncio.FIRST_COMPLETED
+            {stopping, abort_wait}, return_when=asyncio.FIRST_COMPLETED
         )
-        aborted.cancel()
+        abort_wait.cancel()
         if not stopping.done():
             stopping.cancel()
             await asyncio.wait({stopping})
@@ -129,13 +131,15 @@
     async def _run_step(self, work: Coroutine[Any, Any, _T]) -> None:
         """Runs a step until it ends or running work is to be aborted."""
         step = asyncio.ensure_future(work)
-        aborted = asyncio.ensure_future(self._abort.wait())
-        await asyncio.wait({step, aborted}, return_when=asyncio.FIRST_COMPLETED)
-        for task in (step, aborted):
+        abort_wait = asyncio.ensure_future(self._abort.wait())
+        await asyncio.wait(
+            {step, abort_wait}, return_when=asyncio.FIRST_COMPLETED
+        )
+        for task in (step, abort_wait):
             task.cancel()
-        await asyncio.wait({step, aborted})
+        await asyncio.wait({step, abort_wait})
 
-    def _get_left_s(self) -> float:
+    def _get_remaining_s(self) -> float:
         """Returns the time left until the hard limit, in seconds."""
         return max(0.0, self._end_s - _now_s())
 
