--- a/src/azureramp/messages.py
+++ b/src/azureramp/messages.py
@@ -212,11 +212,11 @@
             revision is current, in milliseconds; infinity if there is none.
         lease_ms: The requested heartbeat lease, in milliseconds; 0 for none.
         searchers: The states of the searchers that the sender owns; None if
-            they are unchanged since the last heartbeat with states.
+            nothing important has changed since they were last sent.
         claims: The identities (see `policy.leases`) of the searchers for
             which the sender requests a lease.
         lists: The names in the VM lists that the sender has read recently,
-            if the lists differed.
+            if there was more than one list.
         suspects: The listed VMs with which the sender has no contact.
         owns: True once the sender takes over searchers.
         urgent: True if the acknowledgement should be sent at once; otherwise
