--- a/tests/controllers/test_configuration.py
+++ b/tests/controllers/test_configuration.py
@@ -92,7 +92,8 @@
     """vm-4 is cut off from its peers but reaches the store.
 
     An operator takes a zone out of service through vm-0. No peer can send the
-    change to vm-4, so vm-4 must read it from the store within the bound.
+    change to vm-4, so vm-4 must read it from the store within the bound or
+    send no more work.
     """
 
     async def scenario(deployment: configured.Deployment) -> None:
