--- a/src/azureramp/__init__.py
+++ b/src/azureramp/__init__.py
@@ -1,1 +1,1 @@
-"""azureramp: a query tier between callers and an index held in many shards."""
+"""azureramp: a query tier between callers and a sharded index."""
--- a/src/azureramp/cli/__init__.py
+++ b/src/azureramp/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' tool, one module for each command."""
+"""The operators' command-line tool, with one module per command."""
--- a/src/azureramp/ports/__init__.py
+++ b/src/azureramp/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Ports: everything that does I/O, each with an in-memory stand-in."""
+"""Ports: interfaces for all I/O, each with an in-memory implementation."""
