--- a/src/azureramp/cli/client.py
+++ b/src/azureramp/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of the resource API, at the first entry VM that answers."""
+"""Client of the resource API, with failover between entry VMs."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 _T = TypeVar("_T")
 
-CONNECT_S = 2.0
-"""Longest wait for a connection, in seconds."""
+CONNECT_TIMEOUT_S = 2.0
+"""Maximum time to open a connection, in seconds."""
 
 
 def make_error_answer(
@@ -26,7 +26,7 @@
     detail: str = "",
     ran: errors.Ran | None = None,
 ) -> responses.ErrorAnswer:
-    """Makes the answer for a failure that the tool itself found."""
+    """Builds the error answer for a failure that the tool itself detected."""
     answer = errors.ANSWERS[kind]
     text = texts.KINDS[kind]
     return responses.ErrorAnswer(
@@ -41,16 +41,16 @@
 
 
 class Client:
-    """Calls entry VMs in turn.
+    """Calls the entry VMs in order until one answers.
 
     Attributes:
-        common: The addresses, the token and the longest wait.
+        common: The addresses, the token and the timeout.
     """
 
     __slots__ = ("common",)
 
     def __init__(self, common: options.Common) -> None:
-        """Keeps what every call needs."""
+        """Initializes the client; opens no connection yet."""
         self.common = common
 
     async def call(
@@ -62,23 +62,24 @@
         body: bytes = b"",
         wait_s: float = 0.0,
     ) -> expression.Result[_T, responses.ErrorAnswer]:
-        """Calls the first entry VM that takes the request.
+        """Sends a request to the entry VMs in order until one handles it.
 
-        A change whose answer was lost is sent to the next VM too: its
-        expected revision lets it take effect once only, and its id tells the
-        next VM that it did. If no VM settles it, the outcome is unknown.
+        A change whose answer was lost is sent to the next VM too. This is
+        safe: the expected revision in the request allows it to take effect
+        only once, and its change id lets the next VM recognize that it
+        already has. If no VM confirms the change, the outcome is unknown.
 
         Args:
-            answer: The type of the answer.
+            answer: The type to decode the answer as.
             method: The HTTP method.
-            path: The path, not encoded.
-            query: Parameters.
-            body: The body, JSON.
-            wait_s: How long the VM is asked to wait, in seconds, on top of
-                the longest wait for an answer.
+            path: The path, without percent-encoding.
+            query: The query parameters.
+            body: The request body, encoded as JSON.
+            wait_s: How long the request asks the VM to wait, in seconds;
+                added to the timeout.
 
         Returns:
-            The answer, or the error's.
+            The decoded answer, or the error answer.
         """
         target = urllib.parse.quote(path)
         if query:
@@ -86,7 +87,7 @@
         failure = make_error_answer(
             errors.Kind.CONNECTION_LOST, ran=errors.Ran.NOT_RUN
         )
-        unsettled: responses.ErrorAnswer | None = None
+        unknown_outcome: responses.ErrorAnswer | None = None
         for address in self.common.addresses:
             result = await self._exchange(address, method, target, body, wait_s)
             if result.is_ok() and result.ok.status < 300:
@@ -95,14 +96,15 @@
                 result.error if result.is_error() else _decode_error(result.ok)
             )
             if failure.ran == errors.Ran.UNKNOWN.value and method != "GET":
-                unsettled = failure
-            if not _is_for_others(failure):
+                unknown_outcome = failure
+            if not _may_succeed_elsewhere(failure):
                 break
-        if unsettled is None:
+        if unknown_outcome is None:
             return expression.Error(failure)
-        # A refusal of a later VM says "not run" of its own try only.
+        # A later VM's "not_run" covers only its own attempt; the earlier
+        # attempt may still have taken effect.
         return expression.Error(
-            msgspec.structs.replace(unsettled, present=failure.present)
+            msgspec.structs.replace(unknown_outcome, present=failure.present)
         )
 
     async def _exchange(
@@ -113,8 +115,8 @@
         body: bytes,
         wait_s: float,
     ) -> expression.Result[web_api.Response, responses.ErrorAnswer]:
-        """Makes one exchange on a connection of its own."""
-        connected = await connection.connect(address, CONNECT_S)
+        """Sends one request over a new connection."""
+        connected = await connection.connect(address, CONNECT_TIMEOUT_S)
         if connected.is_error():
             return expression.Error(
                 make_error_answer(
@@ -151,8 +153,8 @@
         return expression.Ok(response)
 
 
-def _is_for_others(failure: responses.ErrorAnswer) -> bool:
-    """Tells whether another VM may answer where this one failed."""
+def _may_succeed_elsewhere(failure: responses.ErrorAnswer) -> bool:
+    """Returns True if another VM may answer where this one failed."""
     return failure.retry == errors.Retry.OTHER_ADDRESS.value or (
         failure.code
         in (
@@ -167,17 +169,19 @@
 def _decode(
     response: web_api.Response, answer: type[_T]
 ) -> expression.Result[_T, responses.ErrorAnswer]:
-    """Reads an answer; a foreign one is told as a failure."""
+    """Decodes an answer; one that can't be decoded becomes an error."""
     try:
         return expression.Ok(msgspec.json.decode(response.body, type=answer))
     except msgspec.DecodeError as error:
         return expression.Error(
-            make_error_answer(errors.Kind.INTERNAL, f"not understood: {error}")
+            make_error_answer(
+                errors.Kind.INTERNAL, f"malformed answer: {error}"
+            )
         )
 
 
 def _decode_error(response: web_api.Response) -> responses.ErrorAnswer:
-    """Reads an error's answer; a foreign one is told by its status."""
+    """Decodes an error answer; falls back to the HTTP status."""
     try:
         return msgspec.json.decode(response.body, type=responses.ErrorAnswer)
     except msgspec.DecodeError:
