--- a/src/azureramp/cli/changing.py
+++ b/src/azureramp/cli/changing.py
@@ -1,4 +1,4 @@
-"""Changes that commands share: write, and wait until in force."""
+"""Reads and writes of resources that several commands share."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from azureramp.cli import exits, output
 from azureramp.controllers import resource_answers
 
-POLL_S = 0.1
-"""Time between two looks at who has a change in force, in seconds."""
+POLL_INTERVAL_S = 0.1
+"""Time between two status requests, in seconds."""
 
-_Entry = expression.Result[resources.Versioned, responses.ErrorAnswer]
+_EntryResult = expression.Result[resources.Versioned, responses.ErrorAnswer]
 
 
 async def put(
     client: client_module.Client,
     resource: resources.AnyResource,
     expected: int,
-) -> _Entry:
-    """Writes a resource if its revision is the expected one."""
+) -> _EntryResult:
+    """Writes a resource if its current revision is the expected one."""
     kind = resources.get_kind(resource)
     result = await client.call(
         resource_answers.ChangeAnswer,
@@ -38,8 +38,8 @@
 
 async def delete(
     client: client_module.Client, kind: str, name: str, expected: int
-) -> _Entry:
-    """Deletes a resource if its revision is the expected one."""
+) -> _EntryResult:
+    """Deletes a resource if its current revision is the expected one."""
     result = await client.call(
         resource_answers.ChangeAnswer,
         "DELETE",
@@ -52,7 +52,7 @@
 async def get(
     client: client_module.Client, kind: str, name: str
 ) -> expression.Result[resources.Versioned | None, responses.ErrorAnswer]:
-    """Reads a resource; None if there is none."""
+    """Reads a resource; returns None if it does not exist."""
     result = await client.call(
         resources.Versioned, "GET", f"/v1/resources/{kind}/{name}"
     )
@@ -66,13 +66,21 @@
 async def wait_in_force(
     client: client_module.Client, revision: int, wait_s: float
 ) -> exits.Exit:
-    """Waits until a revision is in force, and prints each step.
+    """Polls until a revision is in force, printing each change of state.
 
-    Any VM may answer; one that does not have the revision yet says so, and
-    the tool asks again.
+    Any VM may answer. One that has not received the revision yet reports
+    the state `unknown`, and polling continues.
+
+    Args:
+        client: The client to call the VMs with.
+        revision: The revision to wait for.
+        wait_s: Maximum time to wait, in seconds.
+
+    Returns:
+        `OK`, or `NOT_IN_FORCE` after `wait_s`.
     """
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + wait_s
+    deadline_s = loop.time() + wait_s
     shown: tuple[str, ...] = ()
     while True:
         result = await client.call(
@@ -84,13 +92,13 @@
         if result.is_ok():
             status = result.ok
             code = status.state.value
-            words = _describe(status)
+            words = _format_status(status)
             if (code, *words) != shown:
                 output.print_state(code, client.common, *words)
                 shown = (code, *words)
             if status.state is resource_answers.ChangeState.IN_FORCE:
                 return exits.Exit.OK
-        if loop.time() >= until_s:
+        if loop.time() >= deadline_s:
             output.print_state(
                 "not_in_force",
                 client.common,
@@ -99,11 +107,11 @@
                 err=True,
             )
             return exits.Exit.NOT_IN_FORCE
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _describe(status: resource_answers.StatusAnswer) -> tuple[str, ...]:
-    """Returns the words that go with a status's state."""
+def _format_status(status: resource_answers.StatusAnswer) -> tuple[str, ...]:
+    """Returns the `key=value` words printed after the state."""
     words = [
         f"revision={status.asked_revision}",
         f"in_force_on={status.in_force}/{status.listed}",
--- a/src/azureramp/cli/checking.py
+++ b/src/azureramp/cli/checking.py
@@ -1,4 +1,4 @@
-"""The dry run of `apply`."""
+"""The dry run of the `apply` command."""
 
 from __future__ import annotations
 
@@ -11,9 +11,20 @@
 
 
 async def run(
-    common: options.Common, declared: list[files.Declared], shows_diff: bool
+    common: options.Common,
+    declared: list[files.Declared],
+    shows_diff: bool,
 ) -> exits.Exit:
-    """Has a VM check resources together, as if written in this order."""
+    """Validates resources together on a VM, as if written in this order.
+
+    Args:
+        common: The options shared by all commands.
+        declared: The resources, in dependency order.
+        shows_diff: Whether to print a diff of each change.
+
+    Returns:
+        The exit code for the last error, or `OK`.
+    """
     client = client_module.Client(common)
     request = resource_answers.CheckRequest(
         resources=tuple(
--- a/src/azureramp/cli/zones.py
+++ b/src/azureramp/cli/zones.py
@@ -1,4 +1,4 @@
-"""What `drain-zone` and `restore-zone` share."""
+"""State changes of zones, for `drain-zone` and `restore-zone`."""
 
 from __future__ import annotations
 
@@ -15,15 +15,19 @@
     state: resources.ZoneState,
     wait_s: float | None = None,
 ) -> exits.Exit:
-    """Writes a zone's state, and waits until it is in force.
+    """Writes the state of a zone and optionally waits until it is in force.
 
     Args:
-        common: What every command needs.
-        name: The zone, which must be declared: a misspelt one would look as
-            if it were out.
-        state: Its new state.
-        wait_s: Longest wait until it is in force, in seconds; None ends once
-            it is stored.
+        common: The options shared by all commands.
+        name: The name of the zone. It must exist: if the command created
+            a zone for a misspelled name, the intended zone would appear to
+            be out of service.
+        state: The new state of the zone.
+        wait_s: Maximum time to wait until the change is in force, in seconds;
+            None returns once the change is stored.
+
+    Returns:
+        The exit code.
     """
     client = client_module.Client(common)
     subject = f"{KIND}/{name}"
