--- a/src/azureramp/cli/files.py
+++ b/src/azureramp/cli/files.py
@@ -1,4 +1,4 @@
-"""Files of resources, in YAML or JSON."""
+"""Resource files in YAML or JSON."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     resources.Caller,
     resources.Policy,
 )
-"""The kinds in an order in which each refers only to earlier ones."""
+"""The kinds in dependency order: each refers only to earlier ones."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Declared:
-    """One resource of a file.
+    """A resource declared in a file.
 
     Attributes:
         resource: The resource.
-        revision: The revision that the operator saw, if the file states it.
+        revision: The expected revision, or None if the file states none.
     """
 
     resource: resources.AnyResource
@@ -39,14 +39,16 @@
 def read(path: str) -> expression.Result[list[Declared], str]:
     """Reads a file with one or more resources.
 
-    A file holds YAML documents or JSON; each is a resource or a list of
-    them. A field `revision` states the revision that the operator saw.
+    The file contains JSON or YAML documents; each is a resource or a list of
+    resources. A field `revision` states the revision that the operator
+    expects the stored resource to have.
 
     Args:
         path: The file's path.
 
     Returns:
-        The resources in order, or what is wrong, the place included.
+        The resources in the order of the file, or an error message that
+        states the path and the number of the invalid resource.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -66,20 +68,20 @@
         except msgspec.ValidationError as error:
             return expression.Error(f"{path}: resource {number}: {error}")
     if not declared:
-        return expression.Error(f"{path}: holds no resource")
+        return expression.Error(f"{path}: contains no resource")
     return expression.Ok(declared)
 
 
 def get_order(resource: resources.AnyResource) -> int:
-    """Returns a resource's place in the order of writing."""
+    """Returns the position of a resource's kind in dependency order."""
     return ORDER.index(type(resource))
 
 
 def _convert(item: Any) -> Declared:
-    """Makes a resource of a plain value.
+    """Converts a decoded YAML or JSON value to a resource.
 
     Raises:
-        msgspec.ValidationError: The value is no resource.
+        msgspec.ValidationError: The value is not a valid resource.
     """
     revision: int | None = None
     if isinstance(item, dict) and "revision" in item:
--- a/src/azureramp/cli/output.py
+++ b/src/azureramp/cli/output.py
@@ -1,4 +1,4 @@
-"""What the tool prints: the code first, then names, then words."""
+"""Output of the tool: the code first, then identifiers, then text."""
 
 from __future__ import annotations
 
@@ -22,35 +22,37 @@
 def print_state(
     code: str, common: options.Common, *subjects: str, err: bool = False
 ) -> None:
-    """Prints a state: its code, what it is about, and its text.
+    """Prints one line with the code, the subjects and the text of a state.
 
     Args:
         code: A key of `texts.TOOL`.
-        common: The operator's language.
+        common: The shared options, which state the language.
         *subjects: Words such as `revision=18`.
-        err: Whether it goes to the error stream.
+        err: Whether to print to stderr.
     """
     text = choose(texts.TOOL[code], common)
     click.echo(" ".join((code, *subjects, "-", text)), err=err)
 
 
 def choose(text: texts.Text, common: options.Common) -> str:
-    """Returns a text in the operator's language."""
+    """Returns a text in the language that the options state."""
     return text.hu if common.language == "hu" else text.en
 
 
 def print_error(
-    answer: responses.ErrorAnswer, common: options.Common, subject: str = ""
+    answer: responses.ErrorAnswer,
+    common: options.Common,
+    subject: str = "",
 ) -> exits.Exit:
-    """Prints an error in the operator's language, its code first.
+    """Prints an error answer to stderr, its code first.
 
     Args:
-        answer: The error's answer.
-        common: The operator's language.
-        subject: What it is about, as `kind/name`.
+        answer: The error answer.
+        common: The shared options, which state the language.
+        subject: The resource that the error concerns, as `kind/name`.
 
     Returns:
-        The exit code that goes with it.
+        The exit code for the error.
     """
     is_hungarian = common.language == "hu"
     text = answer.text_hu if is_hungarian else answer.text_en
@@ -76,7 +78,7 @@
 
 
 def make_document(entry: resources.Versioned) -> dict[str, Any]:
-    """Makes what a file holds for a resource, its revision included."""
+    """Builds the document of a resource file, including the revision."""
     document: dict[str, Any] = msgspec.to_builtins(entry.resource)
     if entry.revision:
         document["revision"] = entry.revision
@@ -84,7 +86,7 @@
 
 
 def format_yaml(documents: list[dict[str, Any]]) -> str:
-    """Formats resources as the YAML documents of a file."""
+    """Formats documents as the YAML text of a resource file."""
     return yaml.safe_dump_all(
         documents, allow_unicode=True, sort_keys=False, explicit_start=True
     )
@@ -93,14 +95,14 @@
 def format_diff(
     before: resources.Versioned | None, after: resources.Versioned
 ) -> str:
-    """Formats what a change changes, as a unified diff of YAML."""
+    """Formats a change as a unified diff of YAML."""
     name = f"{after.kind}/{after.name}"
-    old = _format_one(before)
-    new = _format_one(after)
+    old = _format_lines(before)
+    new = _format_lines(after)
     return "".join(difflib.unified_diff(old, new, f"a/{name}", f"b/{name}"))
 
 
-def _format_one(entry: resources.Versioned | None) -> list[str]:
+def _format_lines(entry: resources.Versioned | None) -> list[str]:
     if entry is None or entry.resource is None:
         return []
     text = format_yaml([msgspec.to_builtins(entry.resource)])
--- a/src/azureramp/cli/selecting.py
+++ b/src/azureramp/cli/selecting.py
@@ -1,4 +1,4 @@
-"""Which events of a timeline are wanted."""
+"""Filters for the events of a timeline."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Wanted:
-    """What an operator asks for; empty and None want everything.
+    """Criteria for events; an empty string or None matches every event.
 
     Attributes:
         request: A request id.
         key: An idempotency key.
-        zone: An availability zone.
-        since_s: The earliest wall-clock time, in seconds since 1970.
-        until_s: The first time that is too late.
+        zone: The name of an availability zone.
+        since_s: The start of the time range, inclusive, in wall-clock seconds
+            since 1970.
+        until_s: The end of the time range, exclusive, in the same unit.
     """
 
     request: str = ""
@@ -30,15 +31,17 @@
 def select(
     records: Iterable[timelines.Record], wanted: Wanted
 ) -> Iterator[timelines.Record]:
-    """Selects the wanted events, in their order."""
-    kept = list(records)
+    """Yields the records that match all criteria, in their given order."""
+    selected = list(records)
     if wanted.request:
-        kept = [r for r in kept if _get(r, "request_id") == wanted.request]
+        selected = [
+            r for r in selected if _get(r, "request_id") == wanted.request
+        ]
     if wanted.key:
-        kept = _select_key(kept, wanted.key)
+        selected = _select_key(selected, wanted.key)
     if wanted.zone:
-        kept = _select_zone(kept, wanted.zone)
-    for record in kept:
+        selected = _select_zone(selected, wanted.zone)
+    for record in selected:
         if wanted.since_s is not None and record.at_s < wanted.since_s:
             continue
         if wanted.until_s is not None and record.at_s >= wanted.until_s:
@@ -49,7 +52,7 @@
 def _select_key(
     records: list[timelines.Record], key: str
 ) -> list[timelines.Record]:
-    """Selects the events of every request that came with a key."""
+    """Returns all events of every request that carried an idempotency key."""
     requests = {
         _get(record, "request_id")
         for record in records
@@ -67,10 +70,11 @@
 def _select_zone(
     records: list[timelines.Record], zone: str
 ) -> list[timelines.Record]:
-    """Selects the events that concern a zone.
+    """Returns the events that concern a zone.
 
-    Those are the ones that name it, what became of the sub-requests that
-    were sent there, and the configuration that changes it or says it is out.
+    These are the events that name the zone, the outcomes of sub-requests
+    dispatched to it, and configuration events that change the zone or list
+    it as out of service.
     """
     parts = {
         (event.request_id, event.part)
