--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands of the tool against whole operators' interfaces."""
+"""Tests of the tool's commands against VMs that serve the resource API."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from azureramp_standins import virtual
 from tests.controllers import configured
 
-# The in-memory sockets say that they have no options of TCP.
+# The in-memory sockets warn that they do not support TCP options.
 pytestmark = pytest.mark.filterwarnings(
     "ignore::async_solipsism.exceptions.SolipsismWarning"
 )
@@ -60,13 +60,13 @@
     - {name: s0, low: 0, high: 10, size: 3, searchers: [oltás-1-a]}
 """
 
-Story = Callable[[configured.Deployment, options.Common], Awaitable[None]]
+Scenario = Callable[[configured.Deployment, options.Common], Awaitable[None]]
 
 
-def run(story: Story) -> None:
-    """Runs a story with three VMs that serve operators."""
+def run(scenario: Scenario) -> None:
+    """Runs a scenario against three VMs that serve the resource API."""
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         deployment = configured.Deployment(3)
         await deployment.start()
         servers = [
@@ -79,12 +79,12 @@
             await server.start()
         addresses = tuple(server.address for server in servers)
         common = options.Common(addresses, configured.TOKEN, "en", 5.0)
-        await story(deployment, common)
+        await scenario(deployment, common)
         for server in servers:
             await server.stop(1.0)
         await deployment.stop()
 
-    virtual.run(whole())
+    virtual.run(run_scenario())
 
 
 @pytest.fixture
@@ -97,10 +97,10 @@
     )
 
 
-def test_a_file_is_applied_in_order_and_waited_for(
+def test_apply_writes_in_dependency_order_and_waits_until_in_force(
     declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         assert await apply.run(common, declared, wait_s=5.0) == exits.Exit.OK
@@ -111,13 +111,13 @@
         assert await apply.run(common, declared) == exits.Exit.OK
         assert capsys.readouterr().out.count("unchanged") == 4
 
-    run(story)
+    run(scenario)
 
 
-def test_a_dry_run_checks_what_refers_to_each_other_and_changes_nothing(
+def test_dry_run_resolves_references_within_the_file_and_changes_nothing(
     declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         code = await checking.run(common, declared, True)
@@ -131,20 +131,21 @@
         err = capsys.readouterr().err
         assert "zone: unknown_reference" in err
 
-    run(story)
+    run(scenario)
 
 
-def test_what_get_prints_can_be_changed_and_applied(
+def test_output_of_get_can_be_edited_and_applied(
     declared: list[files.Declared],
     capsys: pytest.CaptureFixture[str],
     tmp_path: pathlib.Path,
 ) -> None:
-    """Two operators print the same zone, change it, and apply their files.
+    """Guards against lost updates between two operators.
 
-    The second must not overwrite the first's change unseen.
+    Both print the same zone, edit it and apply their files. The second apply
+    must report a conflict instead of silently overwriting the first change.
     """
 
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         await apply.run(common, declared)
@@ -161,13 +162,13 @@
         assert err.startswith("conflict availability_zone/d not_run - ")
         assert '"state":"out"' in err
 
-    run(story)
+    run(scenario)
 
 
-def test_a_zone_is_drained_and_restored(
+def test_zone_is_drained_and_restored(
     declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         await apply.run(common, declared)
@@ -183,19 +184,20 @@
         assert code == exits.Exit.OK
         assert deployment.processes[2].get_zones_out() == set()
 
-    run(story)
+    run(scenario)
 
 
-def test_a_change_that_a_silent_vm_lacks_is_in_force_once_it_must_have_stopped(
+def test_change_missing_on_unreachable_vm_is_in_force_once_that_vm_stops_work(
     declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """vm-2 is cut off when a zone is taken out.
+    """vm-2 is disconnected when a zone is taken out of service.
 
-    The operator sees that it lacks the change, and `in_force` only when vm-2
-    can't send work on the old configuration any more.
+    The output must name vm-2 as the VM without the change, and `in_force`
+    must not appear until vm-2 can no longer dispatch work under the old
+    configuration.
     """
 
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         await apply.run(common, declared, wait_s=5.0)
@@ -210,33 +212,35 @@
         assert codes[-2:] == ["accepted", "in_force"]
         assert "without=vm-2" in lines[-1]
 
-    run(story)
+    run(scenario)
 
 
-def test_an_interrupted_change_is_settled_at_the_next_vm(
+def test_change_with_lost_answer_is_confirmed_by_next_vm(
     declared: list[files.Declared],
 ) -> None:
-    """The first VM dies after the write and before its answer.
+    """The first VM's replies from the store are lost, so it never answers.
 
-    The tool sends the change to the next one, which must recognise it and
-    not report a conflict with the operator's own change.
+    The tool sends the change to the next VM, which must recognize that the
+    change was already written, and not report a conflict with it.
     """
 
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         process = deployment.processes[0]
         process.store.faults.lost_replies = 1000
-        short = options.Common(common.addresses, common.token, "en", 0.5)
-        assert await apply.run(short, declared[:1]) == exits.Exit.OK
+        short_timeout = options.Common(
+            common.addresses, common.token, "en", 0.5
+        )
+        assert await apply.run(short_timeout, declared[:1]) == exits.Exit.OK
 
-    run(story)
+    run(scenario)
 
 
-def test_a_deletion_is_refused_while_something_refers_to_it(
+def test_deletion_of_referenced_resource_is_refused(
     declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         await apply.run(common, declared)
@@ -248,13 +252,13 @@
         code = await delete.run(common, "shard_map", "arrears.1", wait_s=5.0)
         assert code == exits.Exit.OK
 
-    run(story)
+    run(scenario)
 
 
-def test_a_watch_resumes_after_a_revision_with_what_was_deleted(
+def test_watch_resumed_after_revision_includes_deletions(
     declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         await apply.run(common, declared, wait_s=5.0)
@@ -271,18 +275,19 @@
         line = json.loads(capsys.readouterr().out)
         assert (line["kind"], line["resource"]) == ("shard_map", None)
 
-    run(story)
+    run(scenario)
 
 
-def test_a_watch_that_a_restarted_vm_can_not_resume_is_told_everything(
+def test_watch_resumed_on_restarted_vm_begins_with_reset(
     declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """A VM that was replaced does not know what was deleted before it began.
+    """A restarted VM does not know which resources were deleted before.
 
-    A client that resumes there must not keep the deleted resource for good.
+    A client that resumes its watch there must get a reset and the full list;
+    otherwise it would keep the deleted resource indefinitely.
     """
 
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         await apply.run(common, declared, wait_s=5.0)
@@ -292,20 +297,20 @@
         await asyncio.sleep(1.0)
         server = web_server.Server("127.0.0.1:9000", process.api.handle)
         await server.start()
-        one = options.Common((server.address,), common.token, "en", 5.0)
+        restarted = options.Common((server.address,), common.token, "en", 5.0)
         capsys.readouterr()
-        await watch.run(one, after, 3)
+        await watch.run(restarted, after, 3)
         lines = capsys.readouterr().out.splitlines()
         assert "reset" in json.loads(lines[0])
         await server.stop(1.0)
 
-    run(story)
+    run(scenario)
 
 
-def test_a_timeline_merges_all_vms_and_names_the_missing_ones(
+def test_timeline_merges_all_vms_and_names_missing_ones(
     declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         await apply.run(common, declared)
@@ -327,7 +332,7 @@
             "vm-1",
         }
 
-    run(story)
+    run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -337,14 +342,14 @@
         (configured.TOKEN, ("127.0.0.1:9",), "connection_lost", "not_run"),
     ],
 )
-def test_a_failure_is_told_by_code_and_exit(
+def test_failure_is_reported_by_error_code_and_exit_code(
     token: str,
     addresses: tuple[str, ...] | None,
     code: str,
     ran: str,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    async def story(
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
         wrong = options.Common(addresses or common.addresses, token, "en", 1.0)
@@ -352,19 +357,19 @@
         assert ended == exits.get_exit(code)
         assert capsys.readouterr().err.startswith(f"{code} {ran} - ")
 
-    run(story)
+    run(scenario)
 
 
-def test_the_next_vm_is_asked_when_one_is_gone() -> None:
-    async def story(
+def test_next_vm_is_called_when_one_is_unreachable() -> None:
+    async def scenario(
         deployment: configured.Deployment, common: options.Common
     ) -> None:
-        there = options.Common(
+        with_unreachable_first = options.Common(
             ("127.0.0.1:9", *common.addresses), common.token, "en", 1.0
         )
-        result = await client.Client(there).call(
+        result = await client.Client(with_unreachable_first).call(
             responses.ErrorAnswer, "GET", "/v1/nothing"
         )
         assert result.error.code == "not_found"
 
-    run(story)
+    run(scenario)
