--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The command line of the tool."""
+"""Tests of the tool's command line: flags, variables and usage errors."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 CONNECTED = ["--address", "127.0.0.1:1", "--token", "t"]
 
 
-def test_a_flag_can_be_given_as_its_variable(
+def test_flag_is_read_from_environment_variable(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("AZURERAMP_ADDRESS", "10.0.0.1:1, here")
@@ -44,7 +44,7 @@
         (["status", "--speed", "1"], ["--speed"]),
     ],
 )
-def test_a_wrong_argument_is_one_line_and_exit_2(
+def test_usage_error_prints_one_line_and_exits_with_2(
     arguments: list[str], words: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     code = main.run(arguments)
