--- a/src/azureramp/cli/apply.py
+++ b/src/azureramp/cli/apply.py
@@ -36,10 +36,10 @@
 @click.option(
     "--diff", "shows_diff", is_flag=True, help="Print a diff of each change."
 )
-@waiting.add_waiting
-@options.add_common
+@waiting.add_wait_options
+@options.add_common_options
 def command(
-    common: options.Common,
+    common: options.CommonOptions,
     paths: tuple[str, ...],
     dry_run: bool,
     shows_diff: bool,
@@ -53,13 +53,13 @@
     stops at the first resource that is refused; resources written before it
     are kept.
     """
-    declared: list[files.Declared] = []
+    declared: list[files.DeclaredResource] = []
     for path in paths:
         result = files.read(path)
         if result.is_error():
             raise click.UsageError(f"--file: {result.error}")
         declared += result.ok
-    declared.sort(key=lambda item: files.get_order(item.resource))
+    declared.sort(key=lambda item: files.get_dependency_rank(item.resource))
     if dry_run:
         return asyncio.run(checking.run(common, declared, shows_diff))
     wait_s = wait_ms / 1000 if waits else None
@@ -67,8 +67,8 @@
 
 
 async def run(
-    common: options.Common,
-    declared: list[files.Declared],
+    common: options.CommonOptions,
+    declared: list[files.DeclaredResource],
     shows_diff: bool = False,
     wait_s: float | None = None,
 ) -> exits.Exit:
--- a/src/azureramp/cli/checking.py
+++ b/src/azureramp/cli/checking.py
@@ -11,8 +11,8 @@
 
 
 async def run(
-    common: options.Common,
-    declared: list[files.Declared],
+    common: options.CommonOptions,
+    declared: list[files.DeclaredResource],
     shows_diff: bool,
 ) -> exits.Exit:
     """Validates resources together on a VM, as if written in this order.
--- a/src/azureramp/cli/client.py
+++ b/src/azureramp/cli/client.py
@@ -49,7 +49,7 @@
 
     __slots__ = ("common",)
 
-    def __init__(self, common: options.Common) -> None:
+    def __init__(self, common: options.CommonOptions) -> None:
         """Initializes the client; opens no connection yet."""
         self.common = common
 
--- a/src/azureramp/cli/delete.py
+++ b/src/azureramp/cli/delete.py
@@ -16,13 +16,13 @@
 @click.argument("name")
 @click.option(
     "--revision",
-    type=options.Number(1, 2**63 - 1),
+    type=options.IntegerRange(1, 2**63 - 1),
     help="Delete only if this is still the current revision.",
 )
-@waiting.add_waiting
-@options.add_common
+@waiting.add_wait_options
+@options.add_common_options
 def command(
-    common: options.Common,
+    common: options.CommonOptions,
     kind: str,
     name: str,
     revision: int | None,
@@ -35,7 +35,7 @@
 
 
 async def run(
-    common: options.Common,
+    common: options.CommonOptions,
     kind: str,
     name: str,
     revision: int | None = None,
--- a/src/azureramp/cli/drain_zone.py
+++ b/src/azureramp/cli/drain_zone.py
@@ -12,12 +12,12 @@
 
 @click.command("drain-zone")
 @click.argument("zone")
-@waiting.add_waiting
-@options.add_common
+@waiting.add_wait_options
+@options.add_common_options
 def command(
-    common: options.Common, zone: str, waits: bool, wait_ms: int
+    common: options.CommonOptions, zone: str, waits: bool, wait_ms: int
 ) -> int:
     """Takes an availability zone out of service."""
     state = resources.ZoneState.OUT
     wait_s = wait_ms / 1000 if waits else None
-    return asyncio.run(zones.change(common, zone, state, wait_s))
+    return asyncio.run(zones.change_state(common, zone, state, wait_s))
--- a/src/azureramp/cli/files.py
+++ b/src/azureramp/cli/files.py
@@ -12,7 +12,7 @@
 
 from azureramp import resources
 
-ORDER = (
+KINDS_IN_ORDER = (
     resources.Zone,
     resources.Service,
     resources.BackendServer,
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Declared:
+class DeclaredResource:
     """A resource declared in a file.
 
     Attributes:
@@ -36,7 +36,7 @@
     revision: int | None
 
 
-def read(path: str) -> expression.Result[list[Declared], str]:
+def read(path: str) -> expression.Result[list[DeclaredResource], str]:
     """Reads a file with one or more resources.
 
     The file contains JSON or YAML documents; each is a resource or a list of
@@ -61,7 +61,7 @@
             items.extend(document)
         elif document is not None:
             items.append(document)
-    declared: list[Declared] = []
+    declared: list[DeclaredResource] = []
     for number, item in enumerate(items, start=1):
         try:
             declared.append(_convert(item))
@@ -72,12 +72,12 @@
     return expression.Ok(declared)
 
 
-def get_order(resource: resources.AnyResource) -> int:
+def get_dependency_rank(resource: resources.AnyResource) -> int:
     """Returns the position of a resource's kind in dependency order."""
-    return ORDER.index(type(resource))
+    return KINDS_IN_ORDER.index(type(resource))
 
 
-def _convert(item: Any) -> Declared:
+def _convert(item: Any) -> DeclaredResource:
     """Converts a decoded YAML or JSON value to a resource.
 
     Raises:
@@ -88,4 +88,4 @@
         item = dict(item)
         revision = msgspec.convert(item.pop("revision"), int)
     resource = msgspec.convert(item, resources.AnyResource)
-    return Declared(resource, revision)
+    return DeclaredResource(resource, revision)
--- a/src/azureramp/cli/get.py
+++ b/src/azureramp/cli/get.py
@@ -23,8 +23,10 @@
     show_default=True,
     help="Output format; `apply` accepts both.",
 )
-@options.add_common
-def command(common: options.Common, kind: str, name: str, form: str) -> int:
+@options.add_common_options
+def command(
+    common: options.CommonOptions, kind: str, name: str, form: str
+) -> int:
     """Prints all resources of a KIND, or the one with the given NAME.
 
     The output can be passed to `apply` and includes the current revisions.
@@ -33,7 +35,7 @@
 
 
 async def run(
-    common: options.Common, kind: str, name: str = "", form: str = "yaml"
+    common: options.CommonOptions, kind: str, name: str = "", form: str = "yaml"
 ) -> exits.Exit:
     """Prints resources.
 
--- a/src/azureramp/cli/main.py
+++ b/src/azureramp/cli/main.py
@@ -45,7 +45,7 @@
     losses,
     rollouts,
 ):
-    options.name_variables(_module.command)
+    options.set_variable_names(_module.command)
     group.add_command(_module.command)
 
 
--- a/src/azureramp/cli/options.py
+++ b/src/azureramp/cli/options.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Common:
+class CommonOptions:
     """The options shared by all commands.
 
     Attributes:
@@ -54,7 +54,7 @@
         return [part for part in re.split(r"[,\s]+", rv) if part]
 
 
-class Number(click.ParamType[Any]):
+class IntegerRange(click.ParamType[Any]):
     """Parameter type of an integer within bounds."""
 
     name = "number"
@@ -138,7 +138,7 @@
     click.option(
         "--timeout-ms",
         envvar="AZURERAMP_TIMEOUT_MS",
-        type=Number(1, 600_000),
+        type=IntegerRange(1, 600_000),
         default=10_000,
         show_default=True,
         help="Timeout of one call to a VM, in milliseconds.",
@@ -146,7 +146,7 @@
 )
 
 
-def add_common(command: Callable[..., Any]) -> Callable[..., Any]:
+def add_common_options(command: Callable[..., Any]) -> Callable[..., Any]:
     """Adds the shared flags to a command, passed to it as `common`."""
 
     @functools.wraps(command)
@@ -158,7 +158,7 @@
         timeout_ms: int,
         **arguments: Any,
     ) -> Any:
-        common = Common(addresses, token, language, timeout_ms / 1000)
+        common = CommonOptions(addresses, token, language, timeout_ms / 1000)
         return command(common=common, **arguments)
 
     for option in reversed(_OPTIONS):
@@ -166,7 +166,7 @@
     return run
 
 
-def name_variables(command: click.Command) -> None:
+def set_variable_names(command: click.Command) -> None:
     """Sets the environment variable of each flag that has none yet.
 
     It is named after the command and the flag: `AZURERAMP_APPLY_DRY_RUN`.
--- a/src/azureramp/cli/output.py
+++ b/src/azureramp/cli/output.py
@@ -20,7 +20,7 @@
 
 
 def print_state(
-    code: str, common: options.Common, *subjects: str, err: bool = False
+    code: str, common: options.CommonOptions, *subjects: str, err: bool = False
 ) -> None:
     """Prints one line with the code, the subjects and the text of a state.
 
@@ -30,18 +30,18 @@
         *subjects: Words such as `revision=18`.
         err: Whether to print to stderr.
     """
-    text = choose(texts.TOOL[code], common)
+    text = select_language(texts.TOOL[code], common)
     click.echo(" ".join((code, *subjects, "-", text)), err=err)
 
 
-def choose(text: texts.Text, common: options.Common) -> str:
+def select_language(text: texts.Text, common: options.CommonOptions) -> str:
     """Returns a text in the language that the options state."""
     return text.hu if common.language == "hu" else text.en
 
 
 def print_error(
     answer: responses.ErrorAnswer,
-    common: options.Common,
+    common: options.CommonOptions,
     subject: str = "",
 ) -> exits.Exit:
     """Prints an error answer to stderr, its code first.
--- a/src/azureramp/cli/selecting.py
+++ b/src/azureramp/cli/selecting.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Wanted:
+class EventFilter:
     """Criteria for events; an empty string or None matches every event.
 
     Attributes:
@@ -29,7 +29,7 @@
 
 
 def select(
-    records: Iterable[timelines.Record], wanted: Wanted
+    records: Iterable[timelines.Record], wanted: EventFilter
 ) -> Iterator[timelines.Record]:
     """Yields the records that match all criteria, in their given order."""
     selected = list(records)
--- a/src/azureramp/cli/status.py
+++ b/src/azureramp/cli/status.py
@@ -14,7 +14,7 @@
 @click.command("status")
 @click.option(
     "--revision",
-    type=options.Number(1, 2**63 - 1),
+    type=options.IntegerRange(1, 2**63 - 1),
     help="Show the progress of this revision.",
 )
 @click.option(
@@ -25,14 +25,16 @@
     show_default=True,
     help="Output format: one line per VM, or JSON.",
 )
-@options.add_common
-def command(common: options.Common, revision: int | None, form: str) -> int:
+@options.add_common_options
+def command(
+    common: options.CommonOptions, revision: int | None, form: str
+) -> int:
     """Prints the state of all VMs, as known to the VM that answers."""
     return asyncio.run(run(common, revision, form))
 
 
 async def run(
-    common: options.Common,
+    common: options.CommonOptions,
     revision: int | None = None,
     form: str = "text",
 ) -> exits.Exit:
--- a/src/azureramp/cli/timeline.py
+++ b/src/azureramp/cli/timeline.py
@@ -19,7 +19,7 @@
 """Maximum number of VMs that are called concurrently."""
 
 
-class Moment(click.ParamType[Any]):
+class UtcTime(click.ParamType[Any]):
     """Parameter type of a UTC time, in the format that the timeline prints."""
 
     name = "time"
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Collected:
+class CollectedTimelines:
     """The timelines of all VMs.
 
     Attributes:
@@ -70,9 +70,9 @@
 )
 @click.option("--zone", default="", help="Only events that concern this zone.")
 @click.option(
-    "--since", type=Moment(), help="Only events at or after this time."
+    "--since", type=UtcTime(), help="Only events at or after this time."
 )
-@click.option("--until", type=Moment(), help="Only events before this time.")
+@click.option("--until", type=UtcTime(), help="Only events before this time.")
 @click.option(
     "--format",
     "form",
@@ -81,9 +81,9 @@
     show_default=True,
     help="Output format: one line of text or JSON per event.",
 )
-@options.add_common
+@options.add_common_options
 def command(
-    common: options.Common,
+    common: options.CommonOptions,
     request: str,
     key: str,
     zone: str,
@@ -96,13 +96,13 @@
     An event never precedes the event that caused it, even if the clocks of
     the VMs differ. VMs that did not answer are listed at the end.
     """
-    wanted = selecting.Wanted(request, key, zone, since, until)
+    wanted = selecting.EventFilter(request, key, zone, since, until)
     return asyncio.run(run(common, wanted, form))
 
 
 async def run(
-    common: options.Common,
-    wanted: selecting.Wanted | None = None,
+    common: options.CommonOptions,
+    wanted: selecting.EventFilter | None = None,
     form: str = "text",
 ) -> exits.Exit:
     """Prints the events that match the criteria.
@@ -123,18 +123,18 @@
         return output.print_error(status.error, common)
     collected = await collect(common, status.ok.members)
     merged = timelines.merge(collected.timelines)
-    for record in selecting.select(merged, wanted or selecting.Wanted()):
+    for record in selecting.select(merged, wanted or selecting.EventFilter()):
         click.echo(format_record(record, form))
     _print_gaps(common, collected, form)
     return exits.Exit.OK
 
 
 async def collect(
-    common: options.Common,
+    common: options.CommonOptions,
     members: tuple[resource_answers.MemberStatus, ...],
-) -> Collected:
+) -> CollectedTimelines:
     """Reads the timelines of all VMs, up to `MAX_CONCURRENT_VMS` at once."""
-    collected = Collected()
+    collected = CollectedTimelines()
     limit = asyncio.Semaphore(MAX_CONCURRENT_VMS)
 
     async def read(member: resource_answers.MemberStatus) -> None:
@@ -148,7 +148,9 @@
     return collected
 
 
-async def _read(client: client_module.Client, collected: Collected) -> bool:
+async def _read(
+    client: client_module.Client, collected: CollectedTimelines
+) -> bool:
     """Reads all pages of one VM's timeline; returns False if a call fails."""
     records: list[timelines.Record] = []
     collected.timelines.append(records)
@@ -198,7 +200,7 @@
 
 
 def _print_gaps(
-    common: options.Common, collected: Collected, form: str
+    common: options.CommonOptions, collected: CollectedTimelines, form: str
 ) -> None:
     """Prints which VMs and events are missing from the timeline."""
     if form == "json":
--- a/src/azureramp/cli/waiting.py
+++ b/src/azureramp/cli/waiting.py
@@ -19,7 +19,7 @@
     ),
     click.option(
         "--wait-ms",
-        type=options.Number(1, 600_000),
+        type=options.IntegerRange(1, 600_000),
         default=10_000,
         show_default=True,
         help="Maximum time to wait until it is in force, in milliseconds.",
@@ -27,7 +27,7 @@
 )
 
 
-def add_waiting(command: Callable[..., Any]) -> Callable[..., Any]:
+def add_wait_options(command: Callable[..., Any]) -> Callable[..., Any]:
     """Adds `--wait/--no-wait` and `--wait-ms` to a command."""
     for option in reversed(_OPTIONS):
         command = option(command)
--- a/src/azureramp/cli/watch.py
+++ b/src/azureramp/cli/watch.py
@@ -20,20 +20,20 @@
 @click.command("watch")
 @click.option(
     "--after",
-    type=options.Number(0, 2**63 - 1),
+    type=options.IntegerRange(0, 2**63 - 1),
     default=0,
     show_default=True,
     help="Resume after this revision; 0 prints all current resources first.",
 )
 @click.option(
     "--count",
-    type=options.Number(0, 2**31),
+    type=options.IntegerRange(0, 2**31),
     default=0,
     show_default=True,
     help="Exit after this number of changes; 0 runs without end.",
 )
-@options.add_common
-def command(common: options.Common, after: int, count: int) -> int:
+@options.add_common_options
+def command(common: options.CommonOptions, after: int, count: int) -> int:
     """Prints each change as a line of JSON when it comes into force.
 
     Each line contains the revision to resume after. A line `{"reset":R}`
@@ -44,7 +44,7 @@
 
 
 async def run(
-    common: options.Common, after: int = 0, count: int = 0
+    common: options.CommonOptions, after: int = 0, count: int = 0
 ) -> exits.Exit:
     """Prints changes after a revision.
 
--- a/src/azureramp/cli/zones.py
+++ b/src/azureramp/cli/zones.py
@@ -9,8 +9,8 @@
 KIND = "availability_zone"
 
 
-async def change(
-    common: options.Common,
+async def change_state(
+    common: options.CommonOptions,
     name: str,
     state: resources.ZoneState,
     wait_s: float | None = None,
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -60,7 +60,9 @@
     - {name: s0, low: 0, high: 10, size: 3, searchers: [oltás-1-a]}
 """
 
-Scenario = Callable[[configured.Deployment, options.Common], Awaitable[None]]
+Scenario = Callable[
+    [configured.Deployment, options.CommonOptions], Awaitable[None]
+]
 
 
 def run(scenario: Scenario) -> None:
@@ -78,7 +80,7 @@
         for server in servers:
             await server.start()
         addresses = tuple(server.address for server in servers)
-        common = options.Common(addresses, configured.TOKEN, "en", 5.0)
+        common = options.CommonOptions(addresses, configured.TOKEN, "en", 5.0)
         await scenario(deployment, common)
         for server in servers:
             await server.stop(1.0)
@@ -88,20 +90,20 @@
 
 
 @pytest.fixture
-def declared(tmp_path: pathlib.Path) -> list[files.Declared]:
+def declared(tmp_path: pathlib.Path) -> list[files.DeclaredResource]:
     path = tmp_path / "file.yaml"
     path.write_text(FILE, encoding="utf-8")
     return sorted(
         files.read(str(path)).ok,
-        key=lambda item: files.get_order(item.resource),
+        key=lambda item: files.get_dependency_rank(item.resource),
     )
 
 
 def test_apply_writes_in_dependency_order_and_waits_until_in_force(
-    declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
+    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         assert await apply.run(common, declared, wait_s=5.0) == exits.Exit.OK
         lines = capsys.readouterr().out.splitlines()
@@ -115,10 +117,10 @@
 
 
 def test_dry_run_resolves_references_within_the_file_and_changes_nothing(
-    declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
+    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         code = await checking.run(common, declared, True)
         assert code == exits.Exit.OK
@@ -135,7 +137,7 @@
 
 
 def test_output_of_get_can_be_edited_and_applied(
-    declared: list[files.Declared],
+    declared: list[files.DeclaredResource],
     capsys: pytest.CaptureFixture[str],
     tmp_path: pathlib.Path,
 ) -> None:
@@ -146,7 +148,7 @@
     """
 
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         await apply.run(common, declared)
         capsys.readouterr()
@@ -166,19 +168,19 @@
 
 
 def test_zone_is_drained_and_restored(
-    declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
+    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         await apply.run(common, declared)
-        code = await zones.change(common, "d", OUT, 5.0)
+        code = await zones.change_state(common, "d", OUT, 5.0)
         assert code == exits.Exit.OK
         for process in deployment.processes:
             assert process.get_zones_out() == {"d"}
-        code = await zones.change(common, "misspelt", OUT, 5.0)
+        code = await zones.change_state(common, "misspelt", OUT, 5.0)
         assert code == exits.Exit.NOT_FOUND
-        code = await zones.change(
+        code = await zones.change_state(
             common, "d", resources.ZoneState.IN_SERVICE, 5.0
         )
         assert code == exits.Exit.OK
@@ -188,7 +190,7 @@
 
 
 def test_change_missing_on_unreachable_vm_is_in_force_once_that_vm_stops_work(
-    declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
+    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
 ) -> None:
     """vm-2 is disconnected when a zone is taken out of service.
 
@@ -198,13 +200,13 @@
     """
 
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         await apply.run(common, declared, wait_s=5.0)
         deployment.cut(2)
         deployment.set_down(2)
         capsys.readouterr()
-        assert await zones.change(common, "d", OUT, 5.0) == exits.Exit.OK
+        assert await zones.change_state(common, "d", OUT, 5.0) == exits.Exit.OK
         assert not deployment.processes[2].may_work()
         lines = capsys.readouterr().out.splitlines()
         codes = [line.split()[0] for line in lines]
@@ -216,7 +218,7 @@
 
 
 def test_change_with_lost_answer_is_confirmed_by_next_vm(
-    declared: list[files.Declared],
+    declared: list[files.DeclaredResource],
 ) -> None:
     """The first VM's replies from the store are lost, so it never answers.
 
@@ -225,11 +227,11 @@
     """
 
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         process = deployment.processes[0]
         process.store.faults.lost_replies = 1000
-        short_timeout = options.Common(
+        short_timeout = options.CommonOptions(
             common.addresses, common.token, "en", 0.5
         )
         assert await apply.run(short_timeout, declared[:1]) == exits.Exit.OK
@@ -238,13 +240,15 @@
 
 
 def test_deletion_of_referenced_resource_is_refused(
-    declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
+    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         await apply.run(common, declared)
-        hungarian = options.Common(common.addresses, common.token, "hu", 5.0)
+        hungarian = options.CommonOptions(
+            common.addresses, common.token, "hu", 5.0
+        )
         code = await delete.run(hungarian, "availability_zone", "d")
         assert code == exits.Exit.REFUSED
         err = capsys.readouterr().err
@@ -256,10 +260,10 @@
 
 
 def test_watch_resumed_after_revision_includes_deletions(
-    declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
+    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         await apply.run(common, declared, wait_s=5.0)
         capsys.readouterr()
@@ -279,7 +283,7 @@
 
 
 def test_watch_resumed_on_restarted_vm_begins_with_reset(
-    declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
+    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
 ) -> None:
     """A restarted VM does not know which resources were deleted before.
 
@@ -288,7 +292,7 @@
     """
 
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         await apply.run(common, declared, wait_s=5.0)
         after = deployment.processes[0].board.configuration.revision
@@ -297,7 +301,9 @@
         await asyncio.sleep(1.0)
         server = web_server.Server("127.0.0.1:9000", process.api.handle)
         await server.start()
-        restarted = options.Common((server.address,), common.token, "en", 5.0)
+        restarted = options.CommonOptions(
+            (server.address,), common.token, "en", 5.0
+        )
         capsys.readouterr()
         await watch.run(restarted, after, 3)
         lines = capsys.readouterr().out.splitlines()
@@ -308,19 +314,19 @@
 
 
 def test_timeline_merges_all_vms_and_names_missing_ones(
-    declared: list[files.Declared], capsys: pytest.CaptureFixture[str]
+    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         await apply.run(common, declared)
-        await zones.change(common, "d", OUT, 5.0)
+        await zones.change_state(common, "d", OUT, 5.0)
         deployment.vmlist.vms["vm-2"] = vmlist_api.Vm(
             "vm-2", "c", "127.0.0.1:9999", "vm-2"
         )
         await asyncio.sleep(5.0)
         capsys.readouterr()
-        wanted = selecting.Wanted(zone="d")
+        wanted = selecting.EventFilter(zone="d")
         assert await timeline.run(common, wanted) == exits.Exit.OK
         printed = capsys.readouterr()
         assert "no_answer vms=vm-2" in printed.err
@@ -350,9 +356,11 @@
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
-        wrong = options.Common(addresses or common.addresses, token, "en", 1.0)
+        wrong = options.CommonOptions(
+            addresses or common.addresses, token, "en", 1.0
+        )
         ended = await status.run(wrong)
         assert ended == exits.get_exit(code)
         assert capsys.readouterr().err.startswith(f"{code} {ran} - ")
@@ -362,9 +370,9 @@
 
 def test_next_vm_is_called_when_one_is_unreachable() -> None:
     async def scenario(
-        deployment: configured.Deployment, common: options.Common
+        deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
-        with_unreachable_first = options.Common(
+        with_unreachable_first = options.CommonOptions(
             ("127.0.0.1:9", *common.addresses), common.token, "en", 1.0
         )
         result = await client.Client(with_unreachable_first).call(
