--- a/src/azureramp/daemon/main.py
+++ b/src/azureramp/daemon/main.py
@@ -1,4 +1,4 @@
-"""The program `azurerampd`."""
+"""Entry point of the daemon `azurerampd`."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from azureramp.daemon import process
 
 EXIT_SETTINGS = 2
-"""Exit code for a setting that is not allowed."""
+"""Exit code for an invalid setting."""
 
 
 def add_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Adds a click option, with its variable, for each setting."""
+    """Adds an option and its environment variable for each setting."""
     for option in reversed(settings.OPTIONS):
-        words = option.help
+        help_text = option.help
         if option.default:
-            words += f" Default: {option.default}."
+            help_text += f" Default: {option.default}."
         decorate = click.option(
             option.flag,
             option.field,
             envvar=option.variable,
             show_envvar=True,
-            help=words,
+            help=help_text,
         )
         command = decorate(command)
     return command
@@ -36,10 +36,10 @@
 @click.command()
 @add_options
 def main(**values: str | None) -> None:
-    """Runs one daemon of the query tier, until SIGTERM.
+    """Runs one daemon of the query tier until SIGTERM or SIGINT.
 
-    Exit codes: 0 after a graceful shutdown, 1 if requests were cut or the
-    daemon could not start, 2 for a setting that is not allowed.
+    Exit codes: 0 after a graceful shutdown, 1 if requests were aborted or
+    the daemon could not start, 2 for an invalid setting.
     """
     parsed = settings.parse(values)
     if parsed.is_error():
--- a/src/azureramp/daemon/process.py
+++ b/src/azureramp/daemon/process.py
@@ -1,4 +1,4 @@
-"""One daemon as a process: its real ports, its signals, its end."""
+"""The daemon's process: port implementations, signals and exit code."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from azureramp.ports.web import server as web_server
 
 EXIT_GRACEFUL = 0
-EXIT_CUT = 1
+EXIT_FAILURE = 1
 
 _logger = logbook.Logger("azureramp.process")
 
 
 async def run(daemon_settings: settings.Settings) -> int:
-    """Runs a daemon until it is told to stop.
+    """Runs a daemon until a signal stops it.
 
     Args:
-        daemon_settings: The checked settings.
+        daemon_settings: The validated settings.
 
     Returns:
-        The process's exit code.
+        The exit code of the process.
     """
     counters = sending.make_metrics(daemon_settings.statsd_address)
     timeline = timelines.Timeline(daemon_settings.vm)
@@ -55,28 +55,34 @@
     )
     server = web_server.Server(daemon_settings.http_address, daemon.handle)
     stopping = asyncio.Event()
-    cutting = asyncio.Event()
-    _watch_signals(stopping, cutting)
+    aborting = asyncio.Event()
+    _install_signal_handlers(stopping, aborting)
     try:
         await daemon.start(server)
     except OSError as error:
         _logger.error("cannot start: {}", error)
-        return EXIT_CUT
+        return EXIT_FAILURE
     _logger.info("started on {}", daemon_settings.http_address)
     await stopping.wait()
-    cut = await daemon.stop(cutting)
-    _logger.info("stopped; {} requests cut", cut)
-    return EXIT_CUT if cut else EXIT_GRACEFUL
+    aborted = await daemon.stop(aborting)
+    _logger.info("stopped; {} requests aborted", aborted)
+    return EXIT_FAILURE if aborted else EXIT_GRACEFUL
 
 
-def _watch_signals(stopping: asyncio.Event, cutting: asyncio.Event) -> None:
-    """Makes the first SIGTERM or SIGINT stop, and the second one cut."""
+def _install_signal_handlers(
+    stopping: asyncio.Event, aborting: asyncio.Event
+) -> None:
+    """Installs the handlers of SIGTERM and SIGINT.
 
-    def receive() -> None:
+    The first signal starts a graceful stop; the second aborts the requests
+    that are still running.
+    """
+
+    def handle_signal() -> None:
         if stopping.is_set():
-            cutting.set()
+            aborting.set()
         stopping.set()
 
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, receive)
+        loop.add_signal_handler(number, handle_signal)
--- a/src/azureramp/daemon/wiring.py
+++ b/src/azureramp/daemon/wiring.py
@@ -1,7 +1,6 @@
-"""Which controllers a daemon has, and how they are joined.
+"""Creation and connection of a daemon's controllers.
 
-The same wiring serves the process with its real ports and the tests with
-the in-memory ones.
+The daemon process uses it with real ports, tests with in-memory ports.
 """
 
 from __future__ import annotations
@@ -44,8 +43,8 @@
 from azureramp.ports.web import api as web_api
 from azureramp.ports.web import server as web_server
 
-RESTART_S = 1.0
-"""Pause before a controller's loop that failed runs again, in seconds."""
+RESTART_DELAY_S = 1.0
+"""Delay before the loop of a failed controller restarts, in seconds."""
 
 OPERATOR_PATHS = ("/v1/resources", "/v1/watch", "/v1/status", "/v1/timeline")
 
@@ -54,13 +53,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Ports:
-    """A daemon's ports.
+    """The ports of a daemon: its connections to other processes.
 
     Attributes:
         store: The platform's key-value service.
         vmlist: The platform's VM list.
-        peers: The links to the other daemons.
-        searchers: The calls to searchers.
+        peers: The message transport between daemons.
+        searchers: The client of the searchers.
     """
 
     store: store_api.Store
@@ -70,10 +69,13 @@
 
 
 class Daemon:
-    """A daemon's controllers, joined.
+    """The connected controllers of a daemon.
 
     Attributes:
-        board: The state that they share.
+        board: The state that the controllers share.
+        coordinator: Runs the requests that this VM accepts.
+        membership: Tracks the other VMs.
+        owner: Calls the searchers that this VM owns.
     """
 
     __slots__ = (
@@ -94,7 +96,7 @@
     )
 
     def __init__(self, board: blackboard.Blackboard, ports: Ports) -> None:
-        """Makes the controllers; see `make`."""
+        """Creates and connects the controllers; see `make`."""
         rng = random.Random(f"{board.settings.vm}/{board.incarnation}")
         self.board = board
         self._ports = ports
@@ -113,13 +115,13 @@
         self._serving = serving.make(board)
         self._caller_api = caller_api.make(board, self.coordinator, rng)
         self._resource_api = resource_api.make(board, self._configuration)
-        self._inbox = inbox.Inbox(board, self._make_receivers())
+        self._inbox = inbox.Inbox(board, self._make_message_handlers())
         self._outbox.local = self._inbox.receive_one
         self.membership.on_owners = self.owner.update_ownership
-        self._configuration.on_change = self._follow_configuration
+        self._configuration.on_change = self._apply_configuration
 
-    def _make_receivers(self) -> inbox.Receivers:
-        """Returns who takes which message."""
+    def _make_message_handlers(self) -> inbox.Receivers:
+        """Returns the handler of each message type."""
         return inbox.Receivers(
             by_type={
                 messages.QueryBatch: self.owner.receive_batch,
@@ -141,20 +143,20 @@
             envelope=self.membership.receive_envelope,
         )
 
-    def _follow_configuration(self) -> None:
-        """Lets a new configuration come into force in every controller."""
+    def _apply_configuration(self) -> None:
+        """Applies a new configuration in the controllers that depend on it."""
         self.membership.update()
         self.owner.update_ownership()
         self._serving.update()
 
     async def start(self, server: web_server.Server) -> None:
-        """Starts everything.
+        """Starts the ports, the HTTP server and the controllers' loops.
 
         Args:
             server: The HTTP server, whose handler is `handle`.
 
         Raises:
-            OSError: An address can't be listened on.
+            OSError: The daemon can't listen on an address.
         """
         loop = asyncio.get_running_loop()
         self._server = server
@@ -179,33 +181,33 @@
                 return await self._resource_api.handle(request)
             return await self._caller_api.handle(request)
         except Exception:
-            _logger.exception("a request failed")
+            _logger.exception("unhandled exception in a request handler")
             failure = errors.Failure(errors.Kind.INTERNAL)
             return answers.make_error(failure)
 
-    async def stop(self, cutting: asyncio.Event) -> int:
+    async def stop(self, aborting: asyncio.Event) -> int:
         """Stops gracefully.
 
         Args:
-            cutting: Set once running work is to be cut.
+            aborting: Set it to abort the requests that are still running.
 
         Returns:
-            How many requests were cut.
+            The number of aborted requests.
         """
         assert self._server is not None
         stopping = shutdown.make(
             self.board,
             self.membership,
             self.owner,
-            _RunsAndRecords(self.coordinator, self._records),
+            _DrainSequence(self.coordinator, self._records),
             self._server,
         )
-        cut = await stopping.run(cutting)
+        aborted = await stopping.run(aborting)
         await self.kill()
-        return cut
+        return aborted
 
     async def kill(self) -> None:
-        """Ends every loop at once and closes the ports."""
+        """Cancels the controllers' loops immediately and closes the ports."""
         for task in self._tasks:
             task.cancel()
         if self._tasks:
@@ -214,45 +216,52 @@
             await getattr(self._ports, port.name).close()
 
 
-class _RunsAndRecords:
-    """Drains first what may not be repeated, then the records.
+class _DrainSequence:
+    """Drains the coordinator first, then the idempotency records.
 
-    A run whose caller has gone has no HTTP request any more that the server
-    would wait for, and its record can be written only after its end.
+    If a caller disconnects while its non-idempotent request is running, no
+    HTTP request is left for the server to wait for, so the coordinator must
+    be drained separately. The record of such a run can be written only after
+    the run has ended.
     """
 
     __slots__ = ("_coordinator", "_records")
 
     def __init__(
-        self, runs: coordinator.Coordinator, records: idempotency.Records
+        self,
+        request_coordinator: coordinator.Coordinator,
+        records: idempotency.Records,
     ) -> None:
-        """Makes a drain of both."""
-        self._coordinator = runs
+        """Initializes the drain of both."""
+        self._coordinator = request_coordinator
         self._records = records
 
     async def drain(self, limit_s: float) -> None:
-        """Waits for both, within a limit in seconds."""
+        """Drains both within a shared time limit in seconds."""
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + limit_s
+        deadline_s = loop.time() + limit_s
         await self._coordinator.drain(limit_s)
-        await self._records.drain(max(0.0, end_s - loop.time()))
+        await self._records.drain(max(0.0, deadline_s - loop.time()))
 
 
 async def _keep_running(
     name: str, run: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
-    """Runs a controller's loop; after a bug in it, logs and runs it again.
+    """Runs a controller's loop and restarts it after an unhandled exception.
 
-    A bug that one message triggers reaches all VMs. If it ended the process,
-    the whole tier would be gone at once, so the loop begins anew instead.
+    A message that triggers a bug may reach all VMs. If the exception ended
+    the process, all daemons of the tier could exit at the same time;
+    therefore it is logged and the loop restarts after `RESTART_DELAY_S`.
     """
     while True:
         try:
             await run()
             return
         except Exception:
-            _logger.exception("the {} controller failed", name)
-        await asyncio.sleep(RESTART_S)
+            _logger.exception(
+                "the {} controller failed; restarting its loop", name
+            )
+        await asyncio.sleep(RESTART_DELAY_S)
 
 
 def make(
@@ -262,14 +271,18 @@
     counters: metrics.Metrics,
     ports: Ports,
 ) -> Daemon:
-    """Makes a daemon that has not started.
+    """Creates a daemon without starting it.
 
     Args:
-        daemon_settings: The checked settings.
-        incarnation: Higher than any earlier process's on this VM.
-        timeline: Where its events go.
-        counters: Its metrics.
-        ports: Its ports.
+        daemon_settings: The validated settings.
+        incarnation: The start number of this process; must be higher than
+            that of every earlier process on this VM.
+        timeline: Records the daemon's events.
+        counters: The daemon's metrics.
+        ports: The daemon's ports.
+
+    Returns:
+        The daemon.
     """
     board = blackboard.Blackboard(
         daemon_settings, incarnation, timeline, counters
