--- a/src/azureramp/invariants/answers.py
+++ b/src/azureramp/invariants/answers.py
@@ -1,4 +1,4 @@
-"""Checks of what callers get: snapshot, coverage, wholeness, truth."""
+"""Checks of answers: snapshot, coverage, completeness and execution."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from azureramp.invariants import history
 
 COVERAGE_TOLERANCE = 1e-6
-"""A stated coverage may be lower than the true one by rounding only."""
+"""Maximum rounding error by which a stated coverage may be too low."""
 
 
-def check_snapshot(past: history.History) -> Iterator[history.Violation]:
-    """Every answer reflects one snapshot of the index."""
-    merged = _collect_merged(past)
-    for record, answer in _get_answers(past):
+def check_snapshot(run_history: history.History) -> Iterator[history.Violation]:
+    """Checks that each answer reflects a single snapshot of the index."""
+    merged = _collect_merged(run_history)
+    for record, answer in _get_answers(run_history):
         if answer.code != "ok":
-            # A refusal has no version, whatever arrived before it.
+            # A refusal states no version, even if sub-requests were merged.
             continue
         for part in merged.get(answer.request_id, ()):
             if part.version != answer.version:
@@ -28,7 +28,7 @@
                     f"request {answer.request_id} states version "
                     f"{answer.version} and merged version {part.version}",
                 )
-    for got in past.received:
+    for got in run_history.received:
         if got.code == "ok" and len(set(got.item_tags)) > 1:
             yield history.Violation(
                 "snapshot",
@@ -38,54 +38,56 @@
             )
 
 
-def check_coverage(past: history.History) -> Iterator[history.Violation]:
-    """Every answer states truly how much of the data it covers."""
-    merged = _collect_merged(past)
+def check_coverage(run_history: history.History) -> Iterator[history.Violation]:
+    """Checks that each answer states its coverage of the data correctly."""
+    merged = _collect_merged(run_history)
     indexes = {
         record.event.request_id: record.event.index
-        for record in past.records
+        for record in run_history.records
         if isinstance(record.event, events.RequestAdmitted)
     }
-    for record, answer in _get_answers(past):
+    for record, answer in _get_answers(run_history):
         if answer.code != "ok" or answer.idempotency_key:
             continue
         name = f"{indexes.get(answer.request_id, '')}.{answer.version}"
-        shard_map = past.shard_maps.get(name)
+        shard_map = run_history.shard_maps.get(name)
         if shard_map is None:
             continue
         ranges = {
             (part.low, part.high) for part in merged.get(answer.request_id, ())
         }
-        held = compute_coverage(shard_map, ranges)
-        if not 0 <= held - answer.coverage <= COVERAGE_TOLERANCE:
+        covered = compute_coverage(shard_map, ranges)
+        if not 0 <= covered - answer.coverage <= COVERAGE_TOLERANCE:
             yield history.Violation(
                 "coverage",
                 record.monotonic_s,
                 f"request {answer.request_id} states {answer.coverage} and "
-                f"holds {float(held)}",
+                f"covers {float(covered)}",
             )
 
 
-def check_whole_answer(past: history.History) -> Iterator[history.Violation]:
-    """Each caller receives the whole answer to its own request."""
-    for got in past.received:
+def check_whole_answer(
+    run_history: history.History,
+) -> Iterator[history.Violation]:
+    """Checks that each caller receives the full answer to its own request."""
+    for got in run_history.received:
         if got.code != "ok" or not got.wanted:
             continue
         name = f"{got.wanted}@{got.version}"
         expected = {
             key
-            for key in past.keys_by_tag.get(name, ())
+            for key in run_history.keys_by_tag.get(name, ())
             if not any(low <= key < high for low, high in got.missing)
         }
         if any(tag != name for tag in got.item_tags):
             words = f"has items of {sorted(set(got.item_tags))}"
         elif len(got.item_keys) != len(set(got.item_keys)):
-            words = "has an item twice"
+            words = "has duplicate items"
         elif set(got.item_keys) != expected:
-            odd = sorted(set(got.item_keys) ^ expected)[:5]
-            words = f"differs from its ranges in the keys {odd}"
+            differing = sorted(set(got.item_keys) ^ expected)[:5]
+            words = f"does not match its ranges in the keys {differing}"
         elif got.complete != (not got.missing):
-            words = f"says complete={got.complete}, missing {got.missing}"
+            words = f"states complete={got.complete}, missing {got.missing}"
         else:
             continue
         yield history.Violation(
@@ -93,15 +95,16 @@
         )
 
 
-def check_not_run(past: history.History) -> Iterator[history.Violation]:
-    """A refusal saying "not run" is true, also of what came later."""
-    arrived = {arrival.request_id for arrival in past.arrivals}
+def check_not_run(run_history: history.History) -> Iterator[history.Violation]:
+    """Checks that a request refused as `not_run` never ran, before or after."""
+    arrived = {arrival.request_id for arrival in run_history.arrivals}
     dispatched = {
         record.event.request_id
-        for record in past.records
-        if isinstance(record.event, events.PartDispatched) and not past.arrivals
+        for record in run_history.records
+        if isinstance(record.event, events.PartDispatched)
+        and not run_history.arrivals
     }
-    for got in past.received:
+    for got in run_history.received:
         if got.ran == "not_run" and got.request_id in arrived | dispatched:
             yield history.Violation(
                 "not_run",
@@ -111,52 +114,59 @@
             )
 
 
-def check_at_most_once(past: history.History) -> Iterator[history.Violation]:
-    """A request that may not be repeated runs at most once."""
+def check_at_most_once(
+    run_history: history.History,
+) -> Iterator[history.Violation]:
+    """Checks that a non-idempotent request runs at most once."""
     runs = collections.Counter(
         arrival.idempotency_key
-        for arrival in past.arrivals
+        for arrival in run_history.arrivals
         if arrival.idempotency_key
     )
     for key, count in runs.items():
         if count > 1:
             yield history.Violation(
-                "at_most_once", past.end_s, f"key {key} ran {count} times"
+                "at_most_once",
+                run_history.end_s,
+                f"key {key} ran {count} times",
             )
 
 
 def compute_coverage(
     shard_map: resources.ShardMap, ranges: set[tuple[int, int]]
 ) -> fractions.Fraction:
-    """Returns the share of documents whose shards' ranges were merged."""
+    """Returns the fraction of documents in shards whose range was merged."""
     total = sum(shard.size for shard in shard_map.shards)
-    held = sum(
+    covered = sum(
         shard.size
         for shard in shard_map.shards
         if (shard.low, shard.high) in ranges
     )
-    return fractions.Fraction(held, total) if total else fractions.Fraction(1)
+    return (
+        fractions.Fraction(covered, total) if total else fractions.Fraction(1)
+    )
 
 
 def _get_answers(
-    past: history.History,
+    run_history: history.History,
 ) -> Iterator[tuple[timelines.Record, events.RequestAnswered]]:
-    """Yields the answers to queries, with their records."""
-    for record in past.records:
+    """Yields each record of an answered request with its event."""
+    for record in run_history.records:
         if isinstance(record.event, events.RequestAnswered):
             yield record, record.event
 
 
 def _collect_merged(
-    past: history.History,
+    run_history: history.History,
 ) -> dict[str, list[events.PartEnded]]:
-    """Returns the merged parts of each request, since its last pinning.
+    """Returns the sub-requests merged since each request was last pinned.
 
-    A query whose index version went is pinned once more; what was merged
-    before then is thrown away by the coordinator, and so here.
+    If the index version of a query disappears, the query is pinned again to
+    another version. The coordinator discards the results merged before that,
+    and so does this function.
     """
     merged: dict[str, list[events.PartEnded]] = {}
-    for record in past.records:
+    for record in run_history.records:
         match record.event:
             case events.RequestAdmitted(request_id=request_id):
                 merged[request_id] = []
--- a/src/azureramp/invariants/checker.py
+++ b/src/azureramp/invariants/checker.py
@@ -1,4 +1,4 @@
-"""All checks, by the names of the promises."""
+"""All checks, by the name of their invariant."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
     "graceful_stop": control.check_graceful_stop,
     "configuration": control.check_configuration,
 }
-"""The ten promises of the brief, in its order."""
+"""The check of each of the ten invariants, by name."""
 
 
-def check(past: history.History) -> list[history.Violation]:
-    """Checks every promise.
+def check(run_history: history.History) -> list[history.Violation]:
+    """Checks every invariant.
 
     Args:
-        past: What happened.
+        run_history: The history of a run.
 
     Returns:
-        The violations, by time.
+        The violations, sorted by time.
     """
     found = [
         violation
         for check_one in INVARIANTS.values()
-        for violation in check_one(past)
+        for violation in check_one(run_history)
     ]
     found.sort(key=lambda violation: violation.at_s)
     return found
