--- a/src/azureramp/invariants/control.py
+++ b/src/azureramp/invariants/control.py
@@ -1,4 +1,4 @@
-"""Checks of what is agreed: configuration and planned stops."""
+"""Checks of planned stops and of configuration changes."""
 
 from __future__ import annotations
 
@@ -9,36 +9,38 @@
 
 
 def check_graceful_stop(
-    past: history.History,
+    run_history: history.History,
 ) -> Iterator[history.Violation]:
-    """Every planned stop cuts off no request."""
-    for stop in past.stops:
+    """Checks that a planned stop aborts no request."""
+    for stop in run_history.stops:
         if stop.limit_reached:
             continue
-        for got in past.received:
+        for got in run_history.received:
             if got.vm != stop.vm or got.answered or not got.connected:
                 continue
             if got.sent_s < stop.ended_s and got.got_s >= stop.began_s:
                 yield history.Violation(
                     "graceful_stop",
                     got.got_s,
-                    f"{stop.vm} cut a request sent at {got.sent_s:.3f} s "
-                    f"while it stopped",
+                    f"{stop.vm} aborted a request sent at {got.sent_s:.3f} s "
+                    f"while stopping",
                 )
 
 
 def check_configuration(
-    past: history.History,
+    run_history: history.History,
 ) -> Iterator[history.Violation]:
-    """An accepted configuration is soon in force and never reverts."""
-    yield from _check_no_revert(past)
-    yield from _check_in_force(past)
+    """Checks that accepted revisions come into force in time and stay so."""
+    yield from _check_no_revert(run_history)
+    yield from _check_in_force(run_history)
 
 
-def _check_no_revert(past: history.History) -> Iterator[history.Violation]:
-    """Yields each step back of a process's revision."""
+def _check_no_revert(
+    run_history: history.History,
+) -> Iterator[history.Violation]:
+    """Yields a violation each time a process applies an older revision."""
     newest: dict[str, int] = {}
-    for record in past.records:
+    for record in run_history.records:
         match record.event:
             case events.ProcessStarted():
                 newest[record.vm] = 0
@@ -48,22 +50,25 @@
                     yield history.Violation(
                         "configuration",
                         record.monotonic_s,
-                        f"{record.vm} went back from revision {before} to "
+                        f"{record.vm} reverted from revision {before} to "
                         f"{revision}",
                     )
                 newest[record.vm] = max(before, revision)
 
 
-def _check_in_force(past: history.History) -> Iterator[history.Violation]:
-    """Yields requests admitted on a revision that should be replaced.
+def _check_in_force(
+    run_history: history.History,
+) -> Iterator[history.Violation]:
+    """Yields a violation for each request admitted on an outdated revision.
 
-    A VM that can't have the newest configuration must not take work, so
-    what counts is the work: after the bound no VM admits a request while an
-    older revision is in force there.
+    A VM that can't receive the newest configuration must not take work.
+    Therefore the check looks at admitted requests: once the bound
+    `in_force_s` has passed since a revision was accepted, no VM may admit a
+    request with an older revision in force.
     """
     accepted: list[tuple[float, int]] = []
     newest: dict[str, int] = {}
-    for record in past.records:
+    for record in run_history.records:
         match record.event:
             case events.ProcessStarted():
                 newest[record.vm] = 0
@@ -72,13 +77,13 @@
             case events.ConfigurationAccepted(revision=revision):
                 accepted.append((record.monotonic_s, revision))
             case events.RequestAdmitted(request_id=request_id):
-                latest_s = record.monotonic_s - past.bounds.in_force_s
-                due = [r for at_s, r in accepted if at_s < latest_s]
-                has = newest.get(record.vm, 0)
-                if due and has < max(due):
+                latest_s = record.monotonic_s - run_history.bounds.in_force_s
+                overdue = [r for at_s, r in accepted if at_s < latest_s]
+                in_force = newest.get(record.vm, 0)
+                if overdue and in_force < max(overdue):
                     yield history.Violation(
                         "configuration",
                         record.monotonic_s,
                         f"{record.vm} admitted {request_id} on revision "
-                        f"{has}, but {max(due)} was accepted",
+                        f"{in_force}, but {max(overdue)} was accepted",
                     )
