--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -1,4 +1,4 @@
-"""What happened: the input of every check."""
+"""The history of a run, which is the input of every check."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Arrival:
-    """A backend server took a request, as it saw it itself.
+    """A request received by a backend server, as the server recorded it.
 
     Attributes:
-        at_s: When, on the clock that all of the history shares.
-        request_id: The caller's request.
-        searcher: The searcher.
-        server: Its backend server.
+        at_s: The time of arrival, in seconds on the clock shared by the whole
+            history.
+        request_id: The id of the caller's request.
+        searcher: The searcher that received it.
+        server: The searcher's backend server.
         zone: The backend server's availability zone.
-        version: The index version asked for.
-        in_use: Requests in it, this one included.
-        cold_limit: Its bound while cold; None while it is warm, and from
-            turning cold without a word to its first sign of that: before it
-            nobody else can know.
-        idempotency_key: The key of a request that may not be repeated.
-        is_probe: True for a read of its health, which is no work.
+        version: The requested index version.
+        in_use: Number of requests running on the searcher, including this
+            one.
+        cold_limit: The maximum of `in_use` during a cold start. None while
+            the searcher is warm. Also None from an unannounced cold start
+            until the searcher first reports it, since no other process can
+            know of it before.
+        idempotency_key: The key of a non-idempotent request, else empty.
+        is_probe: True for a health check, which is not work.
     """
 
     at_s: float
@@ -40,26 +43,27 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Received:
-    """What a caller got for one request, or that it got nothing.
+    """The outcome of one request as seen by its caller.
 
     Attributes:
-        sent_s: When the request was sent.
-        got_s: When the answer was there, or the connection ended.
-        vm: The VM that it was sent to.
-        answered: False if the connection ended without a whole answer.
+        sent_s: The time at which the request was sent, in seconds.
+        got_s: The time at which the answer was complete or the connection
+            ended, in seconds.
+        vm: The VM that the request was sent to.
+        answered: False if the connection ended before a complete answer.
         code: `ok`, or the code of the error kind; empty if not answered.
         ran: `ran`, `not_run` or `unknown`; empty if not answered.
-        request_id: As the answer states it.
-        idempotency_key: As the request stated it.
-        version: The stated index version.
-        coverage: The stated coverage.
-        complete: Whether the answer says that it is complete.
-        missing: The stated missing ranges.
+        request_id: The request id in the answer.
+        idempotency_key: The idempotency key of the request.
+        version: The index version in the answer.
+        coverage: The coverage in the answer.
+        complete: Whether the answer is marked as complete.
+        missing: The missing ranges in the answer.
         item_keys: The keys of the items.
-        wanted: What the request asked for, as `item_tag` of each item.
-        item_tags: The tag of each item, which names query and version.
-        connected: False if not even a connection could be opened, so that
-            nothing was cut.
+        wanted: The query part of the tag that each item should have.
+        item_tags: The tag of each item: query and index version.
+        connected: False if no connection could be opened, so that no request
+            was aborted.
     """
 
     sent_s: float
@@ -85,10 +89,10 @@
     """A planned stop of a VM.
 
     Attributes:
-        vm: The VM.
-        began_s: When it was told to stop.
-        ended_s: When its process was gone.
-        limit_reached: True if it said that it cut work.
+        vm: The name of the VM.
+        began_s: The time of the request to stop, in seconds.
+        ended_s: The time at which its process had exited, in seconds.
+        limit_reached: True if the VM reported that it aborted requests.
     """
 
     vm: str
@@ -99,14 +103,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Bounds:
-    """The stated bounds.
+    """Time bounds of the invariants, in seconds.
 
     Attributes:
-        zone_out_s: From the acceptance of a zone's leaving to the last new
-            work there.
-        server_leaving_s: The same for a backend server.
-        in_force_s: From acceptance to being in force on every VM that takes
-            work.
+        zone_out_s: Maximum time from the acceptance of a zone's removal from
+            service until the zone receives no new work.
+        server_leaving_s: The same for the removal of a backend server.
+        in_force_s: Maximum time from the acceptance of a configuration until
+            it is in force on every VM that takes work.
     """
 
     zone_out_s: float = 3.0
@@ -116,17 +120,19 @@
 
 @dataclasses.dataclass(slots=True)
 class History:
-    """Everything that happened in one run.
+    """Everything that was recorded in one run.
 
     Attributes:
         records: The events of all processes, merged.
-        arrivals: What the backend servers saw; empty if not known.
-        received: What the callers got; empty if not known.
+        arrivals: The requests received by backend servers; empty if not
+            recorded.
+        received: The outcomes of the callers' requests; empty if not
+            recorded.
         stops: The planned stops.
-        shard_maps: Every shard map that was ever declared, by its name.
-        keys_by_tag: For each item tag, the keys that a complete answer has.
-        end_s: When the run ended.
-        bounds: The stated bounds.
+        shard_maps: All shard maps that existed during the run, by name.
+        keys_by_tag: The keys of a complete answer, by item tag.
+        end_s: The time at which the run ended, in seconds.
+        bounds: The time bounds of the invariants.
     """
 
     records: list[timelines.Record] = dataclasses.field(default_factory=list)
@@ -145,12 +151,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Violation:
-    """One promise broken once.
+    """One violation of an invariant.
 
     Attributes:
-        invariant: The promise's name, see `checker.INVARIANTS`.
-        at_s: When it showed.
-        words: What was wrong, with the names of what it concerns.
+        invariant: The name of the invariant; see `checker.INVARIANTS`.
+        at_s: The time of the violation, in seconds.
+        words: A description that names the objects concerned.
     """
 
     invariant: str
