--- a/tests/invariants/__init__.py
+++ b/tests/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the checker."""
+"""Tests of the invariant checker."""
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -1,4 +1,4 @@
-"""Each promise, broken on purpose, turns the checker red."""
+"""Tests that the checker detects a violation of each invariant."""
 
 from __future__ import annotations
 
@@ -62,11 +62,13 @@
     )
 
 
-def make_past(*timed: tuple[float, events.AnyEvent]) -> history.History:
-    """Makes a history of one VM's events at the given times."""
+def make_history(
+    *timed_events: tuple[float, events.AnyEvent],
+) -> history.History:
+    """Makes a history of one VM's events at given times, in seconds."""
     now = [0.0]
     timeline = timelines.Timeline("vm-1", wall=lambda: now[0])
-    for at_s, event in timed:
+    for at_s, event in timed_events:
         now[0] = at_s
         timeline.record(event, at_s)
     return history.History(
@@ -103,8 +105,8 @@
     return history.Received(**values)  # type: ignore[arg-type]
 
 
-def break_snapshot() -> history.History:
-    return make_past(
+def violate_snapshot() -> history.History:
+    return make_history(
         (0, ADMITTED),
         (1, make_part(0, 10)),
         (2, make_part(10, 30, version=2)),
@@ -112,137 +114,139 @@
     )
 
 
-def break_coverage() -> history.History:
-    return make_past(
+def violate_coverage() -> history.History:
+    return make_history(
         (0, ADMITTED), (1, make_part(0, 10)), (2, make_answer(0.5))
     )
 
 
-def break_cold_start() -> history.History:
-    past = make_past()
-    past.arrivals.append(make_arrival(1.0, in_use=2, cold_limit=1))
-    return past
+def violate_cold_start() -> history.History:
+    run_history = make_history()
+    run_history.arrivals.append(make_arrival(1.0, in_use=2, cold_limit=1))
+    return run_history
 
 
-def break_zone_out() -> history.History:
-    past = make_past(
+def violate_zone_out() -> history.History:
+    run_history = make_history(
         (1, make_zone_change(5, "a")), (1, accept("availability_zone", "a", 5))
     )
-    past.arrivals.append(make_arrival(4.5))
-    return past
+    run_history.arrivals.append(make_arrival(4.5))
+    return run_history
 
 
-def break_whole_answer() -> history.History:
-    past = make_past()
-    past.keys_by_tag["q@1"] = (1, 2, 3)
-    past.received.append(
+def violate_whole_answer() -> history.History:
+    run_history = make_history()
+    run_history.keys_by_tag["q@1"] = (1, 2, 3)
+    run_history.received.append(
         make_received(
             wanted="q", complete=True, item_keys=(1, 2), item_tags=("q@1",) * 2
         )
     )
-    return past
+    return run_history
 
 
-def break_not_run() -> history.History:
-    past = make_past()
-    past.arrivals.append(make_arrival(5.0))
-    past.received.append(make_received(code="overloaded", ran="not_run"))
-    return past
+def violate_not_run() -> history.History:
+    run_history = make_history()
+    run_history.arrivals.append(make_arrival(5.0))
+    run_history.received.append(make_received(code="overloaded", ran="not_run"))
+    return run_history
 
 
-def break_at_most_once() -> history.History:
-    past = make_past()
-    past.arrivals.append(make_arrival(1.0, idempotency_key="k"))
-    past.arrivals.append(make_arrival(9.0, idempotency_key="k"))
-    return past
+def violate_at_most_once() -> history.History:
+    run_history = make_history()
+    run_history.arrivals.append(make_arrival(1.0, idempotency_key="k"))
+    run_history.arrivals.append(make_arrival(9.0, idempotency_key="k"))
+    return run_history
 
 
-def break_server_leaving() -> history.History:
-    past = make_past(
+def violate_server_leaving() -> history.History:
+    run_history = make_history(
         (1, make_zone_change(5, "a")),
         (1, accept("backend_server", "server-a", 5)),
     )
-    past.arrivals.append(make_arrival(4.5))
-    return past
+    run_history.arrivals.append(make_arrival(4.5))
+    return run_history
 
 
-def break_graceful_stop() -> history.History:
-    past = make_past()
-    past.stops.append(history.Stop("vm-1", began_s=1.5, ended_s=3.0))
-    past.received.append(make_received(answered=False, code="", ran=""))
-    return past
+def violate_graceful_stop() -> history.History:
+    run_history = make_history()
+    run_history.stops.append(history.Stop("vm-1", began_s=1.5, ended_s=3.0))
+    run_history.received.append(make_received(answered=False, code="", ran=""))
+    return run_history
 
 
-def break_configuration() -> history.History:
-    return make_past((1, make_zone_change(5)), (2, make_zone_change(4)))
+def violate_configuration() -> history.History:
+    return make_history((1, make_zone_change(5)), (2, make_zone_change(4)))
 
 
-BREAKS = {
-    "snapshot": break_snapshot,
-    "coverage": break_coverage,
-    "cold_start": break_cold_start,
-    "zone_out": break_zone_out,
-    "whole_answer": break_whole_answer,
-    "not_run": break_not_run,
-    "at_most_once": break_at_most_once,
-    "server_leaving": break_server_leaving,
-    "graceful_stop": break_graceful_stop,
-    "configuration": break_configuration,
+VIOLATING_HISTORIES = {
+    "snapshot": violate_snapshot,
+    "coverage": violate_coverage,
+    "cold_start": violate_cold_start,
+    "zone_out": violate_zone_out,
+    "whole_answer": violate_whole_answer,
+    "not_run": violate_not_run,
+    "at_most_once": violate_at_most_once,
+    "server_leaving": violate_server_leaving,
+    "graceful_stop": violate_graceful_stop,
+    "configuration": violate_configuration,
 }
 
 
-def test_there_is_a_break_for_each_invariant() -> None:
-    assert list(BREAKS) == list(checker.INVARIANTS)
+def test_each_invariant_has_a_violating_history() -> None:
+    assert list(VIOLATING_HISTORIES) == list(checker.INVARIANTS)
 
 
 @pytest.mark.parametrize("name", checker.INVARIANTS)
-def test_a_broken_promise_is_found_and_no_other(name: str) -> None:
-    found = checker.check(BREAKS[name]())
+def test_only_the_violated_invariant_is_reported(name: str) -> None:
+    found = checker.check(VIOLATING_HISTORIES[name]())
 
     assert {violation.invariant for violation in found} == {name}
 
 
-def test_a_vm_that_admits_work_on_an_old_revision_is_found() -> None:
-    past = make_past(
+def test_request_admitted_on_outdated_revision_is_reported() -> None:
+    run_history = make_history(
         (1, make_zone_change(4)),
         (2, accept("availability_zone", "a", 5)),
         (6, ADMITTED),
     )
 
-    assert [v.invariant for v in checker.check(past)] == ["configuration"]
+    assert [v.invariant for v in checker.check(run_history)] == [
+        "configuration"
+    ]
 
 
-def test_a_zone_that_came_back_may_have_work() -> None:
-    past = make_past(
+def test_zone_back_in_service_may_receive_work() -> None:
+    run_history = make_history(
         (1, make_zone_change(5, "a")),
         (1, accept("availability_zone", "a", 5)),
         (9, make_zone_change(6)),
     )
-    past.arrivals.append(make_arrival(9.5))
+    run_history.arrivals.append(make_arrival(9.5))
 
-    assert checker.check(past) == []
+    assert checker.check(run_history) == []
 
 
-def test_a_change_accepted_after_the_zone_is_back_says_nothing() -> None:
-    past = make_past(
+def test_change_accepted_after_zone_is_back_is_ignored() -> None:
+    run_history = make_history(
         (1, make_zone_change(5, "a")),
         (2, make_zone_change(6)),
         (3, accept("availability_zone", "a", 5)),
     )
-    past.arrivals.append(make_arrival(9.5))
+    run_history.arrivals.append(make_arrival(9.5))
 
-    assert checker.check(past) == []
+    assert checker.check(run_history) == []
 
 
-def test_a_good_run_has_no_violation() -> None:
-    past = make_past(
+def test_correct_run_has_no_violation() -> None:
+    run_history = make_history(
         (0, ADMITTED),
         (1, make_part(0, 10)),
         (2, make_part(10, 30)),
         (3, make_answer(1.0)),
     )
-    past.keys_by_tag["q@1"] = (1, 2)
-    past.received.append(
+    run_history.keys_by_tag["q@1"] = (1, 2)
+    run_history.received.append(
         make_received(
             wanted="q",
             complete=True,
@@ -252,4 +256,4 @@
         )
     )
 
-    assert checker.check(past) == []
+    assert checker.check(run_history) == []
