--- a/tests/cluster/__init__.py
+++ b/tests/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of whole VMs in memory."""
+"""Tests of several VMs that run in one process."""
--- a/tests/cluster/test_rolling_restart.py
+++ b/tests/cluster/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""All VMs are replaced again and again while callers go on."""
+"""Tests of repeated rolling restarts under load, in one process."""
 
 from __future__ import annotations
 
@@ -12,65 +12,72 @@
 from azureramp_standins import cluster, virtual
 from tests.cluster import callers
 
-ROLLS = 10
-"""Rolling restarts of all VMs in one run; five runs make fifty."""
+RESTARTS = 10
+"""Number of rolling restarts of all VMs in one run; five seeds make 50."""
 
-CALLERS = ("desk", "ledger", "statements")
+CALLER_NAMES = ("desk", "ledger", "statements")
 QUERY = {
     "service": "claims",
     "index": "claims",
     "query": {"text": "Dundee"},
     "deadline_ms": 1000,
 }
-LIFETIME_MS = 1000
+ADDRESS_LIFETIME_MS = 1000
 SERVICE_MS = 60.0
-"""Long, so that requests run at each moment of a stop."""
+"""Service time in ms; long, so that requests run throughout each stop."""
 
 
-async def replace(deployment: cluster.Cluster, name: str) -> None:
-    """Stops a VM gracefully and starts it anew, as operators do."""
+async def restart(deployment: cluster.Cluster, name: str) -> None:
+    """Stops a VM gracefully, starts it again and waits until it is ready."""
     assert await deployment.stop_vm(name) == 0
     await deployment.start_vm(name)
     await deployment.wait_until_ready()
 
 
-async def roll(seed: int) -> tuple[collections.Counter[str], history.History]:
+async def run_restarts(
+    seed: int,
+) -> tuple[collections.Counter[str], history.History]:
     deployment = cluster.make(
         seed=seed,
         service_ms=SERVICE_MS,
-        address_lifetime_ms=LIFETIME_MS,
+        address_lifetime_ms=ADDRESS_LIFETIME_MS,
         list_lag_ms=500,
     )
     await deployment.start()
     addresses = [vm.entry.http_address for vm in deployment.vms.values()]
-    made = [callers.Caller(name, list(addresses), QUERY) for name in CALLERS]
+    all_callers = [
+        callers.Caller(name, list(addresses), QUERY) for name in CALLER_NAMES
+    ]
     rng = random.Random(seed)
-    tasks = [asyncio.create_task(caller.run(rng)) for caller in made]
-    for _ in range(ROLLS):
+    tasks = [asyncio.create_task(caller.run(rng)) for caller in all_callers]
+    for _ in range(RESTARTS):
         for name in deployment.vms:
-            await replace(deployment, name)
+            await restart(deployment, name)
     for task in tasks:
         task.cancel()
     await asyncio.wait(tasks)
-    for caller in made:
+    for caller in all_callers:
         caller.close()
     await asyncio.sleep(0.1)
-    ended = sum((c.ended for c in made), collections.Counter[str]())
-    return ended, await deployment.close()
+    outcomes = sum(
+        (c.outcomes for c in all_callers), collections.Counter[str]()
+    )
+    return outcomes, await deployment.close()
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_ten_rolling_restarts_cut_no_request(seed: int) -> None:
-    """Operators replace all VMs, one after another, ten times over.
+def test_ten_rolling_restarts_abort_no_request(seed: int) -> None:
+    """Restarts all VMs, one after another, ten times.
 
-    A request that is cut shows as a connection that ends without an answer:
-    since the VM went while it ran, or while a caller still had its address.
+    An aborted request shows as a connection that ends without an answer,
+    because the VM exited while the request was running or while a caller
+    still held its address.
     """
-    ended, past = virtual.run(roll(seed))
+    outcomes, run_history = virtual.run(run_restarts(seed))
 
-    assert ended["cut"] == 0
-    assert ended["refused"] == 0
-    assert ended["no_vm"] == 0
-    assert ended["complete"] > 40 * ROLLS
-    assert len(past.stops) == 3 * ROLLS
-    assert checker.check(past) == []
+    assert outcomes["cut"] == 0
+    assert outcomes["refused"] == 0
+    assert outcomes["no_vm"] == 0
+    assert outcomes["complete"] > 40 * RESTARTS
+    assert len(run_history.stops) == 3 * RESTARTS
+    assert checker.check(run_history) == []
--- a/tests/daemon/__init__.py
+++ b/tests/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the daemon as a process."""
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""Real daemons are replaced one after another while callers go on."""
+"""Tests of a rolling restart of daemon processes under load."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     "query": {"text": "MacAoidh"},
     "deadline_ms": 2000,
 }
-READY_S = 30.0
+READY_TIMEOUT_S = 30.0
 
 
 async def wait_until_complete(address: str) -> None:
-    """Waits until one VM itself answers a query in full."""
-    async with asyncio.timeout(READY_S):
+    """Waits until the VM at an address returns a complete answer."""
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
             opened = await web_connection.connect(address, 1.0)
             if opened.is_ok():
@@ -42,20 +42,20 @@
             await asyncio.sleep(0.1)
 
 
-async def replace_all(
+async def restart_all(
     running: deployment.Deployment,
 ) -> tuple[list[int], collections.Counter[str]]:
-    """Replaces every daemon; returns exit codes and what callers got."""
+    """Restarts every daemon under load; returns exit codes and outcomes."""
     addresses = [vm.http_address for vm in running.vms]
     for address in addresses:
         await wait_until_complete(address)
-    made = [
+    all_callers = [
         callers.Caller(deployment.CALLER_TOKEN, list(addresses), QUERY)
         for _ in range(4)
     ]
     tasks = [
         asyncio.create_task(caller.run(random.Random(number)))
-        for number, caller in enumerate(made)
+        for number, caller in enumerate(all_callers)
     ]
     codes = []
     for vm in running.vms:
@@ -67,28 +67,32 @@
     for task in tasks:
         task.cancel()
     await asyncio.wait(tasks)
-    for caller in made:
+    for caller in all_callers:
         caller.close()
-    return codes, sum((c.ended for c in made), collections.Counter[str]())
+    return codes, sum(
+        (c.outcomes for c in all_callers), collections.Counter[str]()
+    )
 
 
-def test_a_rolling_restart_of_real_daemons_cuts_no_request(
+def test_rolling_restart_of_daemon_processes_aborts_no_request(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Operators replace all daemons by SIGTERM, one after another.
+    """Restarts all daemons with SIGTERM, one after another.
 
-    Their callers keep addresses and connections; none of them may see a
-    connection end without an answer, or an address that nobody serves.
+    The callers keep their addresses and connections. No connection may end
+    without an answer, and no address may refuse a connection.
     """
     running = deployment.make(tmp_path)
     try:
         deployment.start(running)
         running.run_tool("apply", "--file", str(running.write_resources()))
-        codes, ended = asyncio.run(replace_all(running))
+        codes, outcomes = asyncio.run(restart_all(running))
     finally:
         stopped = running.stop()
 
     assert codes == [0, 0, 0]
     assert set(stopped.values()) == {0}
-    assert ended["complete"] > 50
-    assert ended["cut"] == ended["refused"] == ended["no_vm"] == 0, ended
+    assert outcomes["complete"] > 50
+    assert outcomes["cut"] == outcomes["refused"] == outcomes["no_vm"] == 0, (
+        outcomes
+    )
