--- a/tests/cluster/test_query_faults.py
+++ b/tests/cluster/test_query_faults.py
@@ -1,4 +1,4 @@
-"""Queries and orders over whole VMs whose links and index misbehave."""
+"""Tests of queries and non-idempotent requests under faults."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 from azureramp_standins import layout as layouts
 
 
-def test_doubled_and_late_messages_run_no_order_twice() -> None:
-    """Dispatchers order at once through two VMs over links that misbehave.
+def test_duplicated_and_reordered_messages_run_no_request_twice() -> None:
+    """Callers send each non-idempotent request through two VMs at once.
 
-    Every envelope comes twice and out of order, some are lost. A copy of a
-    dispatch that was refused must not run after another replica has.
+    Every envelope is delivered twice and out of order, and some are lost. A
+    duplicate of a dispatch that was refused must not run after another
+    replica has run the request.
     """
 
     async def run() -> history.History:
@@ -25,7 +26,7 @@
         faults = deployment.network.faults
         faults.doubling, faults.jitter_s, faults.loss = 1.0, 0.03, 0.02
         names = list(deployment.vms)
-        orders = [
+        executions = [
             traffic.execute(deployment, vm, f"order-{n}", key=n * 97 % 6000)
             for n in range(25)
             for vm in (names[n % 3], names[(n + 1) % 3])
@@ -34,21 +35,21 @@
             traffic.query(deployment, names[n % 3], f"stock-{n}")
             for n in range(40)
         ]
-        await asyncio.gather(*orders, *queries)
+        await asyncio.gather(*executions, *queries)
         await asyncio.sleep(5.0)
         return await deployment.close()
 
-    past = virtual.run(run())
+    run_history = virtual.run(run())
 
-    assert len(past.received) == 90
-    assert sum(got.code == "ok" for got in past.received) > 60
-    assert checker.check(past) == []
+    assert len(run_history.received) == 90
+    assert sum(got.code == "ok" for got in run_history.received) > 60
+    assert checker.check(run_history) == []
 
 
-def test_a_repartition_under_load_mixes_no_two_versions() -> None:
-    """The index is cut anew while clerks ask; some searchers are late with it.
+def test_repartition_under_load_mixes_no_index_versions() -> None:
+    """The index is repartitioned under load; searchers load it one by one.
 
-    Each answer must be of one version, and say what it lacks.
+    Each answer must come from one index version and state what is missing.
     """
 
     async def run() -> history.History:
@@ -99,17 +100,17 @@
         await asyncio.gather(*asking)
         return await deployment.close()
 
-    past = virtual.run(run())
+    run_history = virtual.run(run())
 
-    assert {got.code for got in past.received} == {"ok"}
-    assert {got.version for got in past.received} == {1, 2}
-    assert past.received[-1].version == 2
-    assert all(got.complete for got in past.received)
-    assert checker.check(past) == []
+    assert {got.code for got in run_history.received} == {"ok"}
+    assert {got.version for got in run_history.received} == {1, 2}
+    assert run_history.received[-1].version == 2
+    assert all(got.complete for got in run_history.received)
+    assert checker.check(run_history) == []
 
 
 def find_remote_key(deployment: cluster.Cluster, vm: str) -> int:
-    """Finds a key of a shard of which a VM owns no replica."""
+    """Returns a key of a shard of which a VM owns no replica."""
     daemon = deployment.vms[vm].daemon
     assert daemon is not None
     (shard_map,) = daemon.board.configuration.get_shard_maps().values()
@@ -120,11 +121,11 @@
     raise AssertionError(vm)
 
 
-def test_a_stop_waits_for_an_order_whose_caller_has_gone() -> None:
-    """A VM stops while an order runs whose dispatcher hung up.
+def test_stop_waits_for_request_of_disconnected_caller() -> None:
+    """A VM stops while the request of a disconnected caller is running.
 
-    The VM must not leave before the order's record says how it ended: a
-    retry through another VM gets that outcome.
+    The VM must not exit before the outcome is in the idempotency record,
+    since a retry through another VM must return that outcome.
     """
 
     async def run() -> tuple[history.Received, history.History]:
@@ -133,21 +134,21 @@
         )
         await deployment.start()
         key = find_remote_key(deployment, "vm-0")
-        order = asyncio.ensure_future(
+        execution = asyncio.ensure_future(
             traffic.execute(
                 deployment, "vm-0", "order-1", key=key, deadline_ms=5000
             )
         )
         await asyncio.sleep(0.2)
-        order.cancel()
+        execution.cancel()
         await deployment.stop_vm("vm-0")
         got = await traffic.execute(
             deployment, "vm-1", "order-1", key=key, deadline_ms=5000
         )
         return got, await deployment.close()
 
-    got, past = virtual.run(run())
+    got, run_history = virtual.run(run())
 
     assert got.code == "ok"
-    assert len([a for a in past.arrivals if a.idempotency_key]) == 1
-    assert checker.check(past) == []
+    assert len([a for a in run_history.arrivals if a.idempotency_key]) == 1
+    assert checker.check(run_history) == []
