--- a/tests/cluster/test_thin_path.py
+++ b/tests/cluster/test_thin_path.py
@@ -1,4 +1,4 @@
-"""A request's whole path, over several VMs in memory."""
+"""Tests of the path of a request over several VMs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from azureramp_standins import cluster, traffic, virtual
 
 
-def test_a_query_through_any_vm_is_whole() -> None:
+def test_query_through_any_vm_is_complete() -> None:
     async def run() -> tuple[list[history.Received], history.History]:
         deployment = cluster.make()
         await deployment.start()
@@ -19,13 +19,13 @@
         ]
         return got, await deployment.close()
 
-    got, past = virtual.run(run())
+    got, run_history = virtual.run(run())
 
     assert [answer.coverage for answer in got] == [1.0, 1.0, 1.0]
-    assert checker.check(past) == []
+    assert checker.check(run_history) == []
 
 
-def test_a_grant_sent_twice_through_two_vms_runs_once() -> None:
+def test_request_sent_through_two_vms_with_one_key_runs_once() -> None:
     async def run() -> tuple[list[history.Received], history.History]:
         deployment = cluster.make()
         await deployment.start()
@@ -35,15 +35,15 @@
         ]
         return got, await deployment.close()
 
-    got, past = virtual.run(run())
+    got, run_history = virtual.run(run())
 
     assert [answer.code for answer in got] == ["ok", "ok"]
-    assert len([a for a in past.arrivals if a.idempotency_key]) == 1
-    assert checker.check(past) == []
+    assert len([a for a in run_history.arrivals if a.idempotency_key]) == 1
+    assert checker.check(run_history) == []
 
 
 @pytest.mark.parametrize("vm", ["vm-0", "vm-2"])
-def test_a_zone_taken_out_gets_no_work_and_queries_go_on(vm: str) -> None:
+def test_zone_out_of_service_gets_no_work_and_queries_continue(vm: str) -> None:
     async def run() -> tuple[list[history.Received], history.History]:
         deployment = cluster.make()
         await deployment.start()
@@ -55,8 +55,8 @@
         ]
         return got, await deployment.close()
 
-    got, past = virtual.run(run())
+    got, run_history = virtual.run(run())
 
     assert {answer.code for answer in got} == {"ok"}
-    assert got[-1].got_s - got[0].sent_s > past.bounds.zone_out_s
-    assert checker.check(past) == []
+    assert got[-1].got_s - got[0].sent_s > run_history.bounds.zone_out_s
+    assert checker.check(run_history) == []
