--- a/tests/processes/__init__.py
+++ b/tests/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real processes."""
+"""Tests with processes of the real daemon."""
--- a/tests/processes/test_rolling_restart.py
+++ b/tests/processes/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""A rolling restart of real daemons under load."""
+"""Tests of a rolling restart with callers that refresh their addresses."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 @pytest.fixture
 def running(tmp_path: pathlib.Path) -> Iterator[deployment.Deployment]:
-    """A deployment with its resources in force."""
-    made = deployment.make(tmp_path)
+    """A running deployment with its resources in force."""
+    deployed = deployment.make(tmp_path)
     try:
-        deployment.start(made)
-        made.run_tool("apply", "--file", str(made.write_resources()))
-        yield made
+        deployment.start(deployed)
+        deployed.run_tool("apply", "--file", str(deployed.write_resources()))
+        yield deployed
     finally:
-        made.stop()
+        deployed.stop()
 
 
-async def query_on(
+async def send_queries(
     caller: client.Client,
     stopping: asyncio.Event,
     codes: collections.Counter[str],
 ) -> None:
-    """Sends queries until told to stop, as a caller that asks for addresses."""
+    """Sends queries until `stopping` is set; refreshes expired addresses."""
     loop = asyncio.get_running_loop()
-    until_s = 0.0
+    expires_s = 0.0
     while not stopping.is_set():
-        if loop.time() >= until_s:
-            until_s = loop.time() + await caller.refresh() / 1000
+        if loop.time() >= expires_s:
+            expires_s = loop.time() + await caller.refresh() / 1000
         response = await caller.ask(
             "POST", "/v1/query", demo.make_query("MacAoidh")
         )
@@ -44,20 +44,20 @@
         codes["complete" if complete else answer.get("code", "short")] += 1
 
 
-async def replace_all(running: deployment.Deployment) -> list[int]:
-    """Stops and starts one daemon after another; returns the exit codes."""
-    exits = []
+async def restart_all(running: deployment.Deployment) -> list[int]:
+    """Restarts the daemons one after another; returns the exit codes."""
+    exit_codes = []
     for vm in running.vms:
         daemon = running.daemons[vm.name]
         daemon.terminate()
-        exits.append(await asyncio.to_thread(daemon.wait))
+        exit_codes.append(await asyncio.to_thread(daemon.wait))
         running.start_daemon(vm)
         await wait_until_ready(running, vm.name)
-    return exits
+    return exit_codes
 
 
 async def wait_until_ready(running: deployment.Deployment, vm: str) -> None:
-    """Waits until a started daemon answers queries in full."""
+    """Waits until a started daemon returns complete answers."""
     caller = client.Client(
         deployment.CALLER_TOKEN, (running.daemons[vm].address,)
     )
@@ -71,13 +71,13 @@
                 return
 
 
-def test_a_rolling_restart_cuts_no_request(
+def test_rolling_restart_aborts_no_request(
     running: deployment.Deployment,
 ) -> None:
-    """Clerks go on querying while operators replace one VM after another.
+    """Callers continue to send queries while one VM after another restarts.
 
-    A VM that closed a connection with a request in it, or went while callers
-    still held its address, would show here as a broken connection.
+    If a VM closed a connection with a running request, or exited while
+    callers still held its address, a caller's connection would break.
     """
 
     async def run() -> tuple[list[int], collections.Counter[str]]:
@@ -87,7 +87,7 @@
         stopping = asyncio.Event()
         callers = [
             asyncio.create_task(
-                query_on(
+                send_queries(
                     client.Client(
                         deployment.CALLER_TOKEN,
                         tuple(vm.http_address for vm in running.vms),
@@ -98,12 +98,12 @@
             )
             for _ in range(3)
         ]
-        exits = await replace_all(running)
+        exit_codes = await restart_all(running)
         stopping.set()
         await asyncio.gather(*callers)
-        return exits, codes
+        return exit_codes, codes
 
-    exits, codes = asyncio.run(run())
+    exit_codes, codes = asyncio.run(run())
 
-    assert exits == [0, 0, 0]
+    assert exit_codes == [0, 0, 0]
     assert set(codes) == {"complete"}, codes
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of real daemons under faults from outside."""
+"""Tests of short soak runs: daemon processes under injected faults."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 VMS = 3
 
 
-def test_a_seed_always_gives_the_same_faults() -> None:
+def test_seed_determines_planned_faults() -> None:
     first = plan.draw(7, 20.0, 4, 22)
     assert first == plan.draw(7, 20.0, 4, 22)
     assert first != plan.draw(8, 20.0, 4, 22)
-    assert {type(each.fault) for seed in range(20) for each in _draw(seed)} == {
+    assert {
+        type(each.fault) for seed in range(20) for each in _draw_plan(seed)
+    } == {
         plan.Signalled,
         plan.LinkHarmed,
         plan.StoreHarmed,
@@ -27,20 +29,20 @@
 
 
 @pytest.mark.parametrize("seed", [13, 17])
-def test_promises_without_a_time_hold_under_faults(
+def test_invariants_without_time_bounds_hold_under_faults(
     seed: int, tmp_path: pathlib.Path
 ) -> None:
-    """Daemons are killed, paused and stopped while searchers misbehave.
+    """Daemons are killed, paused and stopped while searchers are faulty.
 
-    Seed 13 once cut a request on a connection that a stopping VM had just
-    accepted. The promises with a time bound are judged by `scripts/soak`,
-    since a busy machine breaks them by itself.
+    Seed 13 once aborted a request on a connection that a stopping VM had
+    just accepted. Invariants with time bounds are checked by `scripts/soak`
+    only, since load on the test machine alone can violate them.
     """
-    seen = asyncio.run(program.run_seed(seed, SECONDS, VMS, tmp_path))
-    assert len(seen.tries) > 100
-    assert len(seen.spans) >= 3
-    assert checks.check(seen, timed=False) == []
+    recorded = asyncio.run(program.run_seed(seed, SECONDS, VMS, tmp_path))
+    assert len(recorded.tries) > 100
+    assert len(recorded.spans) >= 3
+    assert checks.check(recorded, timed=False) == []
 
 
-def _draw(seed: int) -> tuple[plan.Planned, ...]:
+def _draw_plan(seed: int) -> tuple[plan.Planned, ...]:
     return plan.draw(seed, 20.0, 4, 22)
