--- a/tests/matrix/__init__.py
+++ b/tests/matrix/__init__.py
@@ -1,1 +1,1 @@
-"""Every fault at every step."""
+"""Tests of every fault at every step of requests, changes and restarts."""
--- a/tests/matrix/test_grid.py
+++ b/tests/matrix/test_grid.py
@@ -1,4 +1,4 @@
-"""Every fault at every step, and seeded pairs, checked by the one checker."""
+"""Tests of each fault, and of seeded pairs, at each step of the grid."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("step", steps.STEPS)
 @pytest.mark.parametrize("fault", faults.FAULTS)
-def test_every_promise_holds_through_a_fault(fault: str, step: str) -> None:
+def test_invariants_hold_under_each_fault(fault: str, step: str) -> None:
     result = cells.run((fault,), step)
 
     if (fault, step) in cells.CANNOT_OCCUR:
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(("pair", "step"), PAIRS)
-def test_every_promise_holds_through_two_faults(
+def test_invariants_hold_under_two_faults(
     pair: tuple[str, str], step: str
 ) -> None:
     result = cells.run(pair, step)
