--- a/tests/cli/__init__.py
+++ b/tests/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the command-line tool."""
