--- a/src/azureramp/cli/explain.py
+++ b/src/azureramp/cli/explain.py
@@ -60,7 +60,9 @@
     yield from _format_lines(
         "preceding log lines of the VM:", explanation.beliefs, own
     )
-    yield from _format_lines("searchers called:", explanation.states, own)
+    yield from _format_lines(
+        "preceding log lines on the called searchers:", explanation.states, own
+    )
     yield from _format_lines("crashes:", explanation.crashes, own)
     if explanation.calls:
         yield "calls, ms after the request's first byte:"
--- a/src/azureramp/cli/files.py
+++ b/src/azureramp/cli/files.py
@@ -47,8 +47,8 @@
         path: The file's path.
 
     Returns:
-        The resources in the order of the file, or an error message that
-        states the path and the number of the invalid resource.
+        The resources in the order of the file, or an error message with the
+        path and, for an invalid resource, its number in the file.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
--- a/src/azureramp/cli/options.py
+++ b/src/azureramp/cli/options.py
@@ -111,7 +111,7 @@
         return str(value)
 
 
-_OPTIONS = (
+_COMMON_OPTIONS = (
     click.option(
         "--address",
         "addresses",
@@ -161,7 +161,7 @@
         common = CommonOptions(addresses, token, language, timeout_ms / 1000)
         return command(common=common, **arguments)
 
-    for option in reversed(_OPTIONS):
+    for option in reversed(_COMMON_OPTIONS):
         run = option(run)
     return run
 
--- a/src/azureramp/cli/timeline.py
+++ b/src/azureramp/cli/timeline.py
@@ -48,8 +48,8 @@
     """The timelines of all VMs.
 
     Attributes:
-        timelines: The records of each VM that answered.
-        missing: The names of the VMs that did not answer.
+        timelines: The records of each VM, empty or partial if it is missing.
+        missing: The names of the VMs that did not answer every call.
         dropped: Number of earlier records that were dropped, by VM name; only
             VMs that dropped any.
     """
--- a/src/azureramp/cli/waiting.py
+++ b/src/azureramp/cli/waiting.py
@@ -9,7 +9,7 @@
 
 from azureramp.cli import options
 
-_OPTIONS = (
+_WAIT_OPTIONS = (
     click.option(
         "--wait/--no-wait",
         "waits",
@@ -29,6 +29,6 @@
 
 def add_wait_options(command: Callable[..., Any]) -> Callable[..., Any]:
     """Adds `--wait/--no-wait` and `--wait-ms` to a command."""
-    for option in reversed(_OPTIONS):
+    for option in reversed(_WAIT_OPTIONS):
         command = option(command)
     return command
