--- a/src/azureramp/cli/timeline.py
+++ b/src/azureramp/cli/timeline.py
@@ -1,4 +1,4 @@
-"""The command `timeline`."""
+"""The `timeline` command."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from azureramp.cli import exits, options, output, selecting
 from azureramp.controllers import resource_answers
 
-MAX_AT_ONCE = 16
-"""Most VMs that are asked at once."""
+MAX_CONCURRENT_VMS = 16
+"""Maximum number of VMs that are called concurrently."""
 
 
-class Moment(click.ParamType[Any]):
-    """A UTC time, as the timeline itself prints it."""
+class UtcTime(click.ParamType[Any]):
+    """Parameter type of a UTC time, in the format that the timeline prints."""
 
     name = "time"
-    allowed = "a UTC time in ISO 8601, as 2026-01-31T23:59:59.123Z"
+    allowed = "a UTC time in ISO 8601, such as 2026-01-31T23:59:59.123Z"
 
     def convert(
         self,
@@ -31,7 +31,7 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> float:
-        """Reads a time, in seconds since 1970."""
+        """Parses a time to seconds since 1970."""
         if isinstance(value, float):
             return value
         try:
@@ -44,13 +44,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Collected:
+class CollectedTimelines:
     """The timelines of all VMs.
 
     Attributes:
-        timelines: The records of each VM that answered.
-        missing: The VMs that did not answer.
-        dropped: How many earlier records each VM has dropped, if any.
+        timelines: The records of each VM, empty or partial if it is missing.
+        missing: The names of the VMs that did not answer every call.
+        dropped: Number of earlier records that were dropped, by VM name; only
+            VMs that dropped any.
     """
 
     timelines: list[list[timelines.Record]] = dataclasses.field(
@@ -61,24 +62,28 @@
 
 
 @click.command("timeline")
-@click.option("--request", default="", help="Only events of this request id.")
+@click.option(
+    "--request", default="", help="Only events of the request with this id."
+)
 @click.option(
     "--key", default="", help="Only requests with this idempotency key."
 )
 @click.option("--zone", default="", help="Only events that concern this zone.")
-@click.option("--since", type=Moment(), help="Only events at or after it.")
-@click.option("--until", type=Moment(), help="Only events before it.")
+@click.option(
+    "--since", type=UtcTime(), help="Only events at or after this time."
+)
+@click.option("--until", type=UtcTime(), help="Only events before this time.")
 @click.option(
     "--format",
     "form",
     type=options.Choice("text", "json"),
     default="text",
     show_default=True,
-    help="One line of text or of JSON for each event.",
+    help="Output format: one line of text or JSON per event.",
 )
-@options.add_common
+@options.add_common_options
 def command(
-    common: options.Common,
+    common: options.CommonOptions,
     request: str,
     key: str,
     zone: str,
@@ -86,21 +91,30 @@
     until: float | None,
     form: str,
 ) -> int:
-    """Prints the events of all VMs in one order that respects cause.
+    """Prints the events of all VMs in causal order.
 
-    An event that another one caused never comes before it, whatever the VMs'
-    clocks say. VMs that do not answer are named at the end.
+    An event never precedes the event that caused it, even if the clocks of
+    the VMs differ. VMs that did not answer are listed at the end.
     """
-    wanted = selecting.Wanted(request, key, zone, since, until)
+    wanted = selecting.EventFilter(request, key, zone, since, until)
     return asyncio.run(run(common, wanted, form))
 
 
 async def run(
-    common: options.Common,
-    wanted: selecting.Wanted | None = None,
+    common: options.CommonOptions,
+    wanted: selecting.EventFilter | None = None,
     form: str = "text",
 ) -> exits.Exit:
-    """Prints the wanted events in a form, `text` or `json`."""
+    """Prints the events that match the criteria.
+
+    Args:
+        common: The options shared by all commands.
+        wanted: The criteria; None matches every event.
+        form: The output format, `text` or `json`.
+
+    Returns:
+        The exit code.
+    """
     client = client_module.Client(common)
     status = await client.call(
         resource_answers.StatusAnswer, "GET", "/v1/status"
@@ -109,19 +123,19 @@
         return output.print_error(status.error, common)
     collected = await collect(common, status.ok.members)
     merged = timelines.merge(collected.timelines)
-    for record in selecting.select(merged, wanted or selecting.Wanted()):
+    for record in selecting.select(merged, wanted or selecting.EventFilter()):
         click.echo(format_record(record, form))
     _print_gaps(common, collected, form)
     return exits.Exit.OK
 
 
 async def collect(
-    common: options.Common,
+    common: options.CommonOptions,
     members: tuple[resource_answers.MemberStatus, ...],
-) -> Collected:
-    """Reads the timelines of all VMs, some at once."""
-    collected = Collected()
-    limit = asyncio.Semaphore(MAX_AT_ONCE)
+) -> CollectedTimelines:
+    """Reads the timelines of all VMs, up to `MAX_CONCURRENT_VMS` at once."""
+    collected = CollectedTimelines()
+    limit = asyncio.Semaphore(MAX_CONCURRENT_VMS)
 
     async def read(member: resource_answers.MemberStatus) -> None:
         async with limit:
@@ -134,8 +148,10 @@
     return collected
 
 
-async def _read(client: client_module.Client, collected: Collected) -> bool:
-    """Reads the whole timeline of one VM; False if it does not answer."""
+async def _read(
+    client: client_module.Client, collected: CollectedTimelines
+) -> bool:
+    """Reads all pages of one VM's timeline; returns False if a call fails."""
     records: list[timelines.Record] = []
     collected.timelines.append(records)
     after = 0
@@ -165,26 +181,28 @@
         line = {"at": at, "clock": record.clock, "vm": record.vm}
         line |= {"event": name} | fields
         return msgspec.json.encode(line).decode()
-    words = " ".join(f"{key}={_show(value)}" for key, value in fields.items())
+    words = " ".join(
+        f"{key}={_format_value(value)}" for key, value in fields.items()
+    )
     return f"{at} {record.vm} {name} {words}"
 
 
-def _show(value: Any) -> str:
-    """Formats a field's value so that it is one word."""
+def _format_value(value: Any) -> str:
+    """Formats the value of a field without spaces, or quoted."""
     if isinstance(value, float):
         return f"{value:.3f}"
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, list | tuple):
-        return ",".join(_show(part) for part in value) or "-"
+        return ",".join(_format_value(part) for part in value) or "-"
     text = str(value)
     return text if text and " " not in text else repr(text)
 
 
 def _print_gaps(
-    common: options.Common, collected: Collected, form: str
+    common: options.CommonOptions, collected: CollectedTimelines, form: str
 ) -> None:
-    """Says what the timeline lacks."""
+    """Prints which VMs and events are missing from the timeline."""
     if form == "json":
         gaps = {"missing": collected.missing, "dropped": collected.dropped}
         click.echo(msgspec.json.encode(gaps).decode())
--- a/src/azureramp/cli/waiting.py
+++ b/src/azureramp/cli/waiting.py
@@ -1,4 +1,4 @@
-"""The flags of commands that wait until a change is in force."""
+"""Flags of the commands that wait until a change is in force."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 from azureramp.cli import options
 
-_OPTIONS = (
+_WAIT_OPTIONS = (
     click.option(
         "--wait/--no-wait",
         "waits",
         default=True,
         show_default=True,
-        help="Wait until the change is in force, or end once it is stored.",
+        help="Wait until the change is in force, or exit once it is stored.",
     ),
     click.option(
         "--wait-ms",
-        type=options.Number(1, 600_000),
+        type=options.IntegerRange(1, 600_000),
         default=10_000,
         show_default=True,
-        help="Longest wait until it is in force, in milliseconds.",
+        help="Maximum time to wait until it is in force, in milliseconds.",
     ),
 )
 
 
-def add_waiting(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Adds `--wait/--no-wait` and `--wait-ms`."""
-    for option in reversed(_OPTIONS):
+def add_wait_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Adds `--wait/--no-wait` and `--wait-ms` to a command."""
+    for option in reversed(_WAIT_OPTIONS):
         command = option(command)
     return command
