--- a/src/azureramp_standins/soak/mutants.py
+++ b/src/azureramp_standins/soak/mutants.py
@@ -1,4 +1,4 @@
-"""The daemon with one promise broken, to show that the checks see it."""
+"""Daemons that violate one guarantee each, to prove that the checks find it."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from azureramp.platform import command, decoding, headers
 from azureramp.policy import allowances, merging, routing
 
-PATCHED: Any = setattr
+patch: Any = setattr
 
 
 def repeat_everything() -> None:
-    """Repeats also what may run once only."""
-    PATCHED(decoding, "REPEATABLE", "non_idempotent")
+    """Retries non-idempotent requests too."""
+    patch(decoding, "REPEATABLE", "non_idempotent")
 
 
 def promise_not_run() -> None:
-    """Says of each unknown outcome that the request has not run."""
+    """Reports requests with an unknown outcome as not run."""
     for kind in (errors.Kind.OUTCOME_UNKNOWN, errors.Kind.DEADLINE_PASSED):
         answer = errors.ANSWERS[kind]
-        PATCHED(
+        patch(
             errors,
             "ANSWERS",
             {**errors.ANSWERS, kind: dataclasses.replace(answer, status=503)},
@@ -39,50 +39,50 @@
 
 
 def use_leaving_searchers() -> None:
-    """Sends to searchers in any state and zone."""
-    PATCHED(searchers.Searchers, "_is_usable", lambda self, target, sides: True)
+    """Sends calls to searchers in any state and zone."""
+    patch(searchers.Searchers, "_is_usable", lambda self, target, sides: True)
 
 
 def keep_first_version() -> None:
-    """Takes no second configuration."""
+    """Ignores every configuration after the first."""
     take = applying.Applying._take_configuration
 
     def take_first(self: Any, new: Any) -> None:
         if self._board.configuration is None:
             take(self, new)
 
-    PATCHED(applying.Applying, "_take_configuration", take_first)
+    patch(applying.Applying, "_take_configuration", take_first)
 
 
 def stop_at_once() -> None:
-    """Ends at SIGTERM with requests running."""
+    """Exits at SIGTERM without waiting for running requests."""
 
     async def leave(board: Any, others: Any, front: Any) -> int:
         board.leaving = True
         return int(await front.stop(0.0))
 
-    PATCHED(leaving, "leave", leave)
+    patch(leaving, "leave", leave)
 
 
 def spend_without_bound() -> None:
-    """Makes extra calls without a bound."""
-    PATCHED(allowances.Allowance, "spend", lambda self, now_s, part: True)
+    """Makes extra calls without a retry budget."""
+    patch(allowances.Allowance, "spend", lambda self, now_s, part: True)
 
 
 def retry_without_bound() -> None:
-    """Calls one searcher after another as long as calls fail."""
-    PATCHED(part.Part, "_may_send", lambda self: len(self._attempts) < 20)
-    PATCHED(part.Part, "_tried", property(lambda self: set(), _ignore))
+    """Retries failed calls on up to 20 searchers, without a retry budget."""
+    patch(part.Part, "_may_send", lambda self: len(self._attempts) < 20)
+    patch(part.Part, "_tried", property(lambda self: set(), _ignore))
     spend_without_bound()
 
 
 def _ignore(owner: object, value: object) -> None:
-    """Takes a value and forgets it."""
+    """Discards an assigned value."""
 
 
 def load_cold_searchers() -> None:
-    """Sends cold searchers as much as others."""
-    PATCHED(
+    """Sends cold searchers as many calls as warm ones."""
+    patch(
         shared_bounds.SharedBounds,
         "is_warm_enough",
         lambda self, target, now: True,
@@ -90,19 +90,19 @@
 
 
 def hand_out_more_time() -> None:
-    """Lets searchers work for a minute."""
+    """Gives searchers a deadline of 60 seconds."""
     encode = headers.Codec.encode_call
 
     def encode_call(self: Any, call: Any) -> Any:
         return encode(self, dataclasses.replace(call, left_s=60.0))
 
-    PATCHED(headers.Codec, "encode_call", encode_call)
+    patch(headers.Codec, "encode_call", encode_call)
 
 
 def lose_records() -> None:
-    """Leaves the greatest record out of each merged answer."""
+    """Omits the greatest record of each merged answer."""
     merge = merging.merge
-    PATCHED(
+    patch(
         merging,
         "merge",
         lambda parts, most: merge(parts, most)[merging.RECORD_BYTES :],
@@ -110,27 +110,27 @@
 
 
 def take_any_answer() -> None:
-    """Takes whatever answer comes first on a connection for its call's."""
-    PATCHED(headers.Codec, "read_id", lambda self, fields: _Anything())
+    """Accepts the next answer on a connection whatever its request id."""
+    patch(headers.Codec, "read_id", lambda self, fields: _Anything())
 
 
 def refuse_known_routes() -> None:
-    """Answers 404 for one route that is configured."""
+    """Answers 404 for a configured route."""
     find = routing.Table.find
 
     def find_some(self: Any, host: str, path: str) -> Any:
         return None if path.startswith("/one/") else find(self, host, path)
 
-    PATCHED(routing.Table, "find", find_some)
+    patch(routing.Table, "find", find_some)
 
 
 def name_the_dead() -> None:
-    """Never forgets a VM."""
-    PATCHED(members.Members, "remove", lambda self, vm, settled: None)
+    """Never removes a VM from the members."""
+    patch(members.Members, "remove", lambda self, vm, settled: None)
 
 
 class _Anything:
-    """Equals everything."""
+    """Compares equal to any object."""
 
     def __eq__(self, other: object) -> bool:
         return True
@@ -154,11 +154,11 @@
     "name_the_dead": (name_the_dead, "named"),
     "refuse_known_routes": (refuse_known_routes, "allowed"),
 }
-"""Each mutant with the promise that it breaks."""
+"""Each mutant's function and the name of the guarantee that it violates."""
 
 
 def main() -> None:
-    """Runs the daemon with the mutation named as the only argument."""
+    """Runs the daemon with the mutant named by the only argument."""
     mutate, _ = MUTANTS[sys.argv.pop(1)]
     mutate()
     command.main()
