--- a/src/azureramp_standins/soak/__init__.py
+++ b/src/azureramp_standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized run of real daemons under faults from outside."""
+"""Soak test: real daemon processes under randomized external faults."""
--- a/src/azureramp_standins/soak/acts.py
+++ b/src/azureramp_standins/soak/acts.py
@@ -1,14 +1,14 @@
-"""What harmed searchers do."""
+"""Faulty responses of the searcher test double."""
 
 from __future__ import annotations
 
 from azureramp_standins.fleet import searcher
 
-STRAY = (
+UNSOLICITED_ANSWER = (
     b"HTTP/1.1 200 OK\r\nAzureramp-Request-Id: other\r\n"
     b"Azureramp-Server-Stamp: x.other.1\r\nContent-Length: 2\r\n\r\nno"
 )
-"""An answer that nobody waits for."""
+"""An HTTP response with the id of a request that the daemon did not send."""
 
 ACTS = {
     "hang": searcher.Act(then="hang"),
@@ -19,8 +19,10 @@
         raw=b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\nhalf",
         then="reset",
     ),
-    "extra": searcher.Act(after_s=0.01, extra=STRAY),
-    "late": searcher.Act(after_s=0.01, extra=STRAY, extra_after_s=0.004),
+    "extra": searcher.Act(after_s=0.01, extra=UNSOLICITED_ANSWER),
+    "late": searcher.Act(
+        after_s=0.01, extra=UNSOLICITED_ANSWER, extra_after_s=0.004
+    ),
     "slow": searcher.Act(after_s=0.3),
 }
-"""What a harmed searcher does with each request."""
+"""How a searcher responds to each request, by the name of its fault."""
--- a/src/azureramp_standins/soak/bounds.py
+++ b/src/azureramp_standins/soak/bounds.py
@@ -1,4 +1,4 @@
-"""The promises with a time bound, for VMs that nothing disturbs."""
+"""Checks of the guarantees with a time bound, for undisturbed VMs."""
 
 from __future__ import annotations
 
@@ -6,25 +6,31 @@
 import collections
 from collections.abc import Iterator
 
-from azureramp_standins.soak import declared, lookup
+from azureramp_standins.soak import declared, indexed_history
 
-CONFIGURED_S = 3.0
-DEAD_NAMED_S = 7.0
-"""In these times a version is in force and a dead VM not named, in seconds."""
+CONFIGURATION_BOUND_S = 3.0
+"""Longest time until a written configuration is in force, in seconds."""
+
+DEAD_VM_ADVERTISED_S = 7.0
+"""Longest time that a dead VM may still be advertised, in seconds."""
 
 ROLLBACK_S = 0.25
-"""How long after a version's first effect on a VM an older one may still show
-there, in seconds: answers that crossed."""
+"""How long after a version's first effect on a VM an older version may still
+appear there, in seconds: calls in flight may arrive out of order."""
 
 RECOVERED_SHARE = 0.95
-FINAL_S = 3.0
-"""Of the requests of the last seconds, long after the last fault, so many are
-answered well."""
+"""Minimum share of the final window's requests that are answered with 200."""
+
+FINAL_WINDOW_S = 3.0
+"""Length of the window at the end of a run, long after the last fault, in
+seconds."""
 
 
-def check_budget(seen: lookup.Seen) -> Iterator[lookup.Broken]:
-    """Extra calls stay within the bound of all VMs together."""
-    for service, arrivals in seen.by_service.items():
+def check_budget(
+    seen: indexed_history.IndexedHistory,
+) -> Iterator[indexed_history.Violation]:
+    """Checks that the VMs' extra calls stay within the tier's retry budget."""
+    for service, arrivals in seen.arrivals_by_service.items():
         first: set[str] = set()
         firsts_s: list[float] = []
         extras_s: list[float] = []
@@ -33,25 +39,38 @@
                 extras_s.append(arrival.at_s)
             first.add(arrival.id)
         firsts_s = sorted(
-            tried.sent_s
-            for tried in seen.history.tries
-            if _goes_to(tried.path, service, seen)
+            request.sent_s
+            for request in seen.history.tries
+            if _may_reach(request.path, service, seen)
         )
         for number, at_s in enumerate(extras_s):
-            begin = bisect.bisect_left(extras_s, at_s - declared.WINDOW_S)
+            begin = bisect.bisect_left(
+                extras_s, at_s - declared.BUDGET_WINDOW_S
+            )
             requests = max(
-                _count_between(firsts_s, at_s - back_s, declared.WINDOW_S)
-                for back_s in (0, declared.WINDOW_S / 2, declared.WINDOW_S)
+                _count_between(
+                    firsts_s, at_s - back_s, declared.BUDGET_WINDOW_S
+                )
+                for back_s in (
+                    0,
+                    declared.BUDGET_WINDOW_S / 2,
+                    declared.BUDGET_WINDOW_S,
+                )
+            )
+            allowed = (
+                declared.RETRY_BUDGET_RATIO * requests
+                + declared.RETRY_BUDGET_SLACK
             )
-            allowed = declared.RATIO * requests + declared.SLACK
             if number + 1 - begin > allowed:
                 detail = f"{service}: {number + 1 - begin} of {allowed}"
-                yield lookup.Broken("budget", at_s, detail)
+                yield indexed_history.Violation("budget", at_s, detail)
                 break
 
 
-def check_cold(seen: lookup.Seen) -> Iterator[lookup.Broken]:
-    """A cold searcher gets no more a second than it bears."""
+def check_cold(
+    seen: indexed_history.IndexedHistory,
+) -> Iterator[indexed_history.Violation]:
+    """Checks that a cold searcher's request rate stays within its limit."""
     bound = declared.COLD_PER_S * declared.COLD_OVERAGE + declared.COLD_SLACK
     for span in seen.history.spans:
         if span.how != "cold":
@@ -66,17 +85,21 @@
             begin = bisect.bisect_left(times, at_s - 1.0)
             if number + 1 - begin > bound:
                 detail = f"{span.name}: {number + 1 - begin} in a second"
-                yield lookup.Broken("cold", at_s, detail)
+                yield indexed_history.Violation("cold", at_s, detail)
                 break
 
 
-def check_drained(seen: lookup.Seen) -> Iterator[lookup.Broken]:
-    """A leaving searcher, or a zone taken out, gets nothing new."""
+def check_drained(
+    seen: indexed_history.IndexedHistory,
+) -> Iterator[indexed_history.Violation]:
+    """Checks that draining searchers and evacuated zones get no new calls."""
     for span in seen.history.spans:
         if span.how not in ("drain", "evacuate"):
             continue
         drained = span.how == "drain"
-        bound_s = declared.DRAINED_S if drained else declared.EVACUATED_S
+        bound_s = (
+            declared.DRAIN_BOUND_S if drained else declared.EVACUATION_BOUND_S
+        )
         begin_s = span.began_s + bound_s
         for arrival in seen.history.arrivals:
             out = (
@@ -85,93 +108,114 @@
                 else arrival.searcher.endswith(":0")
             )
             late = begin_s < arrival.at_s < span.ended_s
-            tried = seen.tries.get(arrival.id)
-            if not out or not late or tried is None:
+            request = seen.requests_by_id.get(arrival.id)
+            if not out or not late or request is None:
                 continue
-            if seen.is_calm(tried.vm, span.began_s, arrival.at_s):
+            if seen.is_undisturbed(request.vm, span.began_s, arrival.at_s):
                 detail = f"{arrival.id} reached {arrival.searcher}"
-                yield lookup.Broken(span.how, arrival.at_s, detail)
+                yield indexed_history.Violation(span.how, arrival.at_s, detail)
+
 
+def check_configured(
+    seen: indexed_history.IndexedHistory,
+) -> Iterator[indexed_history.Violation]:
+    """Checks that versions take effect in time and are never rolled back.
 
-def check_configured(seen: lookup.Seen) -> Iterator[lookup.Broken]:
-    """A version is in force in time, and none goes back within a process."""
+    A process must not return to an older version than one it has used.
+    """
     versions = [service for service, _ in seen.history.versions]
     effects: dict[tuple[str, int], list[tuple[float, float, int]]] = (
         collections.defaultdict(list)
     )
     for arrival in seen.history.arrivals:
-        tried = seen.tries.get(arrival.id)
-        if arrival.service not in versions or tried is None:
+        request = seen.requests_by_id.get(arrival.id)
+        if arrival.service not in versions or request is None:
             continue
         version = versions.index(arrival.service)
-        starts = seen.history.starts[tried.vm]
-        process = bisect.bisect_right(starts, tried.sent_s)
-        effects[tried.vm, process].append((tried.sent_s, arrival.at_s, version))
+        start_times = seen.history.start_times[request.vm]
+        process = bisect.bisect_right(start_times, request.sent_s)
+        effects[request.vm, process].append(
+            (request.sent_s, arrival.at_s, version)
+        )
         newer = [
             at_s
             for _, at_s in seen.history.versions[version + 1 :]
-            if tried.sent_s > at_s + CONFIGURED_S
+            if request.sent_s > at_s + CONFIGURATION_BOUND_S
         ]
-        if newer and seen.is_calm(tried.vm, newer[0], tried.sent_s):
-            yield lookup.Broken(
+        if newer and seen.is_undisturbed(request.vm, newer[0], request.sent_s):
+            yield indexed_history.Violation(
                 "configured", arrival.at_s, f"{arrival.id}: old"
             )
     for (vm, _), found in effects.items():
-        yield from _check_going_back(vm, found)
+        yield from _check_rollback(vm, found)
 
 
-def _check_going_back(
+def _check_rollback(
     vm: str, found: list[tuple[float, float, int]]
-) -> Iterator[lookup.Broken]:
-    """Checks one process's versions."""
+) -> Iterator[indexed_history.Violation]:
+    """Checks that one process does not return to an older version."""
     found.sort(key=lambda each: each[1])
     for number, (_, seen_s, version) in enumerate(found):
         for sent_s, at_s, older in found[number + 1 :]:
             if older < version and sent_s > seen_s + ROLLBACK_S:
-                yield lookup.Broken(
+                yield indexed_history.Violation(
                     "rollback", at_s, f"{vm}: {older} after {version}"
                 )
                 return
 
 
-def check_named(seen: lookup.Seen) -> Iterator[lookup.Broken]:
-    """No VM that has been dead for long is named to callers."""
-    for at_s, vm, names in seen.history.named:
+def check_named(
+    seen: indexed_history.IndexedHistory,
+) -> Iterator[indexed_history.Violation]:
+    """Checks that dead VMs are no longer advertised after the bound."""
+    for at_s, vm, names in seen.history.advertised:
         for name in names:
-            starts, ends = seen.history.starts[name], seen.history.ends[name]
-            started = bisect.bisect_right(starts, at_s)
-            ended = bisect.bisect_right(ends, at_s)
+            start_times, end_times = (
+                seen.history.start_times[name],
+                seen.history.end_times[name],
+            )
+            started = bisect.bisect_right(start_times, at_s)
+            ended = bisect.bisect_right(end_times, at_s)
             dead = ended == started and ended > 0
-            if not dead or at_s - ends[ended - 1] <= DEAD_NAMED_S:
+            if not dead or at_s - end_times[ended - 1] <= DEAD_VM_ADVERTISED_S:
                 continue
-            if seen.is_calm(vm, ends[ended - 1], at_s):
-                detail = f"{vm} named {name}, dead since {ends[ended - 1]:.2f}"
-                yield lookup.Broken("named", at_s, detail)
+            if seen.is_undisturbed(vm, end_times[ended - 1], at_s):
+                detail = (
+                    f"{vm} named {name}, dead since {end_times[ended - 1]:.2f}"
+                )
+                yield indexed_history.Violation("named", at_s, detail)
 
 
-def check_recovered(seen: lookup.Seen) -> Iterator[lookup.Broken]:
-    """Long after the last fault nearly every request is answered well."""
+def check_recovered(
+    seen: indexed_history.IndexedHistory,
+) -> Iterator[indexed_history.Violation]:
+    """Checks that nearly all requests succeed long after the last fault."""
     last = [
         each
         for each in seen.history.tries
-        if each.sent_s > seen.history.ended_s - FINAL_S and each.ended_s > 0
+        if each.sent_s > seen.history.ended_s - FINAL_WINDOW_S
+        and each.ended_s > 0
     ]
     good = sum(each.status == 200 for each in last)
     if not last or good < RECOVERED_SHARE * len(last):
         detail = f"{good} of {len(last)} answered at the end"
-        yield lookup.Broken("recovered", seen.history.ended_s, detail)
+        yield indexed_history.Violation(
+            "recovered", seen.history.ended_s, detail
+        )
 
 
-def _goes_to(path: str, service: str, seen: lookup.Seen) -> bool:
-    """Tells whether a path's requests may go to a service."""
+def _may_reach(
+    path: str, service: str, seen: indexed_history.IndexedHistory
+) -> bool:
+    """Returns True if requests for a path may go to a service."""
     if path.startswith("/all/"):
         return service in declared.SHARDS
     if path.startswith("/move/"):
         return service.startswith("move-")
-    return service == declared.PLAIN
+    return service == declared.PLAIN_SERVICE
 
 
 def _count_between(times: list[float], end_s: float, span_s: float) -> int:
-    """Returns how many times lie in a span that ends at a time."""
+    """Counts the times in the span of `span_s` that ends at `end_s`."""
     left = bisect.bisect_left(times, end_s - span_s)
     return bisect.bisect_right(times, end_s) - left
--- a/src/azureramp_standins/soak/callers.py
+++ b/src/azureramp_standins/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that ask where to connect and keep their connections."""
+"""Callers that resolve the VMs' addresses and reuse their connections."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 PATHS = ("/all/x", "/all/x", "/one/x", "/once/x", "/move/x")
 DEADLINE_S = 1.0
-PAUSE_S = 0.04
-"""Mean pause between two requests of a caller, in seconds."""
+MEAN_PAUSE_S = 0.04
+"""Mean pause between a caller's requests, in seconds."""
 
-ADDRESSES_S = 2.0
-"""How long a caller keeps an answer of the directory, in seconds."""
+ADDRESS_LIFETIME_S = 2.0
+"""How long a caller uses an answer of the directory, in seconds."""
 
-KEEP_REQUESTS = 40
-"""Requests on one connection before a caller opens another; it uses it until
-then also where a newer answer doesn't name the VM."""
+REQUESTS_PER_CONNECTION = 40
+"""Requests on one connection before a caller opens another. Until then the
+caller uses it even if a newer directory answer omits its VM."""
 
 
 class Caller:
-    """One caller."""
+    """A caller that sends requests over one connection at a time."""
 
     __slots__ = (
-        "_asked_s",
+        "_addresses",
         "_connection",
         "_daemons",
         "_history",
         "_ids",
-        "_left",
         "_name",
+        "_requests_left",
+        "_resolved_s",
         "_rng",
-        "_told",
         "_vm",
     )
 
@@ -49,41 +49,43 @@
         seen: history.History,
         rng: random.Random,
     ) -> None:
-        """Makes a caller; see `run`."""
+        """Makes a caller that sends no requests before `run`."""
         self._name = name
         self._daemons = fleet
         self._history = seen
         self._rng = rng
         self._ids = itertools.count(1)
-        self._told: list[str] = []
-        self._asked_s = float("-inf")
+        self._addresses: list[str] = []
+        self._resolved_s = float("-inf")
         self._connection: web_connection.Connection | None = None
         self._vm = ""
-        self._left = 0
+        self._requests_left = 0
 
     async def run(self) -> None:
-        """Sends requests, forever."""
+        """Sends requests at random intervals until cancelled."""
         while True:
-            await asyncio.sleep(self._rng.expovariate(1 / PAUSE_S))
+            await asyncio.sleep(self._rng.expovariate(1 / MEAN_PAUSE_S))
             await self._send(self._rng.choice(PATHS))
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Aborts the connection, if one is open."""
         if self._connection is not None:
             self._connection.abort()
             self._connection = None
 
     async def _send(self, path: str) -> None:
-        """Sends one request and keeps what came of it."""
-        if self._connection is None or self._left <= 0:
+        """Sends one request and records its outcome."""
+        if self._connection is None or self._requests_left <= 0:
             await self._connect()
         if self._connection is None:
             return
-        self._left -= 1
+        self._requests_left -= 1
         loop = asyncio.get_running_loop()
         name = f"{self._name}-{next(self._ids)}"
-        tried = history.Try(name, path, self._vm, loop.time(), DEADLINE_S)
-        self._history.tries.append(tried)
+        request = history.CallerRequest(
+            name, path, self._vm, loop.time(), DEADLINE_S
+        )
+        self._history.tries.append(request)
         headers = (
             ("Azureramp-Request-Id", name),
             ("Azureramp-Deadline-Ms", str(int(DEADLINE_S * 1000))),
@@ -96,39 +98,42 @@
                     method, path, headers, body, host=deployment.HOST
                 )
         except TimeoutError:
-            tried.status = -1
+            request.status = -1
             self.close()
         except (web_connection.BrokenError, web_connection.UnsentError):
             self.close()
         else:
-            tried.status = answer.status
-            tried.headers = {k.lower(): v for k, v in answer.headers}
-            tried.body = answer.body
+            request.status = answer.status
+            request.headers = {k.lower(): v for k, v in answer.headers}
+            request.body = answer.body
             if not self._connection.is_reusable():
                 self.close()
-        tried.ended_s = loop.time()
+        request.ended_s = loop.time()
 
     async def _connect(self) -> None:
-        """Opens a connection to one of the VMs that it is told of."""
+        """Opens a connection to one of the advertised VMs."""
         self.close()
         loop = asyncio.get_running_loop()
-        if loop.time() - self._asked_s > ADDRESSES_S or not self._told:
-            await self._ask_directory()
-        if not self._told:
+        if (
+            loop.time() - self._resolved_s > ADDRESS_LIFETIME_S
+            or not self._addresses
+        ):
+            await self._resolve()
+        if not self._addresses:
             return
-        address = self._rng.choice(self._told)
+        address = self._rng.choice(self._addresses)
         opened = await web_connection.connect(address, 1.0)
         if opened.is_error():
-            self._told.remove(address)
+            self._addresses.remove(address)
             return
         self._connection = opened.ok
-        self._left = KEEP_REQUESTS
+        self._requests_left = REQUESTS_PER_CONNECTION
         self._vm = next(
             each.name for each in self._daemons if each.front == address
         )
 
-    async def _ask_directory(self) -> None:
-        """Asks a VM which addresses to use."""
+    async def _resolve(self) -> None:
+        """Requests the advertised addresses from a random VM's directory."""
         asked = self._rng.choice(self._daemons)
         directory = pool.Pool(asked.directory)
         target = f"/resolve?Name={deployment.HOST}&Region=r&Zone=zone-0"
@@ -136,9 +141,9 @@
         directory.close()
         if result.is_error() or result.ok.status != 200:
             return
-        self._told = list(msgspec.json.decode(result.ok.body)["addrs"])
-        self._asked_s = asyncio.get_running_loop().time()
+        self._addresses = list(msgspec.json.decode(result.ok.body)["addrs"])
+        self._resolved_s = asyncio.get_running_loop().time()
         names = tuple(
-            each.name for each in self._daemons if each.front in self._told
+            each.name for each in self._daemons if each.front in self._addresses
         )
-        self._history.named.append((self._asked_s, asked.name, names))
+        self._history.advertised.append((self._resolved_s, asked.name, names))
--- a/src/azureramp_standins/soak/checks.py
+++ b/src/azureramp_standins/soak/checks.py
@@ -1,12 +1,14 @@
-"""The promises, checked over what was seen in a run."""
+"""Checks a run's history against the tier's guarantees."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
 
-from azureramp_standins.soak import answers, bounds, history, lookup
+from azureramp_standins.soak import answers, bounds, history, indexed_history
 
-Check = Callable[[lookup.Seen], Iterator[lookup.Broken]]
+Check = Callable[
+    [indexed_history.IndexedHistory], Iterator[indexed_history.Violation]
+]
 
 UNTIMED: tuple[Check, ...] = (
     answers.check_whole,
@@ -28,15 +30,17 @@
 )
 
 
-def check(seen: history.History, timed: bool = True) -> list[lookup.Broken]:
-    """Checks the promises; returns those that were broken, by time.
+def check(
+    seen: history.History, timed: bool = True
+) -> list[indexed_history.Violation]:
+    """Returns the violations of the guarantees, ordered by time.
 
     Args:
-        seen: What was seen.
-        timed: False to leave out the promises with a time bound, which a
-            machine that stands still for seconds breaks by itself.
+        seen: The history of the run.
+        timed: False to omit the guarantees with a time bound, which a
+            machine that stalls for seconds violates without any fault.
     """
-    sorted_history = lookup.Seen(seen)
+    sorted_history = indexed_history.IndexedHistory(seen)
     checks = (*UNTIMED, *TIMED) if timed else UNTIMED
     broken = [each for run in checks for each in run(sorted_history)]
     return sorted(broken, key=lambda each: each.at_s)
--- a/src/azureramp_standins/soak/daemons.py
+++ b/src/azureramp_standins/soak/daemons.py
@@ -1,4 +1,4 @@
-"""Daemons as separate processes, by the deploy file's command."""
+"""Daemon processes, started with the same command as in the deploy file."""
 
 from __future__ import annotations
 
@@ -10,11 +10,10 @@
 
 PROGRAM = pathlib.Path("src/azurerampd_platform.py")
 
-HOLD_STEP_S = 0.2
-"""How often a daemon that is held down looks whether the run has ended, in
-seconds."""
+RESTART_POLL_S = 0.2
+"""How often a delayed restart checks if the run has ended, in seconds."""
 
-SETTINGS = """\
+SETTINGS_TEMPLATE = """\
 Node = "{name}"
 Zone = "{zone}"
 Bootstrap = true
@@ -42,15 +41,16 @@
 
 
 class Daemon:
-    """One daemon, started again whenever it ends.
+    """A daemon whose process is restarted whenever it exits.
 
     Attributes:
-        name: Its name.
-        front: Where callers connect.
-        directory: Where callers ask for addresses.
-        starts: When its processes began, on the loop's clock.
-        ends: When they ended.
-        hold_s: How long it stays down after its next end, in seconds.
+        name: The VM's name.
+        front: The `IP:port` for callers' requests.
+        directory: The `IP:port` for address lookups.
+        start_times: When its processes started, on the loop's clock.
+        end_times: When its processes exited, on the loop's clock.
+        restart_delay_s: Delay before the restart after the next exit, in
+            seconds.
     """
 
     def __init__(
@@ -61,40 +61,48 @@
         folder: pathlib.Path,
         mutant: str,
     ) -> None:
-        """Makes a daemon that does not run; see `start`."""
+        """Writes the settings of a daemon; `start` runs it.
+
+        Args:
+            name: The VM's name.
+            addresses: The `IP:port` of each of the daemon's listeners.
+            settings: The settings as TOML.
+            folder: Where the settings and the log are written.
+            mutant: The name of a mutant to run; empty for the real daemon.
+        """
         self.name = name
         self.front = addresses["front"]
         self.directory = addresses["directory"]
-        self.starts: list[float] = []
-        self.ends: list[float] = []
-        self.hold_s = 0.0
+        self.start_times: list[float] = []
+        self.end_times: list[float] = []
+        self.restart_delay_s = 0.0
         self._mutant = mutant
         self._path = folder / f"{name}.toml"
         self._path.write_text(settings, "utf-8")
         self._log = folder / f"{name}.log"
         self._process: asyncio.subprocess.Process | None = None
         self._ending = False
-        self._keeper: asyncio.Task[None] | None = None
+        self._supervisor: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Starts it, and again after each end."""
-        self._keeper = asyncio.ensure_future(self._keep())
+        """Starts the process and restarts it after each exit."""
+        self._supervisor = asyncio.ensure_future(self._supervise())
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal to the process, if one runs."""
+        """Sends a signal to the process, if it is running."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
     async def end(self) -> None:
-        """Ends it for good."""
+        """Kills the process and stops restarting it."""
         self._ending = True
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
-        if self._keeper is not None:
-            await self._keeper
+        if self._supervisor is not None:
+            await self._supervisor
 
-    async def _keep(self) -> None:
-        """Runs processes one after another."""
+    async def _supervise(self) -> None:
+        """Runs one process after another until `end` is called."""
         loop = asyncio.get_running_loop()
         command = [str(PROGRAM)]
         if self._mutant:
@@ -112,10 +120,10 @@
                     stderr=output,
                     env=environment,
                 )
-            self.starts.append(loop.time())
+            self.start_times.append(loop.time())
             await self._process.wait()
-            self.ends.append(loop.time())
-            hold_s, self.hold_s = self.hold_s, 0.0
-            while hold_s > 0 and not self._ending:
-                await asyncio.sleep(min(hold_s, HOLD_STEP_S))
-                hold_s -= HOLD_STEP_S
+            self.end_times.append(loop.time())
+            restart_delay_s, self.restart_delay_s = self.restart_delay_s, 0.0
+            while restart_delay_s > 0 and not self._ending:
+                await asyncio.sleep(min(restart_delay_s, RESTART_POLL_S))
+                restart_delay_s -= RESTART_POLL_S
--- a/src/azureramp_standins/soak/declared.py
+++ b/src/azureramp_standins/soak/declared.py
@@ -1,4 +1,4 @@
-"""What the operators of a run declare: services, routes and bounds."""
+"""The operators' settings in a run: services, routes and bounds."""
 
 from __future__ import annotations
 
@@ -8,38 +8,42 @@
 from azureramp_standins.fleet import deployment
 
 SHARDS = ("shard-a", "shard-b", "shard-c", "shard-d")
-LEAST_SHARE = 0.75
-MOST_RECORDS = 8
-PLAIN = "plain"
-MOVES = 6
-"""Versions of the configuration, each of which moves a route to a service of
-its own, so that an answer shows which version it was given under."""
+MIN_SHARD_SHARE = 0.75
+MAX_RECORDS = 8
+PLAIN_SERVICE = "plain"
+MAX_VERSIONS = 6
+"""Number of configuration versions. Each points the `/move/` route to a service
+of its own, so that an answer shows the version in force."""
 
-SERVICES = (*SHARDS, PLAIN, *(f"move-{number}" for number in range(MOVES)))
+SERVICES = (
+    *SHARDS,
+    PLAIN_SERVICE,
+    *(f"move-{number}" for number in range(MAX_VERSIONS)),
+)
 
-SEARCHERS_EACH = 2
+SEARCHERS_PER_SERVICE = 2
 ATTEMPTS = 2
 TIMEOUT_MS = 1500
-TARGET_MS = 150
+TARGET_LATENCY_MS = 150
 
-RATIO = 0.02
-SLACK = 16
-WINDOW_S = 10.0
+RETRY_BUDGET_RATIO = 0.02
+RETRY_BUDGET_SLACK = 16
+BUDGET_WINDOW_S = 10.0
 COLD_PER_S = 4.0
 COLD_OVERAGE = 1.5
 COLD_SLACK = 5.0
-COLD_S = 3.0
+COLD_START_S = 3.0
 GRACE_S = 5.0
-"""What the operators bound; see the daemon's settings."""
+"""The bounds that operators set; see the daemon's settings."""
 
-DRAINED_S = 3.0
-EVACUATED_S = 5.0
-"""In this time a draining searcher, or a zone taken out, must get nothing
-more, in seconds; a fault lasts for as long again as it was drawn to."""
+DRAIN_BOUND_S = 3.0
+EVACUATION_BOUND_S = 5.0
+"""Longest time until a draining searcher or an evacuated zone gets no more
+calls, in seconds. It is added to the drawn duration of the fault."""
 
 
 def make_records(service: str, name: str) -> bytes:
-    """Returns a shard's records for a request, the same from each replica."""
+    """Returns a shard's records for a request, equal on all replicas."""
     seed = hashlib.blake2b(f"{service}/{name}".encode(), digest_size=48)
     return seed.digest()
 
@@ -48,25 +52,29 @@
     """Makes a version of the configuration.
 
     Args:
-        version: Its number.
-        service: Where the moving route goes.
+        version: The version number.
+        service: The target service of the `/move/` route.
     """
     routes: list[dict[str, Any]] = [
         {
             "Prefix": "/all/",
             "FanoutServices": list(SHARDS),
-            "TopK": MOST_RECORDS,
-            "MinShardShare": LEAST_SHARE,
+            "TopK": MAX_RECORDS,
+            "MinShardShare": MIN_SHARD_SHARE,
+        },
+        {"Prefix": "/one/", "Backend": PLAIN_SERVICE},
+        {
+            "Prefix": "/once/",
+            "Backend": PLAIN_SERVICE,
+            "RouteType": "non_idempotent",
         },
-        {"Prefix": "/one/", "Backend": PLAIN},
-        {"Prefix": "/once/", "Backend": PLAIN, "RouteType": "non_idempotent"},
         {"Prefix": "/move/", "Backend": service},
     ]
     common = {
         "Hostname": deployment.HOST,
         "RouteType": "idempotent",
         "TimeoutMs": TIMEOUT_MS,
-        "TargetLatencyMs": TARGET_MS,
+        "TargetLatencyMs": TARGET_LATENCY_MS,
         "Priority": 1,
         "Attempts": ATTEMPTS,
     }
@@ -81,7 +89,7 @@
                 "Name": name,
                 "HealthPath": "/health",
                 "MaxConnections": 64,
-                "ColdStartS": COLD_S,
+                "ColdStartS": COLD_START_S,
                 "ColdPerS": COLD_PER_S,
             }
             for name in SERVICES
--- a/src/azureramp_standins/soak/world.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -1,4 +1,4 @@
-"""The deployment of a run: store, searchers, links, daemons, and its faults."""
+"""The processes and servers of a run, and the injection of its faults."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
     proxy,
 )
 
-DOWN_FACTOR = 2.0
-"""A killed daemon stays down for this many times its fault's length: up to ten
-seconds, some more than callers may be told of it."""
+KILL_DOWNTIME_FACTOR = 2.0
+"""A killed daemon stays down for this many times its fault's duration: up to
+ten seconds, somewhat longer than a dead VM may be advertised to callers."""
 
-LINGER_S = 1.5
-"""How long a crashed searcher stays away, in seconds."""
+CRASH_DOWNTIME_S = 1.5
+"""How long a crashed searcher stays down, in seconds."""
 
 
-class World:
-    """The deployment.
+class Harness:
+    """The store, searchers, links and daemons of a run.
 
     Attributes:
         daemons: The daemons.
-        history: What was seen.
+        history: The history of the run.
     """
 
     def __init__(
         self, seed: int, vms: int, folder: pathlib.Path, mutant: str
     ) -> None:
-        """Makes a deployment that does not run; see `start`."""
+        """Makes the parts of a run without starting them; see `start`."""
         self.history = history.History()
-        count = len(declared.SERVICES) * declared.SEARCHERS_EACH
+        count = len(declared.SERVICES) * declared.SEARCHERS_PER_SERVICE
         ports = iter(processes.find_ports(1 + 5 * vms + 2 * count))
         self._addresses = (f"127.0.0.1:{port}" for port in ports)
         store_address = next(self._addresses)
@@ -50,7 +50,7 @@
         self._entries: dict[str, dict[str, Any]] = {}
         self._links: dict[tuple[str, int], proxy.Proxy] = {}
         for service in declared.SERVICES:
-            for index in range(declared.SEARCHERS_EACH):
+            for index in range(declared.SEARCHERS_PER_SERVICE):
                 self._add_searcher(service, index)
         self._version = 0
         self._draining: set[str] = set()
@@ -58,7 +58,10 @@
         self.daemons = self._make_daemons(vms, folder, mutant)
 
     async def start(self) -> None:
-        """Starts everything and waits until the daemons serve."""
+        """Starts the store, links, searchers and daemons.
+
+        Does not wait until the daemons serve requests.
+        """
         await self._store.start()
         for link in self._links.values():
             await link.start()
@@ -68,11 +71,11 @@
         self.configure()
         for daemon in self.daemons:
             daemon.start()
-            self.history.starts[daemon.name] = daemon.starts
-            self.history.ends[daemon.name] = daemon.ends
+            self.history.start_times[daemon.name] = daemon.start_times
+            self.history.end_times[daemon.name] = daemon.end_times
 
     async def stop(self) -> None:
-        """Ends everything that was started."""
+        """Stops everything that was started."""
         for daemon in self.daemons:
             await daemon.end()
         for link in self._links.values():
@@ -82,12 +85,15 @@
         await self._store.server.stop(0.0)
 
     def count_searchers(self) -> int:
-        """Returns how many searchers there are."""
+        """Returns the number of searchers."""
         return len(self._searchers)
 
     def configure(self) -> None:
-        """Writes a new version, which moves a route on."""
-        if self._version >= declared.MOVES:
+        """Writes the next configuration, with a new target for `/move/`.
+
+        Does nothing once all versions are written.
+        """
+        if self._version >= declared.MAX_VERSIONS:
             return
         service = f"move-{self._version}"
         self._version += 1
@@ -97,8 +103,8 @@
         now_s = asyncio.get_running_loop().time()
         self.history.versions.append((service, now_s))
 
-    async def play(self, planned: plan.Planned) -> None:
-        """Lets one fault happen, from its beginning to its end."""
+    async def inject(self, planned: plan.Planned) -> None:
+        """Injects a fault, clears it after its duration and records it."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         fault = planned.fault
@@ -108,30 +114,34 @@
                 await self._signal(self.daemons[vm], how, planned.for_s)
             case plan.LinkHarmed(link=link, number=number, how=how):
                 kind, name = "link", f"{link}-{number}"
-                harmed = self._links[link, number]
-                harmed.harm(how)
+                target = self._links[link, number]
+                target.inject(how)
                 await asyncio.sleep(planned.for_s)
-                harmed.heal()
+                target.clear()
             case plan.StoreHarmed(how=how):
                 kind, name = "store", "store"
-                await self._harm_store(how, planned.for_s)
+                await self._inject_store_fault(how, planned.for_s)
             case plan.SearcherHarmed(number=number, how=how):
-                harmed_searcher = self._searchers[number]
-                kind, name = "searcher", harmed_searcher.id
+                target_searcher = self._searchers[number]
+                kind, name = "searcher", target_searcher.id
                 if how == "drain" and name in self._draining:
                     return
-                await self._harm_searcher(harmed_searcher, how, planned.for_s)
+                await self._inject_searcher_fault(
+                    target_searcher, how, planned.for_s
+                )
             case plan.Operated(how="configure" as how):
                 kind, name = "operator", "configure"
                 self.configure()
             case plan.Operated(how=how):
                 kind, name = "operator", "zone-0"
-                await self._evacuate(declared.EVACUATED_S + planned.for_s)
-        span = history.Span(kind, name, how, began_s, loop.time())
+                await self._evacuate(
+                    declared.EVACUATION_BOUND_S + planned.for_s
+                )
+        span = history.FaultSpan(kind, name, how, began_s, loop.time())
         self.history.spans.append(span)
 
     async def _evacuate(self, for_s: float) -> None:
-        """Takes a zone out; of several at once the last one ends it."""
+        """Evacuates a zone; the last of several overlapping calls ends it."""
         self._evacuations += 1
         self._store.put("op/evacuate/zone-0", {})
         await asyncio.sleep(for_s)
@@ -142,12 +152,12 @@
     async def _signal(
         self, daemon: daemons.Daemon, how: str, for_s: float
     ) -> None:
-        """Sends a daemon a signal."""
+        """Sends a daemon a signal and waits for the fault's end."""
         match how:
             case "kill":
-                daemon.hold_s = DOWN_FACTOR * for_s
+                daemon.restart_delay_s = KILL_DOWNTIME_FACTOR * for_s
                 daemon.send(signal.SIGKILL)
-                await asyncio.sleep(daemon.hold_s)
+                await asyncio.sleep(daemon.restart_delay_s)
             case "stop":
                 daemon.send(signal.SIGTERM)
                 await asyncio.sleep(declared.GRACE_S)
@@ -158,8 +168,8 @@
                 await asyncio.sleep(for_s)
                 daemon.send(signal.SIGCONT)
 
-    async def _harm_store(self, how: str, for_s: float) -> None:
-        """Lets the store misbehave."""
+    async def _inject_store_fault(self, how: str, for_s: float) -> None:
+        """Injects a store fault and clears it after its duration."""
         faults = self._store.faults
         match how:
             case "compact":
@@ -176,64 +186,70 @@
         await asyncio.sleep(for_s)
         self._store.faults = store.Faults()
 
-    async def _harm_searcher(
-        self, harmed: searcher.Searcher, how: str, for_s: float
+    async def _inject_searcher_fault(
+        self, target: searcher.Searcher, how: str, for_s: float
     ) -> None:
-        """Lets a searcher misbehave."""
+        """Injects a searcher fault and clears it after its duration."""
         match how:
             case "crash":
-                harmed.crash()
-                await asyncio.sleep(LINGER_S)
-                await self._restart(harmed)
+                target.crash()
+                await asyncio.sleep(CRASH_DOWNTIME_S)
+                await self._restart(target)
             case "drain":
-                self._draining.add(harmed.id)
-                self._announce(harmed)
-                await asyncio.sleep(for_s + declared.DRAINED_S)
-                self._draining.discard(harmed.id)
-                self._announce(harmed)
+                self._draining.add(target.id)
+                self._announce(target)
+                await asyncio.sleep(for_s + declared.DRAIN_BOUND_S)
+                self._draining.discard(target.id)
+                self._announce(target)
             case _:
-                self._acts[harmed.id] = acts.ACTS[how]
+                self._acts[target.id] = acts.ACTS[how]
                 await asyncio.sleep(for_s)
-                self._acts.pop(harmed.id, None)
+                self._acts.pop(target.id, None)
 
-    async def _restart(self, harmed: searcher.Searcher) -> None:
-        """Starts a crashed searcher again under its id, cold."""
-        if harmed.is_listening():
+    async def _restart(self, target: searcher.Searcher) -> None:
+        """Restarts a crashed searcher under its id, as cold."""
+        if target.is_listening():
             return
-        self._entries[harmed.id]["born"] += 1
-        await harmed.start()
-        self._announce(harmed, ColdRemainingMs=int(declared.COLD_S * 1000))
+        self._entries[target.id]["born"] += 1
+        await target.start()
+        self._announce(
+            target, ColdRemainingMs=int(declared.COLD_START_S * 1000)
+        )
         now_s = asyncio.get_running_loop().time()
         self.history.spans.append(
-            history.Span(
-                "searcher", harmed.id, "cold", now_s, now_s + declared.COLD_S
+            history.FaultSpan(
+                "searcher",
+                target.id,
+                "cold",
+                now_s,
+                now_s + declared.COLD_START_S,
             )
         )
-        await asyncio.sleep(declared.COLD_S)
-        self._announce(harmed)
+        await asyncio.sleep(declared.COLD_START_S)
+        self._announce(target)
 
     def _announce(self, announced: searcher.Searcher, **changes: Any) -> None:
-        """Writes a searcher's entry."""
+        """Writes a searcher's entry to the store."""
         entry = self._entries[announced.id] | changes
         if announced.id in self._draining:
             entry["State"] = "draining"
         self._store.put(f"servers/{announced.id}", entry)
 
     def _add_searcher(self, service: str, index: int) -> None:
-        """Makes a searcher behind a link of its own."""
+        """Adds a searcher behind its own link."""
         name = f"{service}:{index}"
-        own, told = next(self._addresses), next(self._addresses)
+        own, advertised = next(self._addresses), next(self._addresses)
         made = searcher.Searcher(name, service, own, f"zone-{index % 2}")
         made.script = lambda seen: self._act(made, seen)
         number = len(self._searchers)
-        self._links["searcher", number] = proxy.Proxy(told, own)
+        self._links["searcher", number] = proxy.Proxy(advertised, own)
         self._searchers.append(made)
-        self._entries[name] = made.describe(Address=told)
+        self._entries[name] = made.describe(Address=advertised)
 
     def _act(
         self, made: searcher.Searcher, seen: searcher.Seen
     ) -> searcher.Act:
-        """Decides what a searcher does with a request, and keeps it."""
+        """Chooses a searcher's response to a request and records the call."""
         act = self._acts.get(made.id, searcher.Act(after_s=0.01))
         if made.service in declared.SHARDS:
             body = declared.make_records(made.service, seen.id)
@@ -258,7 +274,7 @@
     def _make_daemons(
         self, vms: int, folder: pathlib.Path, mutant: str
     ) -> list[daemons.Daemon]:
-        """Makes the daemons, each with a link of its own to the store."""
+        """Makes the daemons, each with its own link to the store."""
         names = ("front", "ready", "control", "directory")
         addresses = [
             {name: next(self._addresses) for name in names} for _ in range(vms)
@@ -270,14 +286,14 @@
                 next(self._addresses), self._store.server.address
             )
             self._links["store", number] = link
-            text = daemons.SETTINGS.format(
+            text = daemons.SETTINGS_TEMPLATE.format(
                 name=f"vm-{number}",
                 zone=f"zone-{number % 2}",
                 seeds=seeds,
                 store=link.address,
-                ratio=declared.RATIO,
-                slack=declared.SLACK,
-                window_s=declared.WINDOW_S,
+                ratio=declared.RETRY_BUDGET_RATIO,
+                slack=declared.RETRY_BUDGET_SLACK,
+                window_s=declared.BUDGET_WINDOW_S,
                 cold_overage=declared.COLD_OVERAGE,
                 cold_slack=declared.COLD_SLACK,
                 grace_s=declared.GRACE_S,
--- a/src/azureramp_standins/soak/history.py
+++ b/src/azureramp_standins/soak/history.py
@@ -1,4 +1,4 @@
-"""What callers, searchers and operators saw in a run."""
+"""Records of what callers, searchers and operators observed in a run."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Try:
-    """One try of a caller.
+class CallerRequest:
+    """A request that a caller sent, and its outcome.
 
     Attributes:
-        id: Its id.
+        id: The request's id.
         path: The path.
         vm: The name of the VM that it was sent to.
-        sent_s: When it was sent.
+        sent_s: When it was sent, on the loop's clock.
         deadline_s: How long the caller waits, in seconds.
-        ended_s: When it ended.
+        ended_s: When it ended, on the loop's clock; 0 while it is running.
         status: The status; 0 if the connection ended without an answer, -1
-            if the caller gave up.
+            if the caller timed out.
         headers: The answer's headers, names in lower case.
         body: The answer's body.
     """
@@ -38,14 +38,14 @@
     """A call that reached a searcher.
 
     Attributes:
-        at_s: When.
+        at_s: When it arrived, on the loop's clock.
         id: The request's id.
         searcher: The searcher's id.
-        service: Its service.
-        ran: False if the searcher said that it did not run it.
-        deadline_s: The time that it was given, in seconds.
-        signature: Its signature of the answer.
-        body: The body of its answer.
+        service: The searcher's service.
+        ran: False if the searcher rejected the call without running it.
+        deadline_s: The searcher's time limit for the call, in seconds.
+        signature: The searcher's stamp on the answer.
+        body: The answer's body.
     """
 
     at_s: float
@@ -59,16 +59,16 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Span:
-    """A fault as it happened.
+class FaultSpan:
+    """An injected fault with its actual times.
 
     Attributes:
-        kind: What was harmed: `vm`, `link`, `store`, `searcher` or
+        kind: The kind of target: `vm`, `link`, `store`, `searcher` or
             `operator`.
-        name: Whose.
-        how: What was done.
-        began_s: When it began.
-        ended_s: When it ended.
+        name: The target's name.
+        how: The fault's name.
+        began_s: When it began, on the loop's clock.
+        ended_s: When it ended, on the loop's clock.
     """
 
     kind: str
@@ -80,29 +80,32 @@
 
 @dataclasses.dataclass(slots=True)
 class History:
-    """A whole run.
+    """The history of a whole run; times are on the loop's clock.
 
     Attributes:
-        tries: The callers' tries.
-        arrivals: What reached searchers.
-        spans: The faults.
-        versions: The service that each version's moving route names, and when
-            the store took the version.
-        starts: When each VM's processes began.
-        ends: When they ended.
-        named: Which VMs a VM told callers of, and when.
-        healed_s: When the last fault had ended.
+        tries: The callers' requests.
+        arrivals: The calls that reached searchers.
+        spans: The injected faults.
+        versions: For each configuration version, the target service of its
+            `/move/` route and when it was written to the store.
+        start_times: When the processes started, by VM.
+        end_times: When the processes exited, by VM.
+        advertised: The directory answers: the time, the VM that answered and
+            the VMs that it advertised.
+        faults_ended_s: When the last fault ended.
         ended_s: When the run ended.
     """
 
-    tries: list[Try] = dataclasses.field(default_factory=list)
+    tries: list[CallerRequest] = dataclasses.field(default_factory=list)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
-    spans: list[Span] = dataclasses.field(default_factory=list)
+    spans: list[FaultSpan] = dataclasses.field(default_factory=list)
     versions: list[tuple[str, float]] = dataclasses.field(default_factory=list)
-    starts: dict[str, list[float]] = dataclasses.field(default_factory=dict)
-    ends: dict[str, list[float]] = dataclasses.field(default_factory=dict)
-    named: list[tuple[float, str, tuple[str, ...]]] = dataclasses.field(
+    start_times: dict[str, list[float]] = dataclasses.field(
+        default_factory=dict
+    )
+    end_times: dict[str, list[float]] = dataclasses.field(default_factory=dict)
+    advertised: list[tuple[float, str, tuple[str, ...]]] = dataclasses.field(
         default_factory=list
     )
-    healed_s: float = 0.0
+    faults_ended_s: float = 0.0
     ended_s: float = 0.0
--- a/src/azureramp_standins/soak/plan.py
+++ b/src/azureramp_standins/soak/plan.py
@@ -1,28 +1,29 @@
-"""Which faults a run has, and when, drawn from its seed."""
+"""Random plans of a run's faults, reproducible by seed."""
 
 from __future__ import annotations
 
 import dataclasses
 import random
 
-LEAD_S = 2.0
+FIRST_FAULT_S = 2.0
 """Time before the first fault, in seconds."""
 
 MEAN_GAP_S = 0.7
-"""Mean time between two faults, in seconds. Most last longer, so they overlap,
-and every few seconds some follow each other closely."""
+"""Mean time between the starts of two faults, in seconds. Most faults take
+longer, so they overlap, and every few seconds several start in quick
+succession."""
 
-SHORTEST_S = 0.5
-LONGEST_S = 5.0
-"""How long a fault lasts, drawn between these, in seconds."""
+MIN_DURATION_S = 0.5
+MAX_DURATION_S = 5.0
+"""The range that a fault's duration is drawn from, in seconds."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Signalled:
-    """A daemon gets a signal.
+    """A signal to a daemon.
 
     Attributes:
-        vm: Its number.
+        vm: The daemon's number.
         how: `kill`, `stop` (SIGTERM), `reload` (SIGHUP) or `pause` (SIGSTOP,
             and SIGCONT at the end).
     """
@@ -33,13 +34,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class LinkHarmed:
-    """A daemon's link to the store, or the link to a searcher, is harmed.
+    """A fault of a daemon's link to the store or of the link to a searcher.
 
     Attributes:
         link: `store` or `searcher`.
         number: The daemon's or the searcher's number.
         how: `delay`, `reset`, `up` or `down` (no bytes in that direction),
-            `silent` (open connections stay silent for good, new ones work).
+            `silent` (open connections lose all further bytes, new ones work).
     """
 
     link: str
@@ -49,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class StoreHarmed:
-    """The store misbehaves.
+    """A fault of the store.
 
     Attributes:
         how: `busy`, `silent`, `slow`, `lost` or `compact`.
@@ -60,10 +61,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class SearcherHarmed:
-    """A searcher misbehaves.
+    """A fault of a searcher.
 
     Attributes:
-        number: Its number.
+        number: The searcher's number.
         how: `crash`, `drain`, `hang`, `shed`, `reset`, `extra`, `late`,
             `cut` or `slow`.
     """
@@ -74,7 +75,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Operated:
-    """An operator acts.
+    """An operator's action.
 
     Attributes:
         how: `configure` or `evacuate`.
@@ -88,12 +89,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Planned:
-    """A fault with its time.
+    """A fault with its start and duration.
 
     Attributes:
-        at_s: When it begins, from the run's start, in seconds.
-        for_s: How long it lasts, in seconds.
-        fault: What happens.
+        at_s: When it begins, in seconds after the start of the run.
+        for_s: Its duration, in seconds.
+        fault: The fault.
     """
 
     at_s: float
@@ -103,13 +104,13 @@
 
 GROUPS = ("signal", "link", "store", "searcher", "operator")
 GROUP_CHANCE = 0.6
-"""Each seed leaves some groups of faults out: promises with a time bound hold
-for undisturbed VMs, and with all groups there would hardly be any."""
+"""Probability that a seed uses a group of faults. Guarantees with a time bound
+apply to undisturbed VMs only, and with all groups there would be hardly any."""
 
-HARMS = ("delay", "reset", "up", "down", "silent")
-SIGNALS = ("kill", "stop", "reload", "pause")
-MISBEHAVIOURS = ("busy", "silent", "slow", "lost", "compact")
-ACTS = (
+LINK_FAULTS = ("delay", "reset", "up", "down", "silent")
+DAEMON_FAULTS = ("kill", "stop", "reload", "pause")
+STORE_FAULTS = ("busy", "silent", "slow", "lost", "compact")
+SEARCHER_FAULTS = (
     "crash",
     "drain",
     "hang",
@@ -128,17 +129,17 @@
     """Draws the faults of a run.
 
     Args:
-        seed: The run's seed; the same one gives the same faults.
-        seconds: How long faults may begin, from the run's start.
-        vms: How many daemons there are.
-        searchers: How many searchers there are.
+        seed: The run's seed; equal seeds give equal plans.
+        seconds: The time after the run's start in which faults may begin.
+        vms: The number of daemons.
+        searchers: The number of searchers.
     """
     rng = random.Random(seed)
     groups = [name for name in GROUPS if rng.random() < GROUP_CHANCE]
     planned: list[Planned] = []
-    at_s = LEAD_S
+    at_s = FIRST_FAULT_S
     while at_s < seconds:
-        for_s = rng.uniform(SHORTEST_S, LONGEST_S)
+        for_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
         group = rng.choice(groups or GROUPS)
         fault = _draw_one(rng, group, vms, searchers)
         planned.append(Planned(at_s, for_s, fault))
@@ -154,13 +155,13 @@
     searcher = rng.randrange(searchers)
     match group:
         case "signal":
-            return Signalled(vm, rng.choice(SIGNALS))
+            return Signalled(vm, rng.choice(DAEMON_FAULTS))
         case "link":
             link = rng.choice(("store", "searcher"))
             number = vm if link == "store" else searcher
-            return LinkHarmed(link, number, rng.choice(HARMS))
+            return LinkHarmed(link, number, rng.choice(LINK_FAULTS))
         case "store":
-            return StoreHarmed(rng.choice(MISBEHAVIOURS))
+            return StoreHarmed(rng.choice(STORE_FAULTS))
         case "searcher":
-            return SearcherHarmed(searcher, rng.choice(ACTS))
+            return SearcherHarmed(searcher, rng.choice(SEARCHER_FAULTS))
     return Operated(rng.choice(("configure", "evacuate")))
--- a/src/azureramp_standins/soak/program.py
+++ b/src/azureramp_standins/soak/program.py
@@ -1,4 +1,4 @@
-"""The soak's command: runs seeds, judges them, keeps what they gave."""
+"""The soak test's command: runs seeds, checks and records the results."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from azureramp_standins.soak import (
     callers,
     checks,
+    harness,
     history,
-    lookup,
+    indexed_history,
     mutants,
     plan,
-    world,
 )
 
 START_S = 6.0
-"""Time for the daemons to start and know the configuration, in seconds."""
+"""Time for the daemons to start and load the configuration, in seconds."""
 
 RECOVERY_S = 9.0
-"""Quiet time after the last fault, in seconds; the promise is twelve, the
-last three of which are judged."""
+"""Time without faults at the end of a run, in seconds. Recovery is guaranteed
+within twelve seconds; the requests of the run's last three are checked."""
 
-LEDGER = pathlib.Path("docs/soak.jsonl")
-"""The outcome of each seed that was run by hand."""
+RESULTS = pathlib.Path("docs/soak.jsonl")
+"""The results of the seeds that were run manually with `--record`."""
 
 
 async def run_seed(
@@ -39,15 +39,18 @@
 
     Args:
         seed: The seed.
-        seconds: How long faults begin.
-        vms: How many daemons.
-        folder: For the daemons' settings and logs.
-        mutant: Which broken daemon to run; empty for the real one.
+        seconds: The time in which faults may begin, in seconds.
+        vms: The number of daemons.
+        folder: Where the daemons' settings and logs are written.
+        mutant: The name of the mutant to run; empty for the real daemon.
 
     Returns:
-        What was seen.
+        The history of the run.
+
+    Raises:
+        RuntimeError: A caller's task failed.
     """
-    deployment = world.World(seed, vms, folder, mutant)
+    deployment = harness.Harness(seed, vms, folder, mutant)
     seen = deployment.history
     loop = asyncio.get_running_loop()
     clients = [
@@ -64,9 +67,9 @@
         tasks = [asyncio.ensure_future(each.run()) for each in clients]
         faults = plan.draw(seed, seconds, vms, deployment.count_searchers())
         await asyncio.gather(
-            *(_play_later(deployment, each, began_s) for each in faults)
+            *(_inject_later(deployment, each, began_s) for each in faults)
         )
-        seen.healed_s = loop.time()
+        seen.faults_ended_s = loop.time()
         await asyncio.sleep(RECOVERY_S)
         seen.ended_s = loop.time()
         await asyncio.sleep(callers.DEADLINE_S)
@@ -80,23 +83,25 @@
         await deployment.stop()
     for task in tasks:
         if not task.cancelled() and task.exception():
-            raise RuntimeError("a caller failed") from task.exception()
+            raise RuntimeError("a caller's task failed") from task.exception()
     return seen
 
 
-async def _play_later(
-    deployment: world.World, planned: plan.Planned, began_s: float
+async def _inject_later(
+    deployment: harness.Harness, planned: plan.Planned, began_s: float
 ) -> None:
-    """Lets a fault happen at its time."""
+    """Injects a fault at its time."""
     now_s = asyncio.get_running_loop().time()
     await asyncio.sleep(max(0.0, began_s + planned.at_s - now_s))
-    await deployment.play(planned)
+    await deployment.inject(planned)
 
 
 def write_report(
-    path: pathlib.Path, seen: history.History, broken: list[lookup.Broken]
+    path: pathlib.Path,
+    seen: history.History,
+    broken: list[indexed_history.Violation],
 ) -> None:
-    """Writes the timeline of a run's faults and of what was broken."""
+    """Writes the timeline of a run's faults and violations."""
     begin_s = min((each.sent_s for each in seen.tries), default=0.0)
     lines = [
         (
@@ -107,7 +112,8 @@
         for span in seen.spans
     ]
     lines += [
-        (each.at_s, f"BROKEN {each.promise}: {each.detail}") for each in broken
+        (each.at_s, f"BROKEN {each.guarantee}: {each.detail}")
+        for each in broken
     ]
     lines.sort()
     text = "".join(f"{at_s - begin_s:8.2f} {what}\n" for at_s, what in lines)
@@ -119,9 +125,9 @@
     seconds: float,
     vms: int,
     seen: history.History,
-    broken: list[lookup.Broken],
+    broken: list[indexed_history.Violation],
 ) -> dict[str, object]:
-    """Returns a run's line of the ledger."""
+    """Returns a run's row for the file of results."""
     good = sum(each.status == 200 for each in seen.tries)
     return {
         "seed": seed,
@@ -130,18 +136,18 @@
         "faults": len(seen.spans),
         "tries": len(seen.tries),
         "answered": round(good / max(1, len(seen.tries)), 3),
-        "broken": sorted({each.promise for each in broken}),
+        "broken": sorted({each.guarantee for each in broken}),
     }
 
 
 @click.command()
 @click.option("--seed", default=1, help="The first seed.")
-@click.option("--count", default=1, help="How many seeds to run.")
-@click.option("--seconds", default=20.0, help="How long faults begin.")
-@click.option("--vms", default=4, help="How many daemons.")
-@click.option("--mutant", default="", help="A broken daemon to run instead.")
-@click.option("--record", is_flag=True, help="Add the outcomes to the ledger.")
-@click.option("--list", "listed", is_flag=True, help="Show the ledger.")
+@click.option("--count", default=1, help="Number of seeds to run.")
+@click.option("--seconds", default=20.0, help="Time in which faults may begin.")
+@click.option("--vms", default=4, help="Number of daemons.")
+@click.option("--mutant", default="", help="Mutant to run as the daemon.")
+@click.option("--record", is_flag=True, help="Append to the recorded results.")
+@click.option("--list", "listed", is_flag=True, help="Show recorded results.")
 def main(
     seed: int,
     count: int,
@@ -151,13 +157,13 @@
     record: bool,
     listed: bool,
 ) -> None:
-    """Runs real daemons under random faults, and judges what was seen."""
+    """Runs real daemons under random faults and checks their guarantees."""
     if listed:
-        click.echo(LEDGER.read_text("utf-8"), nl=False)
+        click.echo(RESULTS.read_text("utf-8"), nl=False)
         return
     if mutant and mutant not in mutants.MUTANTS:
-        known = ", ".join(mutants.MUTANTS)
-        raise click.BadParameter(f"{mutant!r}; allowed: {known}")
+        allowed = ", ".join(mutants.MUTANTS)
+        raise click.BadParameter(f"{mutant!r}; allowed: {allowed}")
     failed = False
     for number in range(seed, seed + count):
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{number}-"))
@@ -166,8 +172,8 @@
         line = json.dumps(summarize(number, seconds, vms, seen, broken))
         click.echo(line)
         if record:
-            with LEDGER.open("a", encoding="utf-8") as ledger:
-                ledger.write(line + "\n")
+            with RESULTS.open("a", encoding="utf-8") as results:
+                results.write(line + "\n")
         if broken:
             failed = True
             write_report(folder / "report.txt", seen, broken)
--- a/src/azureramp_standins/soak/proxy.py
+++ b/src/azureramp_standins/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections through it."""
+"""A loopback TCP proxy that injects link faults."""
 
 from __future__ import annotations
 
@@ -9,45 +9,50 @@
 
 READ_BYTES = 65536
 DELAY_S = 0.15
-"""How much later bytes arrive on a delayed link, in seconds; a hundred times
-the way between two availability zones."""
+"""Added latency of a delayed link, in seconds: a hundred times the latency
+between two availability zones."""
 
 
 class _Pipe:
-    """One connection through the proxy."""
+    """A connection through the proxy.
 
-    __slots__ = ("dead", "writers")
+    Attributes:
+        silent: True if the proxy discards all further bytes.
+        writers: The writers of both ends.
+    """
+
+    __slots__ = ("silent", "writers")
 
     def __init__(self, *writers: asyncio.StreamWriter) -> None:
-        self.dead = False
+        self.silent = False
         self.writers = writers
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Attributes:
-        address: Where it listens, `IP:port`.
+        address: The `IP:port` that it listens on.
     """
 
     def __init__(self, address: str, target: str) -> None:
-        """Makes a proxy; see `start`."""
+        """Makes a proxy that does not listen before `start`."""
         self.address = address
         self._target = target
         self._delayed = False
-        self._open = {"up": asyncio.Event(), "down": asyncio.Event()}
+        self._flowing = {"up": asyncio.Event(), "down": asyncio.Event()}
         self._pipes: set[_Pipe] = set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Begins to listen."""
-        self.heal()
+        """Starts listening, without faults."""
+        self.clear()
         host, port = web_connection.split_address(self.address)
         self._server = await asyncio.start_server(self._accept, host, port)
 
-    def harm(self, how: str) -> None:
-        """Harms the link; see `plan.LinkHarmed`."""
+    def inject(self, how: str) -> None:
+        """Injects a fault; see `plan.LinkHarmed` for their names."""
         match how:
             case "delay":
                 self._delayed = True
@@ -56,18 +61,18 @@
                     _abort(pipe)
             case "silent":
                 for pipe in self._pipes:
-                    pipe.dead = True
+                    pipe.silent = True
             case _:
-                self._open[how].clear()
+                self._flowing[how].clear()
 
-    def heal(self) -> None:
-        """Ends every harm; connections that fell silent stay so."""
+    def clear(self) -> None:
+        """Clears all faults; connections that are silent remain silent."""
         self._delayed = False
-        for event in self._open.values():
+        for event in self._flowing.values():
             event.set()
 
     async def stop(self) -> None:
-        """Ends everything."""
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -80,9 +85,9 @@
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Passes one connection on."""
+        """Forwards one connection in both directions."""
         host, port = web_connection.split_address(self._target)
-        await self._open["up"].wait()
+        await self._flowing["up"].wait()
         try:
             far_reader, far_writer = await asyncio.open_connection(host, port)
         except OSError:
@@ -90,32 +95,34 @@
             return
         pipe = _Pipe(writer, far_writer)
         self._pipes.add(pipe)
-        for source, sink, way in (
+        for source, sink, direction in (
             (reader, far_writer, "up"),
             (far_reader, writer, "down"),
         ):
-            task = asyncio.ensure_future(self._pass(pipe, source, sink, way))
+            task = asyncio.ensure_future(
+                self._forward(pipe, source, sink, direction)
+            )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pass(
+    async def _forward(
         self,
         pipe: _Pipe,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
-        way: str,
+        direction: str,
     ) -> None:
-        """Passes the bytes of one direction on."""
+        """Forwards the bytes of one direction."""
         with contextlib.suppress(OSError):
             while data := await source.read(READ_BYTES):
                 if self._delayed:
                     await asyncio.sleep(DELAY_S)
-                await self._open[way].wait()
-                if not pipe.dead:
+                await self._flowing[direction].wait()
+                if not pipe.silent:
                     sink.write(data)
                     await sink.drain()
         self._pipes.discard(pipe)
-        if not pipe.dead:
+        if not pipe.silent:
             _abort(pipe) if sink.transport.is_closing() else sink.close()
 
 
