--- a/src/azureramp_standins/rollouts/__init__.py
+++ b/src/azureramp_standins/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Plays roll-outs of good and bad versions in virtual time."""
+"""Simulated roll-outs of good and bad versions in virtual time."""
--- a/src/azureramp_standins/rollouts/main.py
+++ b/src/azureramp_standins/rollouts/main.py
@@ -10,7 +10,7 @@
 
 from azureramp_standins.rollouts import play, versions
 
-HEAD = "vms seed kind fault: state, ended s, share, calls, stopped s, served"
+HEADER = "vms seed kind fault: state, ended s, share, calls, stopped s, served"
 
 
 @click.command()
@@ -22,14 +22,14 @@
     type=click.IntRange(min=1),
     default=12,
     show_default=True,
-    help="How many roll-outs; each has the next seed.",
+    help="Number of roll-outs, with consecutive seeds.",
 )
 @click.option(
     "--kind",
     "kinds",
     multiple=True,
     type=click.Choice([kind.value for kind in versions.Kind]),
-    help="Only versions of these kinds; all in turn if left out.",
+    help="Kinds of versions to roll out, in turn; all if omitted.",
 )
 @click.option(
     "--fault",
@@ -38,7 +38,7 @@
     type=click.Choice([*(fault.value for fault in play.Fault), "any"]),
     default=("none",),
     show_default=True,
-    help="What goes wrong beside them; one of them after the other.",
+    help="Faults to inject during the roll-outs, in turn.",
 )
 @click.option("--per-second", default=20.0, show_default=True)
 @click.option(
@@ -56,24 +56,24 @@
     per_second: float,
     jobs: int,
 ) -> None:
-    """Plays roll-outs on the stand-ins in virtual time.
+    """Simulates roll-outs on test doubles in virtual time.
 
     Each seed is one roll-out of a good or bad version. The exit code is 1 if a
     rule was broken.
     """
     chosen = [versions.Kind(each) for each in kinds] or list(versions.Kind)
-    harms = list_faults(faults)
+    chosen_faults = list_faults(faults)
     plans = [
         play.Plan(
             vms,
             number,
             chosen[number % len(chosen)],
-            harms[(number // len(chosen)) % len(harms)],
+            chosen_faults[(number // len(chosen)) % len(chosen_faults)],
             per_second,
         )
         for number in range(seed, seed + count)
     ]
-    click.echo(HEAD)
+    click.echo(HEADER)
     outcomes: list[tuple[play.Plan, play.Outcome]] = []
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
         results = pool.map(play.play, plans)
@@ -82,38 +82,42 @@
             click.echo(describe(plan, outcome))
     for line in summarize(outcomes):
         click.echo(line)
-    heard_s = sorted(
-        each for _, outcome in outcomes for each in outcome.heard_s
+    count_delays_s = sorted(
+        each for _, outcome in outcomes for each in outcome.count_delays_s
     )
-    if heard_s:
-        click.echo(describe_delays(heard_s))
+    if count_delays_s:
+        click.echo(describe_delays(count_delays_s))
     broken = sum(len(outcome.broken) for _, outcome in outcomes)
     click.echo(f"rules broken: {broken}")
     raise SystemExit(1 if broken else 0)
 
 
 def list_faults(names: tuple[str, ...]) -> list[play.Fault]:
-    """Lists the faults by their names; `any` stands for all."""
+    """Returns the faults with these names; `any` means all but `none`."""
     if "any" in names:
         return [each for each in play.Fault if each is not play.Fault.NONE]
     return [play.Fault(name) for name in names]
 
 
 def describe(plan: play.Plan, outcome: play.Outcome) -> str:
-    """Describes a roll-out in a line."""
+    """Formats a roll-out as a line of the output."""
     stopped = "-"
-    if outcome.stopped_s is not None:
-        stopped = f"{outcome.stopped_s:.2f}"
+    if outcome.stop_delay_s is not None:
+        stopped = f"{outcome.stop_delay_s:.2f}"
     broken = f"; BROKEN: {', '.join(outcome.broken)}" if outcome.broken else ""
     return (
         f"{plan.vms} {plan.seed} {plan.kind.value} {plan.fault.value}:"
         f" {outcome.state}, {outcome.ended_s:.1f}, {outcome.share:.3f},"
-        f" {outcome.to_new}, {stopped}, {outcome.served:.3f}{broken}"
+        f" {outcome.calls_to_new}, {stopped}, {outcome.served:.3f}{broken}"
     )
 
 
 def describe_delays(delays_s: list[float]) -> str:
-    """Describes how late the driver counted bad answers, in ms."""
+    """Formats percentiles of the driver's delays in counting bad answers.
+
+    Args:
+        delays_s: The delays in seconds, sorted; printed in milliseconds.
+    """
     found = [
         f"{name} {delays_s[round(share * (len(delays_s) - 1))] * 1000:.0f}"
         for name, share in (("p50", 0.5), ("p95", 0.95), ("longest", 1.0))
@@ -124,20 +128,20 @@
 def summarize(
     outcomes: list[tuple[play.Plan, play.Outcome]],
 ) -> Iterator[str]:
-    """Says for each kind how many roll-outs ended as they should, in time."""
+    """Yields a line for each kind: how many roll-outs ended as expected."""
     for kind in versions.Kind:
-        mine = [each for plan, each in outcomes if plan.kind is kind]
-        if not mine:
+        of_kind = [each for plan, each in outcomes if plan.kind is kind]
+        if not of_kind:
             continue
         wanted = "completed" if kind is versions.Kind.GOOD else "rolled_back"
-        right = sum(
+        in_time = sum(
             each.state == wanted and each.ended_s <= play.DURATION_S
-            for each in mine
+            for each in of_kind
         )
-        served = sum(each.served for each in mine) / len(mine)
-        share = max(each.share for each in mine)
+        served = sum(each.served for each in of_kind) / len(of_kind)
+        share = max(each.share for each in of_kind)
         yield (
-            f"{kind.value}: {wanted} in time {right} of {len(mine)},"
+            f"{kind.value}: {wanted} in time {in_time} of {len(of_kind)},"
             f" served {served:.4f}, largest share {share:.3f}"
         )
 
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -1,4 +1,4 @@
-"""Plays one roll-out on the stand-ins in virtual time, and judges it."""
+"""Simulates a roll-out on test doubles in virtual time and evaluates it."""
 
 from __future__ import annotations
 
@@ -13,40 +13,42 @@
 from azureramp_standins.rollouts import versions
 
 SERVICE = "statements"
-OLD, NEW = "v1", "v2"
+OLD_VERSION, NEW_VERSION = "v1", "v2"
 SEARCHERS = 3
 ROUTES = ("/one/", "/two/")
-SENDERS = 8
-"""VMs that callers send to, at most."""
+MAX_TARGET_VMS = 8
+"""Largest number of VMs that callers send to."""
 
-ENDED = ("completed", "rolled_back")
+FINAL_STATES = ("completed", "rolled_back")
 
 DURATION_S = 12.0
-BEFORE_S = 3.0
-"""Traffic before the order, in seconds."""
+"""Duration of the roll-out that the operators order, in seconds."""
 
-AFTER_S = 4.0
-"""Traffic after the deadline, in seconds."""
+TRAFFIC_LEAD_S = 3.0
+"""Duration of the traffic before the order, in seconds."""
 
-START_S = 1.0
-"""How long after the order the new searchers are up, in seconds."""
+TRAFFIC_TAIL_S = 4.0
+"""Duration of the traffic after the deadline, in seconds."""
 
-DRAIN_S = 3.0
-"""How long after the end the searchers of a version that was rolled back are
-there, in seconds."""
+SEARCHER_START_S = 1.0
+"""Time from the order until the new searchers start, in seconds."""
 
-LISTEN_S = 0.02
-"""Time between two looks at what the driver has counted, in seconds."""
+ROLLBACK_DRAIN_S = 3.0
+"""Time from a rollback until the new version's searchers are removed from the
+store, in seconds."""
+
+POLL_S = 0.02
+"""Interval between polls of the driver's count of bad answers, in seconds."""
 
 EXPOSURE_SHARE = 0.1
 EXPOSURE_SLACK = 50
-STOP_S = 5.0
-MOST_BAD = 50
-"""What the operators bound; see the deployment's settings."""
+STOP_BOUND_S = 5.0
+MAX_BAD_ANSWERS = 50
+"""The bounds that operators set; see `deployment.make_settings`."""
 
 
 class Fault(enum.Enum):
-    """What goes wrong beside the roll-out."""
+    """A fault that is injected during the roll-out."""
 
     NONE = "none"
     DRIVER_KILLED = "driver-killed"
@@ -62,14 +64,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Plan:
-    """One play.
+    """The parameters of a simulated roll-out.
 
     Attributes:
-        vms: How many VMs.
-        seed: Repeats it.
-        kind: Which version.
-        fault: What goes wrong.
-        per_s: Requests a second to the service.
+        vms: The number of VMs.
+        seed: The seed; equal plans give equal runs.
+        kind: The kind of the new version.
+        fault: The injected fault.
+        per_s: Request rate to the service, per second.
     """
 
     vms: int
@@ -81,117 +83,124 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What came of it.
+    """The result of a simulated roll-out.
 
     Attributes:
-        state: What the operators are told at the end.
-        ended_s: When that was written, in seconds after the order.
-        share: The new version's share of the requests until the deadline.
-        to_new: The number of these.
-        stopped_s: Time from the 50th bad answer to the last request, in
-            seconds; None if there were fewer.
-        cut: Calls that were at old searchers when these ended.
-        served: The share of the callers' requests that were answered well.
-        heard_s: How long after each bad answer the driver counted it, in
-            seconds.
+        state: The final state in the operators' status entry.
+        ended_s: When that state was written, in seconds after the order; 0 if
+            the roll-out didn't end.
+        share: The new version's share of the calls until the deadline.
+        calls_to_new: The number of calls to the new version until the deadline.
+        stop_delay_s: Time from the 50th bad answer to the last call to the new
+            version, in seconds; None if there were fewer bad answers.
+        cut: The number of calls running on old searchers at their removal.
+        served: The share of the callers' requests that were answered with 200.
+        count_delays_s: The delays between each bad answer and its counting by
+            the driver, in seconds.
         broken: The rules that were broken.
     """
 
     state: str = ""
     ended_s: float = 0.0
     share: float = 0.0
-    to_new: int = 0
-    stopped_s: float | None = None
+    calls_to_new: int = 0
+    stop_delay_s: float | None = None
     cut: int = 0
     served: float = 0.0
-    heard_s: tuple[float, ...] = ()
+    count_delays_s: tuple[float, ...] = ()
     broken: tuple[str, ...] = ()
 
 
 def play(plan: Plan) -> Outcome:
-    """Plays a roll-out."""
+    """Simulates a roll-out and returns its result."""
     return virtual.run(Play(plan).run())
 
 
 class Play:
-    """One roll-out while it is played."""
+    """The state of a simulated roll-out."""
 
     def __init__(self, plan: Plan) -> None:
-        """Makes one; see `run`."""
+        """Makes a roll-out that does not begin before `run`."""
         self._plan = plan
         self._rng = random.Random(
             f"{plan.vms}/{plan.seed}/{plan.kind.value}/{plan.fault.value}"
         )
-        self._scene = deployment.Deployment(plan.seed)
-        self._new: list[versions.Behaviour] = []
-        self._answers: list[bool] = []
+        self._fleet = deployment.Deployment(plan.seed)
+        self._new_behaviours: list[versions.Behaviour] = []
+        self._succeeded: list[bool] = []
         self._ordered_s = 0.0
         self._ended_s = 0.0
-        self._cut = 0
+        self._aborted_calls = 0
         self._counted_s: list[float] = []
-        self._asking: set[asyncio.Task[None]] = set()
+        self._requests: set[asyncio.Task[None]] = set()
 
     async def run(self) -> Outcome:
-        """Plays it."""
-        scene, plan = self._scene, self._plan
-        await scene.start()
-        await scene.add_searchers(SERVICE, SEARCHERS)
-        for each in scene.searchers.values():
+        """Runs the deployment, the traffic, the roll-out and its fault."""
+        fleet, plan = self._fleet, self._plan
+        await fleet.start()
+        await fleet.add_searchers(SERVICE, SEARCHERS)
+        for each in fleet.searchers.values():
             good = versions.Version(versions.Never())
             each.script = versions.Behaviour(good, self._rng).act
         for prefix in ROUTES:
-            scene.add_route(prefix, Backend=SERVICE)
-        scene.declare()
+            fleet.add_route(prefix, Backend=SERVICE)
+        fleet.declare()
         for number in range(plan.vms):
-            await scene.add_vm(f"vm-{number}", f"zone-{number % 2}")
+            await fleet.add_vm(f"vm-{number}", f"zone-{number % 2}")
         await deployment.settle(2.0)
-        traffic = asyncio.create_task(self._send())
-        await asyncio.sleep(BEFORE_S)
+        traffic = asyncio.create_task(self._send_traffic())
+        await asyncio.sleep(TRAFFIC_LEAD_S)
         loop = asyncio.get_running_loop()
         self._ordered_s = loop.time()
-        scene.order_rollout(SERVICE, NEW, DURATION_S)
+        fleet.order_rollout(SERVICE, NEW_VERSION, DURATION_S)
         helpers = [
             asyncio.create_task(each)
-            for each in (self._operate(), self._harm(), self._listen())
+            for each in (
+                self._run_operator(),
+                self._inject_fault(),
+                self._poll_bad_answers(),
+            )
         ]
-        await asyncio.sleep(DURATION_S + AFTER_S)
+        await asyncio.sleep(DURATION_S + TRAFFIC_TAIL_S)
         for task in (traffic, *helpers):
             task.cancel()
-        await asyncio.wait((traffic, *helpers, *self._asking))
+        await asyncio.wait((traffic, *helpers, *self._requests))
         for helper in helpers:
             if not helper.cancelled() and helper.exception():
                 raise helper.exception() or AssertionError
-        outcome = self._judge()
-        await scene.kill()
+        outcome = self._evaluate()
+        await fleet.kill()
         return outcome
 
-    async def _send(self) -> None:
-        """Sends requests at random times, forever."""
+    async def _send_traffic(self) -> None:
+        """Sends requests at random intervals until cancelled."""
         while True:
             await asyncio.sleep(self._rng.expovariate(self._plan.per_s))
-            task = asyncio.create_task(self._ask())
-            self._asking.add(task)
-            task.add_done_callback(self._asking.discard)
+            task = asyncio.create_task(self._send_request())
+            self._requests.add(task)
+            task.add_done_callback(self._requests.discard)
 
-    async def _ask(self) -> None:
-        """Sends one request, and another one if that fails."""
+    async def _send_request(self) -> None:
+        """Sends one request, retries it once and records if it succeeded."""
         target = self._rng.choice(ROUTES) + "x"
         for _ in range(2):
-            vm = f"vm-{self._rng.randrange(min(SENDERS, self._plan.vms))}"
-            if vm not in self._scene.programs:
+            vm = (
+                f"vm-{self._rng.randrange(min(MAX_TARGET_VMS, self._plan.vms))}"
+            )
+            if vm not in self._fleet.programs:
                 continue
             try:
-                answer = await self._scene.ask(vm, target)
+                answer = await self._fleet.ask(vm, target)
             except (web_connection.BrokenError, OSError):
                 continue
             if answer.status == 200:
-                self._answers.append(True)
+                self._succeeded.append(True)
                 return
-        self._answers.append(False)
+        self._succeeded.append(False)
 
-    async def _operate(self) -> None:
-        """Starts the new searchers, and ends either these or the old ones."""
-        scene = self._scene
+    async def _run_operator(self) -> None:
+        """Starts the new searchers, later removes these or the old ones."""
+        fleet = self._fleet
         loop = asyncio.get_running_loop()
         version = versions.draw(
             self._plan.kind,
@@ -200,43 +209,46 @@
             DURATION_S,
             self._plan.per_s / SEARCHERS,
         )
-        await asyncio.sleep(START_S)
+        await asyncio.sleep(SEARCHER_START_S)
         for index in range(SEARCHERS):
-            started = await scene.add_searcher(
-                f"{SERVICE}-new-{index}", SERVICE, f"zone-{index % 2}", NEW
+            started = await fleet.add_searcher(
+                f"{SERVICE}-new-{index}",
+                SERVICE,
+                f"zone-{index % 2}",
+                NEW_VERSION,
             )
             behaviour = versions.Behaviour(version, self._rng)
-            self._new.append(behaviour)
+            self._new_behaviours.append(behaviour)
             started.script = behaviour.act
-        while scene.read_rollout(SERVICE) not in ENDED:
-            await scene.store.state.wait_for_change(1.0)
+        while fleet.read_rollout(SERVICE) not in FINAL_STATES:
+            await fleet.store.state.wait_for_change(1.0)
         self._ended_s = loop.time()
-        if scene.read_rollout(SERVICE) == "rolled_back":
-            await asyncio.sleep(DRAIN_S)
-            self._remove(NEW)
+        if fleet.read_rollout(SERVICE) == "rolled_back":
+            await asyncio.sleep(ROLLBACK_DRAIN_S)
+            self._remove(NEW_VERSION)
             return
-        for each in self._list(OLD):
-            self._cut += each.running
+        for each in self._list_searchers(OLD_VERSION):
+            self._aborted_calls += each.running
             each.crash()
-        self._remove(OLD)
+        self._remove(OLD_VERSION)
 
-    def _list(self, version: str) -> list[searcher.Searcher]:
-        """Lists the service's searchers of a version."""
+    def _list_searchers(self, version: str) -> list[searcher.Searcher]:
+        """Returns the service's searchers of a version."""
         return [
             each
-            for each in self._scene.searchers.values()
+            for each in self._fleet.searchers.values()
             if each.version == version
         ]
 
     def _remove(self, version: str) -> None:
-        """Takes the entries of a version's searchers away."""
-        for each in self._list(version):
-            self._scene.store.remove(f"servers/{each.id}")
-
-    async def _harm(self) -> None:
-        """Makes things go wrong."""
-        scene = self._scene
-        faults = scene.store.faults
+        """Removes the entries of a version's searchers from the store."""
+        for each in self._list_searchers(version):
+            self._fleet.store.remove(f"servers/{each.id}")
+
+    async def _inject_fault(self) -> None:
+        """Injects the plan's fault at a random time."""
+        fleet = self._fleet
+        faults = fleet.store.faults
         await asyncio.sleep(self._rng.uniform(0.5, 0.75 * DURATION_S))
         match self._plan.fault:
             case Fault.NONE:
@@ -244,12 +256,13 @@
             case Fault.DRIVER_KILLED:
                 await self._restart([self._find_driver()])
             case Fault.DRIVER_STILL:
-                # It goes on granting calls, and its writes come to nothing.
-                driver = scene.programs[self._find_driver()]
+                # The driver stops listening. It continues to grant calls, but
+                # its writes have no effect.
+                driver = fleet.programs[self._find_driver()]
                 for server in driver.list_servers():
                     await server.stop(0.0)
             case Fault.ALL_KILLED:
-                await self._restart(list(scene.programs))
+                await self._restart(list(fleet.programs))
             case Fault.STORE_DOWN:
                 faults.busy = True
                 await asyncio.sleep(3.0)
@@ -264,28 +277,28 @@
                     await asyncio.sleep(0.5)
                 faults.lost = 0
             case Fault.HISTORY_GONE:
-                scene.store.compact()
+                fleet.store.compact()
             case Fault.OLD_SLOW:
-                await self._slow_down(self._list(OLD)[0])
+                await self._slow_down(self._list_searchers(OLD_VERSION)[0])
             case Fault.NEW_CRASHES:
-                if self._new:
-                    crashed = self._list(NEW)[0]
+                if self._new_behaviours:
+                    crashed = self._list_searchers(NEW_VERSION)[0]
                     crashed.crash()
                     await asyncio.sleep(2.0)
                     await crashed.start()
 
-    async def _listen(self) -> None:
-        """Notes when the driver counts each bad answer, forever."""
+    async def _poll_bad_answers(self) -> None:
+        """Records when the driver counts each bad answer until cancelled."""
         while True:
-            await asyncio.sleep(LISTEN_S)
+            await asyncio.sleep(POLL_S)
             now_s = asyncio.get_running_loop().time()
-            for program in self._scene.programs.values():
+            for program in self._fleet.programs.values():
                 counted = program.count_bad_answers(SERVICE)
                 while len(self._counted_s) < counted:
                     self._counted_s.append(now_s)
 
     async def _slow_down(self, slow: searcher.Searcher) -> None:
-        """Makes a searcher slow for some seconds."""
+        """Slows a searcher down by a factor of 5 for 5 seconds."""
         script = slow.script
         slow.script = lambda seen: dataclasses.replace(
             script(seen), after_s=script(seen).after_s * 5
@@ -294,67 +307,78 @@
         slow.script = script
 
     async def _restart(self, vms: list[str]) -> None:
-        """Kills VMs and starts them again."""
+        """Kills VMs and restarts them after 0.5 seconds."""
         for vm in vms:
-            await self._scene.programs.pop(vm).kill()
+            await self._fleet.programs.pop(vm).kill()
         await asyncio.sleep(0.5)
         for vm in vms:
             number = int(vm.removeprefix("vm-"))
-            await self._scene.add_vm(
+            await self._fleet.add_vm(
                 vm, f"zone-{number % 2}", 30000 + 10 * number, first=False
             )
 
     def _find_driver(self) -> str:
-        """Returns the VM that drives the roll-out, or any."""
-        for program in self._scene.programs.values():
+        """Returns the VM that drives the roll-out; vm-0 if there is none."""
+        for program in self._fleet.programs.values():
             record = program.rollouts.get_record(SERVICE)
             if record is not None:
                 vm = record.driver.rpartition("#")[0]
-                if vm in self._scene.programs:
+                if vm in self._fleet.programs:
                     return vm
         return "vm-0"
 
-    def _judge(self) -> Outcome:
-        """Judges what the searchers saw."""
+    def _evaluate(self) -> Outcome:
+        """Evaluates the requests that reached the searchers."""
         deadline_s = self._ordered_s + DURATION_S
-        to_new = sorted(
-            seen.at_s for each in self._list(NEW) for seen in each.seen
+        calls_to_new = sorted(
+            seen.at_s
+            for each in self._list_searchers(NEW_VERSION)
+            for seen in each.seen
         )
-        to_old = [
+        calls_to_old = [
             seen.at_s
-            for each in self._list(OLD)
+            for each in self._list_searchers(OLD_VERSION)
             for seen in each.seen
             if seen.at_s >= self._ordered_s
         ]
-        early = sum(at_s <= deadline_s for at_s in to_new)
-        both = early + sum(at_s <= deadline_s for at_s in to_old)
-        bad = sorted(at_s for each in self._new for at_s in each.bad_s)
+        new_in_time = sum(at_s <= deadline_s for at_s in calls_to_new)
+        all_in_time = new_in_time + sum(
+            at_s <= deadline_s for at_s in calls_to_old
+        )
+        bad = sorted(
+            at_s
+            for each in self._new_behaviours
+            for at_s in each.bad_answer_times
+        )
         outcome = Outcome(
-            state=self._scene.read_rollout(SERVICE),
+            state=self._fleet.read_rollout(SERVICE),
             ended_s=self._ended_s - self._ordered_s if self._ended_s else 0.0,
-            share=early / max(1, both),
-            to_new=early,
-            cut=self._cut,
-            served=sum(self._answers) / max(1, len(self._answers)),
+            share=new_in_time / max(1, all_in_time),
+            calls_to_new=new_in_time,
+            cut=self._aborted_calls,
+            served=sum(self._succeeded) / max(1, len(self._succeeded)),
         )
-        outcome.heard_s = tuple(
+        outcome.count_delays_s = tuple(
             counted_s - bad_s
             for bad_s, counted_s in zip(bad, self._counted_s, strict=False)
         )
-        if len(bad) >= MOST_BAD:
-            outcome.stopped_s = to_new[-1] - bad[MOST_BAD - 1]
-        outcome.broken = tuple(self._list_broken(outcome, both))
+        if len(bad) >= MAX_BAD_ANSWERS:
+            outcome.stop_delay_s = calls_to_new[-1] - bad[MAX_BAD_ANSWERS - 1]
+        outcome.broken = tuple(self._list_violations(outcome, all_in_time))
         return outcome
 
-    def _list_broken(self, outcome: Outcome, both: int) -> list[str]:
-        """Lists the rules that were broken."""
+    def _list_violations(self, outcome: Outcome, all_in_time: int) -> list[str]:
+        """Returns the names of the rules that were broken."""
         broken: list[str] = []
         if self._plan.kind is versions.Kind.GOOD:
             if outcome.cut:
                 broken.append("a call was at an old searcher at its end")
             return broken
-        if outcome.to_new > EXPOSURE_SHARE * both + EXPOSURE_SLACK:
+        if outcome.calls_to_new > EXPOSURE_SHARE * all_in_time + EXPOSURE_SLACK:
             broken.append("exposure")
-        if outcome.stopped_s is not None and outcome.stopped_s > STOP_S:
+        if (
+            outcome.stop_delay_s is not None
+            and outcome.stop_delay_s > STOP_BOUND_S
+        ):
             broken.append("stopped late")
         return broken
--- a/src/azureramp_standins/rollouts/versions.py
+++ b/src/azureramp_standins/rollouts/versions.py
@@ -1,4 +1,4 @@
-"""What new versions of a searcher's software do to requests."""
+"""Behaviour of good and bad versions of the searchers' software."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from azureramp_standins.fleet import searcher
 
-USUAL_S = 0.02
-"""What a request usually takes, in seconds."""
+MEDIAN_WORK_S = 0.02
+"""Median duration of a request, in seconds."""
 
-SPREAD = 0.35
-"""Spread of that, as the logarithm's standard deviation."""
+WORK_LOG_STDDEV = 0.35
+"""Standard deviation of the logarithm of a request's duration."""
 
 
 class Kind(enum.Enum):
-    """Which version is rolled out."""
+    """The kind of version that is rolled out."""
 
     GOOD = "good"
     FAILING = "failing"
@@ -29,91 +29,109 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Always:
-    """It is bad from its start."""
+    """The version is bad from its start."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class After:
-    """It is bad from a time on, on the loop's clock."""
+class AfterTime:
+    """The version is bad from a time on.
+
+    Attributes:
+        at_s: The time, on the loop's clock.
+    """
 
     at_s: float
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Above:
-    """It is bad while a searcher gets more requests a second than this."""
+class AboveRate:
+    """The version is bad while a searcher's request rate exceeds a limit.
+
+    Attributes:
+        per_s: The limit in requests per second.
+    """
 
     per_s: float
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OnRoute:
-    """It is bad on the paths that start like this."""
+    """The version is bad on paths with a prefix.
+
+    Attributes:
+        prefix: The prefix.
+    """
 
     prefix: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Never:
-    """It is as good as the old version."""
+    """The version is as good as the old one."""
 
 
-When = Always | After | Above | OnRoute | Never
+Condition = Always | AfterTime | AboveRate | OnRoute | Never
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Version:
-    """A version.
+    """A version of the searchers' software.
 
     Attributes:
-        when: When it is bad.
+        condition: When the version is bad.
         share: The share of its answers that are bad then.
-        factor: How many times as long these take; 0 if they fail.
+        slowdown: The factor on the duration of bad answers; 0 if they fail.
     """
 
-    when: When
+    condition: Condition
     share: float = 0.0
-    factor: float = 0.0
+    slowdown: float = 0.0
 
 
 class Behaviour:
-    """What one searcher does with its requests.
+    """A searcher's behaviour under a version.
 
     Attributes:
-        bad_s: When it gave each bad answer.
+        bad_answer_times: The arrival times of the requests with bad answers,
+            on the loop's clock.
     """
 
-    __slots__ = ("_recent_s", "_rng", "_version", "bad_s")
+    __slots__ = ("_recent_s", "_rng", "_version", "bad_answer_times")
 
     def __init__(self, version: Version, rng: random.Random) -> None:
-        """Makes the behaviour of a searcher of a version."""
+        """Makes the behaviour of one searcher.
+
+        Args:
+            version: The version that it runs.
+            rng: Source of the random draws.
+        """
         self._version = version
         self._rng = rng
         self._recent_s: collections.deque[float] = collections.deque()
-        self.bad_s: list[float] = []
+        self.bad_answer_times: list[float] = []
 
     def act(self, seen: searcher.Seen) -> searcher.Act:
-        """Decides what to do with a request; a script."""
+        """Chooses the response to a request; see `searcher.Script`."""
         self._recent_s.append(seen.at_s)
         while self._recent_s[0] < seen.at_s - 1.0:
             self._recent_s.popleft()
-        work_s = USUAL_S * self._rng.lognormvariate(0.0, SPREAD)
+        work_s = MEDIAN_WORK_S * self._rng.lognormvariate(0.0, WORK_LOG_STDDEV)
         bad = self._is_bad(seen) and self._rng.random() < self._version.share
         if not bad:
             return searcher.Act(after_s=work_s)
-        self.bad_s.append(seen.at_s)
-        if self._version.factor:
-            return searcher.Act(after_s=work_s * self._version.factor)
+        self.bad_answer_times.append(seen.at_s)
+        if self._version.slowdown:
+            return searcher.Act(after_s=work_s * self._version.slowdown)
         return searcher.Act(after_s=work_s, status=500)
 
     def _is_bad(self, seen: searcher.Seen) -> bool:
-        """Tells whether the version is bad for this request now."""
-        match self._version.when:
+        """Returns True if the version is bad for a request."""
+        match self._version.condition:
             case Always():
                 return True
-            case After(at_s=at_s):
+            case AfterTime(at_s=at_s):
                 return seen.at_s >= at_s
-            case Above(per_s=per_s):
+            case AboveRate(per_s=per_s):
                 return len(self._recent_s) > per_s
             case OnRoute(prefix=prefix):
                 return seen.target.startswith(prefix)
@@ -132,14 +150,14 @@
 
     Args:
         kind: The kind.
-        rng: Draws.
+        rng: Source of the random draws.
         began_s: When the roll-out is ordered, on the loop's clock.
-        duration_s: Its time, in seconds.
-        full_per_s: Requests a second to one of its searchers once it has all
-            traffic.
+        duration_s: The roll-out's duration, in seconds.
+        full_per_s: Request rate of each of its searchers under all of the
+            traffic, per second.
     """
     share = rng.uniform(0.3, 0.8)
-    factor = rng.choice((0.0, rng.uniform(4.0, 8.0)))
+    slowdown = rng.choice((0.0, rng.uniform(4.0, 8.0)))
     match kind:
         case Kind.GOOD:
             return Version(Never())
@@ -149,8 +167,8 @@
             return Version(Always(), share, rng.uniform(4.0, 8.0))
         case Kind.LATER:
             at_s = began_s + duration_s * rng.uniform(0.2, 0.6)
-            return Version(After(at_s), share, factor)
+            return Version(AfterTime(at_s), share, slowdown)
         case Kind.UNDER_LOAD:
-            return Version(Above(0.6 * full_per_s), share, factor)
+            return Version(AboveRate(0.6 * full_per_s), share, slowdown)
         case Kind.ONE_ROUTE:
-            return Version(OnRoute("/two/"), share, factor)
+            return Version(OnRoute("/two/"), share, slowdown)
