--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -1,4 +1,4 @@
-"""A stand-in for a searcher that speaks the users' platform's protocol."""
+"""A test double of a searcher for the users' platform's protocol."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """A request that reached the searcher.
 
     Attributes:
-        at_s: When, on the loop's clock.
+        at_s: When it arrived, on the loop's clock.
         id: The request's id.
         method: The method.
         target: The path with its query.
@@ -37,21 +37,23 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Act:
-    """What the searcher does with a request.
+    """A searcher's response to a request.
 
     Attributes:
-        after_s: How long it works, in seconds.
-        status: The status.
-        body: The body.
-        signed: True if it signs the answer.
-        not_run: True if it says that it did not run the request.
-        id: The request id of the answer; None for the request's own.
-        raw: Bytes sent in place of an answer.
-        extra: Bytes sent after the answer.
-        extra_after_s: How much later these are sent, in seconds.
-        framed: False for an answer without a length, ended by a close.
-        then: `keep`, `close`, `reset` or `hang`: what follows; `hang` sends
-            nothing at all.
+        after_s: Delay before the answer, in seconds.
+        status: The answer's status.
+        body: The answer's body.
+        signed: True if the answer has the server's stamp.
+        not_run: True if the answer states that the request was not run.
+        id: The request id in the answer; None for the request's own.
+        raw: Bytes to send instead of an answer.
+        extra: Bytes to send after the answer.
+        extra_after_s: Delay before the extra bytes, in seconds.
+        framed: False for an answer without a length, ended by closing the
+            connection.
+        then: What happens to the connection afterwards: `keep`, `close`,
+            `reset` or `hang`. `hang` sends no answer, and `reset` sends only
+            `raw`, if given.
     """
 
     after_s: float = 0.005
@@ -67,28 +69,31 @@
     then: str = "keep"
 
     def do(self, _: Seen) -> Act:
-        """Does this with every request; a script."""
+        """Returns this response for every request; usable as a `Script`."""
         return self
 
 
 Script = Callable[[Seen], Act]
+"""Chooses the response to a request."""
 
 
 class Searcher:
-    """One searcher.
+    """A searcher that follows a script.
 
     Attributes:
-        id: Its identity.
+        id: The searcher's id.
         service: The name of its service.
-        address: Its `IP:port`.
+        address: The `IP:port` that it listens on.
         zone: Its availability zone.
         version: The version of its software.
-        script: Decides what to do with each request.
-        seen: What reached it.
-        connections: How many connections it accepted.
-        open: How many are open.
-        running: How many requests it works on.
-        most_open: How many it accepts; it resets what comes beyond.
+        script: Chooses the response to each request.
+        seen: The requests that reached it.
+        connections: The number of connections that clients opened.
+        open: The number of open connections.
+        running: The number of requests in progress.
+        most_open: The limit of open connections; further ones are reset.
+        cancelled: The number of requests whose client disconnected before the
+            answer, by request id.
     """
 
     def __init__(
@@ -99,7 +104,7 @@
         zone: str,
         version: str = "v1",
     ) -> None:
-        """Makes a searcher that answers at once; see `start`."""
+        """Makes a searcher that answers every request; see `start`."""
         self.version = version
         self.id = name
         self.service = service
@@ -116,12 +121,12 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts listening."""
         host, port = web_connection.split_address(self.address)
         self._server = await asyncio.start_server(self._serve, host, port)
 
     def crash(self) -> None:
-        """Ends at once, with all connections."""
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -129,11 +134,15 @@
             writer.transport.abort()
 
     def is_listening(self) -> bool:
-        """Tells whether it takes connections."""
+        """Returns True if the searcher accepts connections."""
         return self._server is not None
 
     def describe(self, **changes: object) -> dict[str, object]:
-        """Returns its entry in the store."""
+        """Returns the searcher's entry for the store.
+
+        Args:
+            **changes: Fields that replace or extend the defaults.
+        """
         return {
             "Backend": self.service,
             "Address": self.address,
@@ -173,34 +182,36 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Serves one request; False if the connection ends."""
-        seen = await self._read(http, reader)
+        """Serves one request; returns False if the connection ends."""
+        seen = await self._read_request(http, reader)
         if seen is None:
             return False
         self.seen.append(seen)
         signature = f"{self.id}.{seen.id}.{len(self.seen)}"
-        wanted = seen.headers.get("azureramp-target-instance", self.id)
+        target_id = seen.headers.get("azureramp-target-instance", self.id)
         act = self.script(seen)
-        if wanted != self.id:
+        if target_id != self.id:
             act = Act(status=421, signed=False)
         work = asyncio.ensure_future(asyncio.sleep(act.after_s))
-        gone = asyncio.ensure_future(reader.read(1))
+        disconnected = asyncio.ensure_future(reader.read(1))
         self.running += 1
-        await asyncio.wait({work, gone}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(
+            {work, disconnected}, return_when=asyncio.FIRST_COMPLETED
+        )
         self.running -= 1
         if not work.done():
             work.cancel()
             self.cancelled[seen.id] += 1
             return False
         if act.then == "hang":
-            await gone
+            await disconnected
             return False
-        gone.cancel()
-        await asyncio.wait({gone})
+        disconnected.cancel()
+        await asyncio.wait({disconnected})
         if act.then == "reset" and act.raw is None:
             writer.transport.abort()
             return False
-        writer.write(self._encode(http, seen, act, signature))
+        writer.write(self._encode_response(http, seen, act, signature))
         if act.extra_after_s:
             asyncio.get_running_loop().call_later(
                 act.extra_after_s, writer.write, act.extra
@@ -210,41 +221,41 @@
             writer.transport.abort()
         return act.then == "keep" and act.framed and act.raw is None
 
-    async def _read(
+    async def _read_request(
         self, http: h11.Connection, reader: asyncio.StreamReader
     ) -> Seen | None:
-        """Reads one request; None at the end of the stream."""
-        head: h11.Request | None = None
+        """Reads one request; returns None at the end of the stream."""
+        request_head: h11.Request | None = None
         body = bytearray()
         while True:
             match http.next_event():
                 case h11.NEED_DATA:
                     http.receive_data(await reader.read(READ_BYTES))
                 case h11.Request() as event:
-                    head = event
+                    request_head = event
                 case h11.Data() as event:
                     body += event.data
-                case h11.EndOfMessage() if head is not None:
+                case h11.EndOfMessage() if request_head is not None:
                     break
                 case _:
                     return None
         headers = {
             name.decode("latin-1"): value.decode("latin-1")
-            for name, value in head.headers
+            for name, value in request_head.headers
         }
         return Seen(
             asyncio.get_running_loop().time(),
             headers.get("azureramp-request-id", ""),
-            head.method.decode("ascii"),
-            head.target.decode("ascii"),
+            request_head.method.decode("ascii"),
+            request_head.target.decode("ascii"),
             headers,
             bytes(body),
         )
 
-    def _encode(
+    def _encode_response(
         self, http: h11.Connection, seen: Seen, act: Act, signature: str
     ) -> bytes:
-        """Encodes what is sent back."""
+        """Encodes the response to a request."""
         if act.raw is not None:
             return act.raw
         name = seen.id if act.id is None else act.id
@@ -257,11 +268,11 @@
             headers.append(("Content-Length", str(len(act.body))))
         else:
             headers.append(("Connection", "close"))
-        head = h11.Response(status_code=act.status, headers=headers)
+        response_head = h11.Response(status_code=act.status, headers=headers)
         if not act.framed:
             lines = [f"HTTP/1.1 {act.status} OK"]
             lines += [f"{field}: {value}" for field, value in headers]
             return "\r\n".join([*lines, "", ""]).encode() + act.body
-        events = (head, h11.Data(data=act.body), h11.EndOfMessage())
+        events = (response_head, h11.Data(data=act.body), h11.EndOfMessage())
         extra = b"" if act.extra_after_s else act.extra
         return b"".join(http.send(event) or b"" for event in events) + extra
