--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's metadata store."""
+"""A test double of the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from azureramp.ports.web import api as web_api
 from azureramp.ports.web import server as web_server
 
-PAGE = 50
-"""Most items of one page."""
+PAGE_ITEMS = 50
+"""Maximum number of items in a page."""
 
-MOST_ROWS = 32
-"""Most conditions, writes and deletions of one change together."""
+MAX_TRANSACTION_ROWS = 32
+"""Maximum number of conditions, writes and deletions in a transaction."""
 
 MAX_WAIT_S = 30.0
-"""Longest wait of a watch, in seconds."""
+"""Maximum wait of a watch, in seconds."""
 
 
 class Faults(msgspec.Struct, kw_only=True):
-    """What goes wrong.
+    """The injected faults.
 
     Attributes:
-        busy: Every call is answered by 503.
-        silent: No call is answered.
-        slow_s: Time that each call takes, in seconds.
-        lost: So many next writes take effect and are not answered.
+        busy: True to answer every call with 503.
+        silent: True to answer no call.
+        slow_s: Delay of each call, in seconds.
+        lost: How many of the next writes take effect without an answer.
     """
 
     busy: bool = False
@@ -41,32 +41,37 @@
 
 
 class Store:
-    """The stand-in's state and its HTTP interface.
+    """The store's state and HTTP interface.
 
     Attributes:
-        faults: What goes wrong.
-        kept_after: Watches from before this revision get 410.
-        calls: How often each path was called.
+        faults: The injected faults.
+        compacted_revision: Watches from before this revision get 410.
+        calls: The number of calls by path.
         server: The HTTP server.
         state: The keys, revisions and leases.
     """
 
-    __slots__ = ("calls", "faults", "kept_after", "server", "state")
+    __slots__ = ("calls", "compacted_revision", "faults", "server", "state")
 
     def __init__(self, address: str) -> None:
         """Makes an empty store; see `start`."""
         self.faults = Faults()
-        self.kept_after = 0
+        self.compacted_revision = 0
         self.calls: collections.Counter[str] = collections.Counter()
         self.state = store_state.State()
         self.server = web_server.Server(address, self._handle)
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts listening."""
         await self.server.start()
 
     def put(self, key: str, body: Any) -> int:
-        """Writes an entry, as its writer would; returns its revision."""
+        """Writes an entry unconditionally and returns its revision.
+
+        Args:
+            key: The key.
+            body: The value; encoded as JSON unless it is bytes.
+        """
         value = body if isinstance(body, bytes) else msgspec.json.encode(body)
         present = self.state.read(key)
         expected = present.revision if present else api.CREATE
@@ -75,17 +80,17 @@
         return written.revision
 
     def remove(self, key: str) -> None:
-        """Deletes an entry."""
+        """Deletes an entry, if it exists."""
         present = self.state.read(key)
         if present is not None:
             self.state.write(key, None, present.revision)
 
     def compact(self) -> None:
-        """Forgets the history."""
-        self.kept_after = self.state.revision
+        """Discards the history of changes."""
+        self.compacted_revision = self.state.revision
 
     async def _handle(self, request: web_api.Request) -> web_api.Response:
-        """Answers one call, under the faults."""
+        """Answers one call, subject to the injected faults."""
         path = request.path.rpartition("/")[0] or request.path
         self.calls[path] += 1
         if self.faults.silent:
@@ -93,71 +98,80 @@
         if self.faults.slow_s:
             await asyncio.sleep(self.faults.slow_s)
         if self.faults.busy:
-            return _answer(503, {})
+            return _make_response(503, {})
         self.state.expire_leases(asyncio.get_running_loop().time())
         match request.method, path:
             case "GET", "/kv-key":
-                return self._read(request)
+                return self._read_key(request)
             case "GET", "/kv-range":
-                return self._list(request)
+                return self._list_page(request)
             case "GET", "/kv-watch":
                 return await self._watch(request)
             case "POST", "/kv-txn":
-                return await self._change(request)
+                return await self._handle_transaction(request)
             case "POST", ("/kv-lease" | "/kv-keep"):
-                return self._lease(request)
-        return _answer(404, {})
+                return self._handle_lease(request)
+        return _make_response(404, {})
 
-    def _read(self, request: web_api.Request) -> web_api.Response:
+    def _read_key(self, request: web_api.Request) -> web_api.Response:
         """Reads one key."""
         entry = self.state.read(request.query["Key"])
         if entry is None:
-            return _answer(404, {"AsOf": self.state.revision})
-        return _answer(200, _describe(entry) | {"AsOf": self.state.revision})
+            return _make_response(404, {"AsOf": self.state.revision})
+        return _make_response(
+            200, _encode_entry(entry) | {"AsOf": self.state.revision}
+        )
 
-    def _list(self, request: web_api.Request) -> web_api.Response:
-        """Reads one page."""
+    def _list_page(self, request: web_api.Request) -> web_api.Response:
+        """Reads one page of a listing."""
         listing = self.state.list(request.query["Prefix"])
         after = request.query.get("after", "")
-        left = [entry for entry in listing.entries if entry.key > after]
+        remaining = [entry for entry in listing.entries if entry.key > after]
         body = {
-            "items": [_describe(entry) for entry in left[:PAGE]],
-            "HasMore": len(left) > PAGE,
+            "items": [_encode_entry(entry) for entry in remaining[:PAGE_ITEMS]],
+            "HasMore": len(remaining) > PAGE_ITEMS,
             "AsOf": listing.revision,
         }
-        return _answer(200, body)
+        return _make_response(200, body)
 
     async def _watch(self, request: web_api.Request) -> web_api.Response:
         """Waits for changes."""
         loop = asyncio.get_running_loop()
         after = int(request.query["after"])
         wait_s = min(int(request.query["WaitMs"]) / 1000, MAX_WAIT_S)
-        until_s = loop.time() + wait_s
+        deadline_s = loop.time() + wait_s
         while True:
-            if after < self.kept_after:
-                return _answer(410, {})
+            if after < self.compacted_revision:
+                return _make_response(410, {})
             changes = self.state.list_changes(request.query["Prefix"], after)
-            left_s = until_s - loop.time()
-            if changes.entries or left_s <= 0:
-                events = [_describe(entry) for entry in changes.entries]
+            remaining_s = deadline_s - loop.time()
+            if changes.entries or remaining_s <= 0:
+                events = [_encode_entry(entry) for entry in changes.entries]
                 body = {"events": events, "AsOf": changes.revision}
-                return _answer(200, body)
+                return _make_response(200, body)
             expiry_s = self.state.get_next_expiry_s()
             if expiry_s is not None:
-                left_s = min(left_s, max(0.0, expiry_s - loop.time()) + 0.001)
-            await self.state.wait_for_change(left_s)
+                remaining_s = min(
+                    remaining_s, max(0.0, expiry_s - loop.time()) + 0.001
+                )
+            await self.state.wait_for_change(remaining_s)
             self.state.expire_leases(loop.time())
 
-    async def _change(self, request: web_api.Request) -> web_api.Response:
-        """Changes keys under conditions."""
+    async def _handle_transaction(
+        self, request: web_api.Request
+    ) -> web_api.Response:
+        """Applies a conditional transaction."""
         body = msgspec.json.decode(request.body)
         expected = {row["Key"]: row["Revision"] for row in body["Precondition"]}
         written = {write["Key"]: write for write in body["Writes"]}
-        if len(expected) + len(written) + len(body["DeleteKeys"]) > MOST_ROWS:
-            return _answer(413, {})
+        if (
+            len(expected) + len(written) + len(body["DeleteKeys"])
+            > MAX_TRANSACTION_ROWS
+        ):
+            return _make_response(413, {})
         outcome = self.state.write_all(
             [
-                _to_change(key, written.get(key), revision)
+                _make_change(key, written.get(key), revision)
                 for key, revision in expected.items()
             ]
         )
@@ -166,32 +180,32 @@
             await asyncio.sleep(3600)
         match outcome:
             case api.Written(revision=revision):
-                return _answer(200, {"Revision": revision})
+                return _make_response(200, {"Revision": revision})
             case api.BatchConflicted(present=present):
                 items = [
-                    _describe(entry)
+                    _encode_entry(entry)
                     for entry in map(self.state.read, present)
                     if entry is not None
                 ]
-                return _answer(412, {"items": items})
-        return _answer(404, {})
+                return _make_response(412, {"items": items})
+        return _make_response(404, {})
 
-    def _lease(self, request: web_api.Request) -> web_api.Response:
+    def _handle_lease(self, request: web_api.Request) -> web_api.Response:
         """Grants or renews a lease."""
         now_s = asyncio.get_running_loop().time()
         if request.path == "/kv-lease":
             ttl_ms = msgspec.json.decode(request.body)["TtlMs"]
             lease = self.state.grant_lease(ttl_ms / 1000, now_s)
             number = int(lease.removeprefix("lease-"))
-            return _answer(200, {"Lease": number, "TtlMs": ttl_ms})
+            return _make_response(200, {"Lease": number, "TtlMs": ttl_ms})
         number = int(request.path.rpartition("/")[2])
         if self.state.keep_lease(f"lease-{number}", now_s):
-            return _answer(200, {"TtlMs": 0})
-        return _answer(404, {})
+            return _make_response(200, {"TtlMs": 0})
+        return _make_response(404, {})
 
 
-def _describe(entry: api.Entry) -> dict[str, Any]:
-    """Describes an entry or its removal as the wire does."""
+def _encode_entry(entry: api.Entry) -> dict[str, Any]:
+    """Encodes an entry or its deletion in the protocol's format."""
     if entry.value is None:
         return {
             "Key": entry.key,
@@ -207,18 +221,18 @@
     }
 
 
-def _to_change(
+def _make_change(
     key: str, write: dict[str, Any] | None, expected: int
 ) -> api.Change:
-    """Makes the change of a key, its deletion if nothing is written."""
+    """Makes the change of a key: a deletion if `write` is None."""
     if write is None:
         return api.Change(key, None, expected)
     lease = f"lease-{write['Lease']}" if write.get("Lease") else ""
     return api.Change(key, base64.b64decode(write["Value"]), expected, lease)
 
 
-def _answer(status: int, body: Any) -> web_api.Response:
-    """Makes a response."""
+def _make_response(status: int, body: Any) -> web_api.Response:
+    """Makes a response with a JSON body."""
     return web_api.Response(
         status, msgspec.json.encode(body), "application/json"
     )
