--- a/src/azureramp_standins/fleet/__init__.py
+++ b/src/azureramp_standins/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that speak the users' platform's protocol, with faults."""
+"""Test doubles for the users' platform's protocol, with fault injection."""
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment on the users' platform's protocol, in one event loop."""
+"""A whole deployment in one event loop, on the users' platform's protocol."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from azureramp_standins.fleet import searcher, store
 
 HOST = "search.example"
-CLOSING_S = 0.5
-"""Time for the last connections to close, in seconds."""
+CLOSE_WAIT_S = 0.5
+"""Wait for the last connections to close, in seconds."""
 
 STORE_ADDRESS = "127.0.0.1:7000"
 
@@ -28,17 +28,18 @@
     """A store, searchers, daemons and a caller.
 
     Attributes:
-        store: The platform's store.
+        store: The test double of the platform's store.
         searchers: The searchers by id.
-        programs: The daemons by VM.
-        configuration: What the operators declared, as it stands in the store.
+        programs: The daemons by the VM's name.
+        configuration: The operators' configuration, as `declare` writes it to
+            the store.
     """
 
     def __init__(self, seed: int = 0) -> None:
         """Makes a deployment without searchers and VMs.
 
         Args:
-            seed: Makes the daemons' draws repeat.
+            seed: The seed of the daemons' random draws.
         """
         self._seed = seed
         self.store = store.Store(STORE_ADDRESS)
@@ -63,7 +64,7 @@
         await self.store.start()
 
     async def add_searchers(self, service: str, count: int = 2) -> None:
-        """Starts searchers of a new service, each in its own zone."""
+        """Starts searchers of a new service, in two zones by turns."""
         self.configuration["Services"].append(
             {
                 "Name": service,
@@ -81,7 +82,14 @@
     async def add_searcher(
         self, name: str, service: str, zone: str, version: str = "v1"
     ) -> searcher.Searcher:
-        """Starts one more searcher of a service."""
+        """Starts a searcher and writes its entry to the store.
+
+        Args:
+            name: The searcher's id.
+            service: Its service.
+            zone: Its availability zone.
+            version: The version of its software.
+        """
         address = f"127.0.0.1:{20000 + len(self.searchers)}"
         started = searcher.Searcher(name, service, address, zone, version)
         await started.start()
@@ -92,7 +100,16 @@
     def order_rollout(
         self, service: str, target: str, duration_s: float
     ) -> int:
-        """Orders a roll-out as an operator would; returns its revision."""
+        """Orders a roll-out by an operator's entry in the store.
+
+        Args:
+            service: The service.
+            target: The new version.
+            duration_s: The roll-out's duration, in seconds.
+
+        Returns:
+            The entry's revision.
+        """
         return self.store.put(
             f"op/rollout/{service}",
             {
@@ -103,7 +120,10 @@
         )
 
     def read_rollout(self, service: str) -> str:
-        """Returns the state of a roll-out as operators see it."""
+        """Returns a roll-out's state from the operators' status entry.
+
+        Empty if there is no entry.
+        """
         entry = self.store.state.read(f"status/rollout/{service}")
         if entry is None or entry.value is None:
             return ""
@@ -111,7 +131,12 @@
         return state
 
     def add_route(self, prefix: str, **fields: Any) -> None:
-        """Declares a route; see the platform's page for the fields."""
+        """Adds a route to the configuration, without writing it.
+
+        Args:
+            prefix: The prefix of the route's paths.
+            **fields: Further fields of the route's entry in the configuration.
+        """
         self.configuration["Routes"].append(
             {
                 "Name": f"route{prefix}",
@@ -127,7 +152,7 @@
         )
 
     def declare(self) -> None:
-        """Writes a new version of the configuration."""
+        """Writes the configuration to the store under a new version."""
         self.configuration["Version"] += 3
         self.store.put("op/config", self.configuration)
 
@@ -143,15 +168,15 @@
         Args:
             vm: The VM's name.
             zone: Its availability zone.
-            base: Its first port; 0 for ports of its own.
+            base: The first of its ports; 0 for ports by its number.
             first: True if the whole tier starts for the first time.
         """
         base = base or 30000 + 10 * len(self.programs)
-        given = make_settings(vm, zone, base, first)
-        # A process that starts again draws otherwise than the one before.
+        daemon_settings = make_settings(vm, zone, base, first)
+        # A restarted process makes other random draws than its predecessor.
         seed = self._seed + next(self._starts) if not first else self._seed
         clock = asyncio.get_running_loop().time
-        started = program.Program(given, seed=seed, clock=clock)
+        started = program.Program(daemon_settings, seed=seed, clock=clock)
         await started.start()
         self.programs[vm] = started
         return started
@@ -165,14 +190,23 @@
         deadline_ms: int = 1000,
         request_id: str = "",
     ) -> web_api.Response:
-        """Sends a caller's request on a connection of its own.
+        """Sends a caller's request on a new connection.
+
+        Args:
+            vm: The VM to send it to.
+            target: The path with its query.
+            method: The HTTP method.
+            body: The body.
+            deadline_ms: The request's deadline, in milliseconds.
+            request_id: The request's id; empty to generate one.
 
         Raises:
-            BrokenError: The connection ended without an answer.
+            BrokenError: The connection could not be opened, or ended without
+                an answer.
         """
         address = self.get_address(vm)
         opened = await web_connection.connect(address, 1.0)
-        connection = _unwrap(opened)
+        connection = _get_connection(opened)
         headers = (
             ("Azureramp-Request-Id", request_id or f"r{next(self._ids)}"),
             ("Azureramp-Deadline-Ms", str(deadline_ms)),
@@ -185,24 +219,31 @@
             connection.abort()
 
     def get_address(self, vm: str) -> str:
-        """Returns where a daemon's callers connect."""
+        """Returns the `IP:port` where a VM accepts callers' requests."""
         return self.programs[vm].board.identity.front_address
 
     async def kill(self) -> None:
-        """Ends everything."""
+        """Stops all daemons, the searchers and the store at once."""
         for each in self.programs.values():
             await each.kill()
         for other in self.searchers.values():
             other.crash()
         await self.store.server.stop(0.0)
-        # Connections that were aborted are closed in the loop's next turns.
-        await asyncio.sleep(CLOSING_S)
+        # Aborted connections are closed in later iterations of the event loop.
+        await asyncio.sleep(CLOSE_WAIT_S)
 
 
 def make_settings(
     vm: str, zone: str, base: int, first: bool = True
 ) -> settings.Settings:
-    """Makes the settings of a daemon with ports from `base` on."""
+    """Makes a daemon's settings.
+
+    Args:
+        vm: The VM's name.
+        zone: Its availability zone.
+        base: The first of its four ports.
+        first: True if the whole tier starts for the first time.
+    """
     return settings.Settings(
         identity=board.Identity(
             vm=vm,
@@ -229,13 +270,13 @@
     )
 
 
-def _unwrap(
+def _get_connection(
     opened: expression.Result[web_connection.Connection, errors.Failure],
 ) -> web_connection.Connection:
-    """Returns an opened connection.
+    """Returns the opened connection.
 
     Raises:
-        BrokenError: It could not be opened.
+        BrokenError: The connection could not be opened.
     """
     if opened.is_error():
         raise web_connection.BrokenError(opened.error.detail)
@@ -243,5 +284,9 @@
 
 
 async def settle(seconds: float = 1.0) -> None:
-    """Lets the daemons hear of what was written."""
+    """Waits for the daemons to receive earlier writes to the store.
+
+    Args:
+        seconds: How long to wait, in seconds.
+    """
     await asyncio.sleep(seconds)
