--- a/src/azureramp_standins/heartbeats.py
+++ b/src/azureramp_standins/heartbeats.py
@@ -1,11 +1,11 @@
-"""Measures what heartbeats cost: real processes with the real peer links.
-
-`python -m azureramp_standins.heartbeats --vms 8` starts so many processes on
-loopback. Each runs the membership controller, claims its searchers and tells
-their states, and reports its processor time, bytes and memory. With `--apart`
-one process is measured, and all the other VMs share a second one: among
-themselves they talk in memory, with the measured one by the real links. So
-many processes would take each other's processor time.
+"""Measures the cost of heartbeats with real processes and peer links.
+
+`python -m azureramp_standins.heartbeats --vms 8` starts 8 processes on
+loopback. Each runs the membership controller, claims its searchers and
+announces their states, and reports its CPU time, bytes and memory. With
+`--apart` one process is measured, and all other VMs share a second process:
+they exchange messages in memory among themselves, and with the measured VM over
+the real links. One process for each VM would compete for CPU time.
 """
 
 from __future__ import annotations
@@ -38,18 +38,19 @@
 ZONES = 4
 FIRST_PORT = 21000
 WARM_UP_S = 20.0
-LINGER_S = 2.0
-"""How long VMs go on after the measurement, so that all are there."""
+COOL_DOWN_S = 2.0
+"""How long VMs continue after the measurement, in seconds, so that all VMs run
+until the last measurement ends."""
 
-REST = -1
-"""The number that stands for all VMs but the measured one."""
+OTHERS = -1
+"""The `--number` of the process that runs all VMs but the measured one."""
 
 
-class FixedList:
+class FixedVmList:
     """A VM list that never changes."""
 
     def __init__(self, vms: int) -> None:
-        """Makes a list of so many VMs."""
+        """Makes a list with the given number of VMs."""
         self._vms = tuple(make_vm(number) for number in range(vms))
 
     async def read(
@@ -73,7 +74,7 @@
 
 
 def make_configuration(servers: int) -> resources.Configuration:
-    """Makes a configuration of backend servers of two searchers each."""
+    """Makes a configuration of backend servers with two searchers each."""
     configuration = resources.Configuration()
     configuration.revision = 1
     for number in range(servers):
@@ -93,7 +94,13 @@
 
 
 def publish(board: blackboard.Blackboard, tick: int) -> None:
-    """Writes the searchers' states as an owner does, some of them changed."""
+    """Writes the states of the VM's own searchers to the blackboard.
+
+    Args:
+        board: The VM's blackboard.
+        tick: The number of the update. The queue length of every fourth
+            searcher changes with it.
+    """
     own = board.settings.vm
     for number, (name, vm) in enumerate(sorted(board.owners.items())):
         if vm == own:
@@ -105,27 +112,33 @@
             board.owned.pop(name, None)
 
 
-class Split:
-    """Links that are real towards the measured VM, and in memory else."""
+class SplitPeers:
+    """Peer links that are real to the measured VM and in memory to others."""
 
     def __init__(
-        self, real: nng.NngPeers, near: memory.MemoryPeers, measured: str
+        self, real: nng.NngPeers, in_memory: memory.MemoryPeers, measured: str
     ) -> None:
-        """Joins both kinds of links."""
+        """Combines both kinds of links.
+
+        Args:
+            real: The links over the network.
+            in_memory: The links within the process.
+            measured: The measured VM's peer address.
+        """
         self._real = real
-        self._near = near
+        self._in_memory = in_memory
         self._measured = measured
 
     async def start(self, handler: peers_api.Handler) -> None:
-        """Begins to receive; see `api.Peers`."""
+        """Starts receiving; see `api.Peers`."""
         await self._real.start(handler)
-        await self._near.start(handler)
+        await self._in_memory.start(handler)
 
     def send(self, address: str, *batch: messages.PeerMessage) -> bool:
         """Sends messages; see `api.Peers`."""
         if address == self._measured:
             return self._real.send(address, *batch)
-        return self._near.send(address, *batch)
+        return self._in_memory.send(address, *batch)
 
     def reconnect(self, address: str) -> None:
         """Opens a new link; see `api.Peers`."""
@@ -135,11 +148,11 @@
     async def close(self) -> None:
         """Closes both; see `api.Peers`."""
         await self._real.close()
-        await self._near.close()
+        await self._in_memory.close()
 
 
 class Node:
-    """One VM's membership controller."""
+    """A VM with its membership controller and peer links."""
 
     def __init__(
         self,
@@ -148,7 +161,15 @@
         servers: int,
         network: memory.Network | None,
     ) -> None:
-        """Makes one VM; over the real links only if there is no network."""
+        """Makes a VM.
+
+        Args:
+            number: The VM's number.
+            vms: The number of VMs.
+            servers: The number of backend servers.
+            network: The in-memory network of the unmeasured VMs; None to use
+                real links only.
+        """
         vm = make_vm(number)
         timeline = timelines.Timeline(vm.name)
         self.counters = metrics.Metrics()
@@ -167,16 +188,20 @@
         )
         self.port: peers_api.Peers = real
         if network is not None:
-            near = memory.MemoryPeers(
+            in_memory = memory.MemoryPeers(
                 network, vm.name, vm.peer_address, 1, timeline
             )
-            self.port = Split(real, near, make_vm(0).peer_address)
+            self.port = SplitPeers(real, in_memory, make_vm(0).peer_address)
         self._controller = membership.make(
-            self.board, outbox.Outbox(self.board, self.port), FixedList(vms)
+            self.board, outbox.Outbox(self.board, self.port), FixedVmList(vms)
         )
 
-    async def run(self, for_s: float) -> None:
-        """Runs it, with searchers whose states change."""
+    async def run(self, duration_s: float) -> None:
+        """Runs the controller while the searchers' states change.
+
+        Args:
+            duration_s: How long to run, in seconds.
+        """
         receivers = inbox.Receivers(
             {
                 messages.Heartbeat: self._controller.receive_heartbeat,
@@ -186,7 +211,7 @@
         )
         await self.port.start(inbox.Inbox(self.board, receivers).receive)
         running = asyncio.create_task(self._controller.run())
-        for tick in range(math.ceil(for_s)):
+        for tick in range(math.ceil(duration_s)):
             publish(self.board, tick)
             await asyncio.sleep(1.0)
         running.cancel()
@@ -194,36 +219,40 @@
         await self.port.close()
 
 
-async def run_one(number: int, vms: int, servers: int, for_s: float) -> None:
-    """Runs one VM, and prints what it cost."""
+async def run_one(
+    number: int, vms: int, servers: int, duration_s: float
+) -> None:
+    """Runs one VM and prints its costs as JSON."""
     node = Node(number, vms, servers, None)
-    running = asyncio.create_task(node.run(WARM_UP_S + for_s + LINGER_S))
+    running = asyncio.create_task(
+        node.run(WARM_UP_S + duration_s + COOL_DOWN_S)
+    )
     await asyncio.sleep(WARM_UP_S)
-    began = read_costs(node.counters)
-    await asyncio.sleep(for_s)
-    ended = read_costs(node.counters)
+    costs_before = read_costs(node.counters)
+    await asyncio.sleep(duration_s)
+    costs_after = read_costs(node.counters)
     now_s = asyncio.get_running_loop().time()
     costs = {
-        name: (ended[name] - began[name]) / for_s
+        name: (costs_after[name] - costs_before[name]) / duration_s
         for name in ("cpu_s", "sent", "received", "dropped")
     }
-    costs["rss_mb"] = ended["rss_kb"] / 1024
+    costs["rss_mb"] = costs_after["rss_kb"] / 1024
     costs["lease"] = float(node.board.lease_until_s > now_s)
     costs["owned"] = len(node.board.may_start_s)
     print(json.dumps(costs), flush=True)  # noqa: T201
     await running
 
 
-async def run_rest(vms: int, servers: int, for_s: float) -> None:
-    """Runs all VMs but the measured one."""
+async def run_others(vms: int, servers: int, duration_s: float) -> None:
+    """Runs all VMs but the measured one in this process."""
     network = memory.Network()
     nodes = [Node(number, vms, servers, network) for number in range(1, vms)]
-    total_s = WARM_UP_S + for_s + LINGER_S
+    total_s = WARM_UP_S + duration_s + COOL_DOWN_S
     await asyncio.gather(*(node.run(total_s) for node in nodes))
 
 
 def read_costs(counters: metrics.Metrics) -> dict[str, float]:
-    """Reads what this process has used since its start."""
+    """Reads the resources that this process has used since its start."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return {
         "cpu_s": usage.ru_utime + usage.ru_stime,
@@ -235,14 +264,14 @@
 
 
 def run_all(
-    vms: int, servers: int, for_s: float, apart: bool
+    vms: int, servers: int, duration_s: float, apart: bool
 ) -> dict[str, float]:
-    """Runs all VMs, and returns the mean of each figure."""
+    """Runs all VMs and returns the mean of each cost over the processes."""
     command = [
         *(sys.executable, "-m", "azureramp_standins.heartbeats"),
-        *(f"--vms={vms}", f"--servers={servers}", f"--seconds={for_s}"),
+        *(f"--vms={vms}", f"--servers={servers}", f"--seconds={duration_s}"),
     ]
-    numbers = [0, REST] if apart else list(range(vms))
+    numbers = [0, OTHERS] if apart else list(range(vms))
     processes = [
         subprocess.Popen(
             [*command, f"--number={number}"], stdout=subprocess.PIPE, text=True
@@ -258,17 +287,17 @@
 
 
 @click.command()
-@click.option("--vms", default=8, help="How many VMs.")
+@click.option("--vms", default=8, help="Number of VMs.")
 @click.option("--servers", default=50, help="Backend servers of 2 searchers.")
-@click.option("--seconds", default=10.0, help="How long to measure.")
-@click.option("--apart", is_flag=True, help="Measure one VM by itself.")
+@click.option("--seconds", default=10.0, help="Duration of the measurement.")
+@click.option("--apart", is_flag=True, help="Measure one VM in isolation.")
 @click.option("--number", type=int, hidden=True)
 def main(
     vms: int, servers: int, seconds: float, apart: bool, number: int | None
 ) -> None:
-    """Measures heartbeats among VMs, each a process of its own."""
-    if number == REST:
-        asyncio.run(run_rest(vms, servers, seconds))
+    """Measures the cost of heartbeats between VMs in separate processes."""
+    if number == OTHERS:
+        asyncio.run(run_others(vms, servers, seconds))
         return
     if number is not None:
         asyncio.run(run_one(number, vms, servers, seconds))
