--- a/src/azureramp_standins/platform.py
+++ b/src/azureramp_standins/platform.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform: key-value service and VM list, with faults.
+"""A test double of the platform: key-value service and VM list, with faults.
 
 Start it with `python -m azureramp_standins.platform --address IP:port`. The
-protocol is in docs/reference/platform.md. It keeps everything in memory.
+protocol is in docs/reference/platform.md. All data is kept in memory.
 """
 
 from __future__ import annotations
@@ -20,22 +20,24 @@
 from azureramp_standins import platform_meter
 
 MAX_WAIT_S = 60.0
-"""Longest wait of a watch, in seconds."""
+"""Maximum wait of a watch, in seconds."""
 
 
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What goes wrong; the body of `POST /faults`, which sets all of it.
+    """The injected faults; the body of `POST /faults`, which replaces them all.
 
     Attributes:
-        down: Every call of the key-value service is answered by 503.
-        slow_ms: Time that each of its calls takes, in milliseconds.
-        lost_replies: So many next writes take effect and are not answered.
-        lost_requests: So many next writes have no effect and no answer.
-        late_ms: While positive, a write is not answered and takes effect so
-            much later, in milliseconds.
-        past: Reads answer from so many revisions ago.
-        list_down: The VM list answers by 503.
-        list_lag_ms: The VM list answers from so long ago, in milliseconds.
+        down: True to answer every call of the key-value service with 503.
+        slow_ms: Delay of each call of the key-value service, in milliseconds.
+        lost_replies: How many of the next writes take effect without an
+            answer.
+        lost_requests: How many of the next writes have neither effect nor
+            answer.
+        late_ms: If positive, writes get no answer and take effect after this
+            delay, in milliseconds.
+        past: The number of revisions by which reads are stale.
+        list_down: True to answer reads of the VM list with 503.
+        list_lag_ms: The age of the VM list in answers, in milliseconds.
     """
 
     down: bool = False
@@ -49,16 +51,16 @@
 
 
 class Platform:
-    """The stand-in's state and its HTTP interface.
+    """The platform's state and HTTP interface.
 
     Attributes:
-        faults: What goes wrong.
+        faults: The injected faults.
         meter: Counts the calls.
         server: The HTTP server.
-        state: The key-value service.
+        state: The state of the key-value service.
     """
 
-    __slots__ = ("_lists", "_vms", "faults", "meter", "server", "state")
+    __slots__ = ("_list_history", "_vms", "faults", "meter", "server", "state")
 
     def __init__(self, address: str) -> None:
         """Makes a platform without keys and VMs; see `make`."""
@@ -67,7 +69,7 @@
         self.state = store_state.State()
         self.server = web_server.Server(address, self.handle)
         self._vms: dict[str, vmlist_api.Vm] = {}
-        self._lists: list[tuple[float, tuple[vmlist_api.Vm, ...]]] = []
+        self._list_history: list[tuple[float, tuple[vmlist_api.Vm, ...]]] = []
 
     async def handle(self, request: web_api.Request) -> web_api.Response:
         """Answers one request."""
@@ -75,102 +77,108 @@
             if request.path.startswith("/v1/"):
                 return await self._handle_store(request)
             if request.path.startswith("/vms"):
-                return self._handle_list(request)
+                return self._handle_vm_list(request)
             return self._handle_control(request)
         except (KeyError, ValueError, msgspec.DecodeError) as error:
-            return _answer(400, {"detail": f"{type(error).__name__}: {error}"})
+            return _make_response(
+                400, {"detail": f"{type(error).__name__}: {error}"}
+            )
 
     def _handle_control(self, request: web_api.Request) -> web_api.Response:
-        """Serves the stand-in's own interface."""
+        """Serves the interface for call counts and fault injection."""
         match request.method, request.path:
             case "GET", "/stats":
-                return _answer(200, self.meter.get_stats())
+                return _make_response(200, self.meter.get_stats())
             case "GET", "/faults":
-                return _answer(200, self.faults)
+                return _make_response(200, self.faults)
             case "POST", "/faults":
                 self.faults = msgspec.json.decode(request.body, type=Faults)
-                return _answer(200, self.faults)
-        return _answer(404, {"detail": "no such path"})
+                return _make_response(200, self.faults)
+        return _make_response(404, {"detail": "no such path"})
 
-    def _handle_list(self, request: web_api.Request) -> web_api.Response:
-        """Serves the VM list; changes are never affected by the faults."""
+    def _handle_vm_list(self, request: web_api.Request) -> web_api.Response:
+        """Serves the VM list; faults affect only reads of it."""
         name = request.path.removeprefix("/vms").lstrip("/")
         match request.method:
             case "GET" if not name:
                 self.meter.count("list")
                 if self.faults.list_down:
-                    return _answer(503, {"detail": "the list is down"})
-                return _answer(200, self._get_list())
+                    return _make_response(503, {"detail": "the list is down"})
+                return _make_response(200, self._get_vm_list())
             case "PUT" if name:
                 vm = msgspec.json.decode(request.body, type=vmlist_api.Vm)
                 self._vms[name] = msgspec.structs.replace(vm, name=name)
             case "DELETE" if name:
                 self._vms.pop(name, None)
             case _:
-                return _answer(405, {"detail": "method not allowed"})
+                return _make_response(405, {"detail": "method not allowed"})
         vms = tuple(self._vms[each] for each in sorted(self._vms))
-        self._lists.append((asyncio.get_running_loop().time(), vms))
-        return _answer(200, vms)
+        self._list_history.append((asyncio.get_running_loop().time(), vms))
+        return _make_response(200, vms)
 
-    def _get_list(self) -> tuple[vmlist_api.Vm, ...]:
-        """Returns the list as it was one lag ago."""
+    def _get_vm_list(self) -> tuple[vmlist_api.Vm, ...]:
+        """Returns the VM list of `list_lag_ms` ago."""
         now_s = asyncio.get_running_loop().time()
         at_s = now_s - self.faults.list_lag_ms / 1000
-        for changed_s, vms in reversed(self._lists):
+        for changed_s, vms in reversed(self._list_history):
             if changed_s <= at_s:
                 return vms
         return ()
 
     async def _handle_store(self, request: web_api.Request) -> web_api.Response:
-        """Serves the key-value service, under the faults."""
-        self.meter.count(_get_kind(request))
+        """Serves the key-value service, subject to the injected faults."""
+        self.meter.count(_classify_call(request))
         self.state.expire_leases(asyncio.get_running_loop().time())
         if self.faults.down:
-            await self._be_slow()
-            return _answer(503, {"detail": "the store is down"})
+            await self._delay()
+            return _make_response(503, {"detail": "the store is down"})
         query = request.query
         if request.method == "GET":
-            await self._be_slow()
+            await self._delay()
         match request.method, request.path:
             case "GET", protocol.KEYS if "key" in query:
-                entry = self.state.read(query["key"], self._get_at())
+                entry = self.state.read(query["key"], self._get_read_revision())
                 if entry is None:
-                    return _answer(404, {"revision": self.state.revision})
-                return _answer(200, entry)
+                    return _make_response(
+                        404, {"revision": self.state.revision}
+                    )
+                return _make_response(200, entry)
             case "GET", protocol.KEYS:
-                listing = self.state.list(query["prefix"], self._get_at())
-                return _answer(200, listing)
+                listing = self.state.list(
+                    query["prefix"], self._get_read_revision()
+                )
+                return _make_response(200, listing)
             case (("PUT" | "DELETE"), protocol.KEYS):
-                # The write takes effect even if its client gives up while
-                # the answer is slow.
+                # The write takes effect even if its client times out while
+                # the answer is delayed.
                 response = await self._write(request)
-                await self._be_slow()
+                await self._delay()
                 return response
             case "GET", protocol.WATCH:
                 return await self._watch(request)
             case (("POST" | "PUT"), protocol.LEASES):
                 return self._handle_lease(request)
-        return _answer(404, {"detail": "no such path"})
+        return _make_response(404, {"detail": "no such path"})
 
-    async def _be_slow(self) -> None:
-        """Takes the time that the faults say."""
+    async def _delay(self) -> None:
+        """Waits for the injected delay."""
         await asyncio.sleep(self.faults.slow_ms / 1000)
 
-    def _get_at(self) -> int | None:
-        """Returns the past revision that reads answer from, if any."""
+    def _get_read_revision(self) -> int | None:
+        """Returns the revision for stale reads; None for current reads."""
         if not self.faults.past:
             return None
         return max(self.state.revision - self.faults.past, 0)
 
     async def _write(self, request: web_api.Request) -> web_api.Response:
-        """Writes or deletes a key, under the faults that writes have."""
+        """Writes or deletes a key, subject to the faults of writes."""
         query = request.query
         key = query["key"]
         expected = int(query["expected"])
         value = request.body if request.method == "PUT" else None
         lease = query.get("lease", "")
         if value is not None and len(value) > api.MAX_VALUE_BYTES:
-            return _answer(413, {"detail": "the value is too large"})
+            return _make_response(413, {"detail": "the value is too large"})
         faults = self.faults
         if faults.late_ms > 0:
             asyncio.get_running_loop().call_later(
@@ -181,20 +189,20 @@
                 expected,
                 lease,
             )
-            await _stay_silent()
+            await _never_answer()
         if faults.lost_requests > 0:
             faults.lost_requests -= 1
-            await _stay_silent()
+            await _never_answer()
         outcome = self.state.write(key, value, expected, lease)
         if faults.lost_replies > 0:
             faults.lost_replies -= 1
-            await _stay_silent()
+            await _never_answer()
         match outcome:
             case api.Written():
-                return _answer(200, outcome)
+                return _make_response(200, outcome)
             case api.Conflicted():
-                return _answer(409, outcome)
-        return _answer(404, {"detail": "no such lease"})
+                return _make_response(409, outcome)
+        return _make_response(404, {"detail": "no such lease"})
 
     async def _watch(self, request: web_api.Request) -> web_api.Response:
         """Waits for changes."""
@@ -202,38 +210,38 @@
         prefix = request.query["prefix"]
         after = int(request.query["after"])
         wait_s = int(request.query["wait_ms"]) / 1000
-        until_s = loop.time() + min(wait_s, MAX_WAIT_S)
+        deadline_s = loop.time() + min(wait_s, MAX_WAIT_S)
         self.meter.waiting += 1
         try:
             while True:
                 self.state.expire_leases(loop.time())
                 listing = self.state.list_changes(prefix, after)
-                left_s = until_s - loop.time()
+                remaining_s = deadline_s - loop.time()
                 if self.faults.down:
-                    return _answer(503, {"detail": "the store is down"})
-                if listing.entries or left_s <= 0:
-                    return _answer(200, listing)
+                    return _make_response(503, {"detail": "the store is down"})
+                if listing.entries or remaining_s <= 0:
+                    return _make_response(200, listing)
                 expiry_s = self.state.get_next_expiry_s()
                 if expiry_s is not None:
-                    left_s = min(left_s, expiry_s - loop.time())
-                await self.state.wait_for_change(left_s)
+                    remaining_s = min(remaining_s, expiry_s - loop.time())
+                await self.state.wait_for_change(remaining_s)
         finally:
             self.meter.waiting -= 1
 
     def _handle_lease(self, request: web_api.Request) -> web_api.Response:
-        """Makes a lease, or keeps one alive."""
+        """Grants or renews a lease."""
         now_s = asyncio.get_running_loop().time()
         if request.method == "POST":
             ttl_s = int(request.query["ttl_ms"]) / 1000
             lease = self.state.grant_lease(ttl_s, now_s)
-            return _answer(200, {"lease": lease})
+            return _make_response(200, {"lease": lease})
         lease = request.query["lease"]
-        kept = self.state.keep_lease(lease, now_s)
-        return _answer(200 if kept else 404, {"lease": lease})
+        renewed = self.state.keep_lease(lease, now_s)
+        return _make_response(200 if renewed else 404, {"lease": lease})
 
 
 def make(address: str) -> Platform:
-    """Makes a stand-in that does not listen yet.
+    """Makes a platform that does not listen yet.
 
     Args:
         address: `IP:port` to listen on.
@@ -241,8 +249,8 @@
     return Platform(address)
 
 
-def _get_kind(request: web_api.Request) -> str:
-    """Returns the kind that a call is counted as."""
+def _classify_call(request: web_api.Request) -> str:
+    """Returns the kind under which a call is counted."""
     if request.path == protocol.WATCH:
         return "watches"
     if request.path == protocol.LEASES:
@@ -250,18 +258,18 @@
     return "reads" if request.method == "GET" else "writes"
 
 
-async def _stay_silent() -> None:
-    """Never answers: the server cancels it when the client gives up."""
+async def _never_answer() -> None:
+    """Waits until the server cancels the call as its client disconnects."""
     await asyncio.get_running_loop().create_future()
 
 
-def _answer(status: int, body: object) -> web_api.Response:
-    """Makes a JSON response; values become base64."""
+def _make_response(status: int, body: object) -> web_api.Response:
+    """Makes a JSON response; bytes are encoded as base64."""
     return web_api.Response(status, msgspec.json.encode(body))
 
 
 async def _run(address: str) -> None:
-    """Serves until the process is ended."""
+    """Serves until the process is terminated."""
     platform = make(address)
     await platform.server.start()
     await asyncio.get_running_loop().create_future()
@@ -270,7 +278,7 @@
 @click.command()
 @click.option("--address", required=True, help="IP:port to listen on.")
 def main(address: str) -> None:
-    """Runs the platform stand-in."""
+    """Runs the test double of the platform."""
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(_run(address))
 
