--- a/src/azureramp_standins/processes.py
+++ b/src/azureramp_standins/processes.py
@@ -1,6 +1,6 @@
-"""Starting and stopping the processes of a deployment on loopback.
+"""Starts and stops the processes of a deployment on loopback.
 
-The daemons themselves start no process; this is for the demo and the tests.
+Used by the demo and the tests; the daemons themselves start no processes.
 """
 
 from __future__ import annotations
@@ -16,29 +16,28 @@
 import time
 
 START_S = 15.0
-"""Longest wait for a process to listen, in seconds."""
+"""Maximum wait for a process to listen, in seconds."""
 
 STOP_S = 40.0
-"""Longest wait for a process to end, in seconds."""
-
+"""Maximum wait for a process to exit, in seconds."""
 
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
-"""Where free ports are looked for."""
+"""The range in which `find_ports` searches for free ports."""
 
 
 class StartError(Exception):
-    """A process ended, or never listened."""
+    """A process exited or did not listen in time."""
 
 
 @dataclasses.dataclass(slots=True)
 class Process:
-    """One started process.
+    """A started process.
 
     Attributes:
-        name: What it is, for messages.
-        address: `IP:port` that it listens on.
-        popen: The process.
+        name: The process's name in messages.
+        address: The `IP:port` that it listens on.
+        popen: The operating system's process.
     """
 
     name: str
@@ -46,15 +45,15 @@
     popen: subprocess.Popen[bytes]
 
     def terminate(self) -> None:
-        """Asks it to stop gracefully."""
+        """Sends SIGTERM, for a graceful stop, if the process is running."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGTERM)
 
     def wait(self) -> int:
-        """Waits for its end, and kills it past the limit.
+        """Waits until the process exits; kills it after `STOP_S`.
 
         Returns:
-            Its exit code.
+            The exit code.
         """
         try:
             return self.popen.wait(STOP_S)
@@ -66,14 +65,14 @@
 def find_ports(count: int) -> list[int]:
     """Finds free ports on loopback.
 
-    They lie below those that the system gives to outgoing connections, which
-    could otherwise take a daemon's port while it starts again.
+    The ports are below the system's ephemeral ports: otherwise an outgoing
+    connection could take a daemon's port while the daemon restarts.
 
     Args:
-        count: How many.
+        count: The number of ports.
 
     Returns:
-        Ports that were free a moment ago.
+        The ports; another process may have taken them in the meantime.
     """
     sockets: list[socket.socket] = []
     port = random.randrange(FIRST_PORT, LAST_PORT - 4 * count)
@@ -98,9 +97,9 @@
     """Starts a Python module or an installed program.
 
     Args:
-        name: What it is, for messages and the log's name.
-        address: `IP:port` that it will listen on.
-        arguments: A module after `-m`, or a program's name, and arguments.
+        name: The process's name in messages and in its log's file name.
+        address: The `IP:port` that it will listen on.
+        arguments: `-m` and a module, or a program's name, then its arguments.
         log: The folder for its output.
     """
     if arguments[0] == "-m":
@@ -123,14 +122,14 @@
     """Waits until a process accepts connections.
 
     Raises:
-        StartError: It ended, or it does not listen in time.
+        StartError: The process exited or did not listen within `START_S`.
     """
     host, _, port = process.address.rpartition(":")
-    until_s = time.monotonic() + START_S
-    while time.monotonic() < until_s:
+    deadline_s = time.monotonic() + START_S
+    while time.monotonic() < deadline_s:
         if process.popen.poll() is not None:
             code = process.popen.returncode
-            raise StartError(f"{process.name} ended with code {code}")
+            raise StartError(f"{process.name} exited with code {code}")
         try:
             socket.create_connection((host, int(port)), 1.0).close()
             return
