--- a/src/azureramp_standins/searcher.py
+++ b/src/azureramp_standins/searcher.py
@@ -1,4 +1,4 @@
-"""A searcher in one process: it holds documents and can be made to fail."""
+"""A test double of a searcher process, with documents and injectable faults."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong; may be changed by `POST /v1/faults`.
+    """The injected faults; the body of `POST /v1/faults`, which replaces them.
 
     Attributes:
-        delay_ms: Added to each call's time, in milliseconds.
-        shed: Probability that a call is refused.
-        fail: Probability that a call fails.
-        crash: A call whose query holds this text ends the process.
+        delay_ms: Delay added to each call, in milliseconds.
+        shed: Probability that a call is refused with 503.
+        fail: Probability that a call fails with 500.
+        crash: Text in a call's query that crashes the process; empty for none.
         hang: How many of the next calls are never answered.
-        crossed: How many of the next replies carry another call's id.
-        truncated: How many of the next replies break off.
+        crossed: How many of the next replies have another call's id.
+        truncated: How many of the next replies are truncated.
     """
 
     delay_ms: float = 0.0
@@ -46,11 +46,11 @@
 
 
 class Effect(msgspec.Struct, frozen=True):
-    """One call with effects that ran.
+    """A call with effects that the searcher ran.
 
     Attributes:
-        call_id: The call.
-        query: What it did.
+        call_id: The call's id.
+        query: The call's query.
     """
 
     call_id: str
@@ -61,9 +61,9 @@
     """A searcher's data, slots and faults.
 
     Attributes:
-        faults: What goes wrong.
-        effects: The calls with effects that ran.
-        running: Calls in it now.
+        faults: The injected faults.
+        effects: The calls with effects that the searcher ran.
+        running: The number of calls that are queued or in a slot.
     """
 
     __slots__ = (
@@ -89,7 +89,18 @@
         service_ms: float,
         warm_after: int,
     ) -> None:
-        """Makes a searcher without faults."""
+        """Makes a searcher without faults.
+
+        Args:
+            documents: The documents to search.
+            incarnation: The incarnation in the health report; also the seed of
+                the random draws for faults.
+            versions: The `index.version` pairs that it serves.
+            slots: The number of calls that run at the same time.
+            service_ms: The duration of a call on a warm searcher, in
+                milliseconds.
+            warm_after: The number of calls until the searcher is warm.
+        """
         self.faults = Faults()
         self.effects: list[Effect] = []
         self.running = 0
@@ -117,7 +128,7 @@
                 return web_api.Response(status=404)
 
     def _make_health(self) -> searchers_api.Health:
-        """Makes the searcher's own report."""
+        """Makes the searcher's health report."""
         return searchers_api.Health(
             self._incarnation,
             self._served < self._warm_after,
@@ -126,7 +137,7 @@
         )
 
     def _set_faults(self, request: web_api.Request) -> web_api.Response:
-        """Changes what goes wrong."""
+        """Replaces the injected faults."""
         try:
             self.faults = msgspec.json.decode(request.body, type=Faults)
         except msgspec.DecodeError as error:
@@ -134,7 +145,7 @@
         return _make_response(self.faults)
 
     async def _search(self, request: web_api.Request) -> web_api.Response:
-        """Runs a call, in a slot and within its deadline."""
+        """Runs a call in a slot and within its deadline."""
         try:
             body = msgspec.json.decode(
                 request.body, type=searchers_http.SearchBody
@@ -157,7 +168,7 @@
             self.running -= 1
 
     async def _run(self, body: searchers_http.SearchBody) -> web_api.Response:
-        """Runs a call in its slot."""
+        """Runs a call that has a slot."""
         faults = self.faults
         if faults.hang:
             faults.hang -= 1
@@ -180,7 +191,7 @@
         return [{"applied": True, "effects": len(self.effects)}]
 
     def _find(self, body: searchers_http.SearchBody) -> list[Any]:
-        """Finds the documents of a range that hold the query's text."""
+        """Finds the documents of a key range that contain the query's text."""
         query = msgspec.json.decode(body.query)
         text = query.get("text", "") if isinstance(query, dict) else ""
         wanted = str(text).casefold()
@@ -195,7 +206,7 @@
     def _make_reply(
         self, body: searchers_http.SearchBody, items: list[Any]
     ) -> web_api.Response:
-        """Makes a reply, or one that is wrong if a fault says so."""
+        """Makes a reply, subject to the injected faults."""
         call_id = body.call_id
         if self.faults.crossed:
             self.faults.crossed -= 1
@@ -222,12 +233,12 @@
 
 
 def read_documents(path: pathlib.Path) -> list[dict[str, Any]]:
-    """Reads the documents of a JSON file, each with an integer `key`."""
+    """Reads a JSON file of documents, each with an integer `key`."""
     return msgspec.json.decode(path.read_bytes(), type=list[dict[str, Any]])
 
 
 async def serve(searcher: Searcher, address: str) -> None:
-    """Serves until a signal says stop, then ends gracefully."""
+    """Serves until SIGTERM or SIGINT, then stops gracefully."""
     server = web_server.Server(address, searcher.handle)
     await server.start()
     stopped = asyncio.Event()
@@ -255,7 +266,7 @@
     multiple=True,
     default=("arrears.1",),
     show_default=True,
-    help="An `index.version` that it serves; may be repeated.",
+    help="An `index.version` to serve; may be repeated.",
 )
 @click.option("--slots", type=int, default=2, show_default=True)
 @click.option("--service-ms", type=float, default=5.0, show_default=True)
@@ -263,7 +274,7 @@
     "--warm-after", type=int, default=0, help="Calls until it is warm."
 )
 @click.option(
-    "--faults", "faults_json", default="{}", help="First faults, as JSON."
+    "--faults", "faults_json", default="{}", help="Initial faults, as JSON."
 )
 def main(
     address: str,
@@ -276,7 +287,7 @@
     warm_after: int,
     faults_json: str,
 ) -> None:
-    """Serves documents as a searcher of a backend server would."""
+    """Serves documents like a searcher of a backend server."""
 
     async def run() -> None:
         searcher = Searcher(
