--- a/src/azureramp_standins/virtual.py
+++ b/src/azureramp_standins/virtual.py
@@ -1,4 +1,4 @@
-"""Running a coroutine in virtual time."""
+"""Runs a coroutine in virtual time."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class EventLoop(async_solipsism.EventLoop):  # type: ignore[misc]
-    """A loop whose timers never fire early.
+    """An event loop whose timers never fire early.
 
-    The clock has ticks. A timer less than half a tick away would fire
-    without the clock moving, so code that sleeps until a time and looks at
-    the clock again would spin for ever. Here each timer is put on the next
-    whole tick.
+    The clock advances in ticks. A timer less than half a tick away would fire
+    without advancing the clock, so that code which sleeps until a time and
+    checks the clock again would loop forever. Here each timer is rounded up to
+    the next whole tick.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,14 @@
         *args: Any,
         context: Any = None,
     ) -> asyncio.TimerHandle:
-        """Calls a function at a time, or up to a tick later."""
+        """Schedules a call at a time, rounded up to the next tick.
+
+        Args:
+            when: The time on the loop's clock, in seconds.
+            callback: The function to call.
+            *args: Its arguments.
+            context: The context to call it in.
+        """
         ticks = math.ceil(when / TICK_S - TICK_S)
         handle: asyncio.TimerHandle = super().call_at(
             ticks * TICK_S, callback, *args, context=context
@@ -46,12 +53,12 @@
 
 
 def run(coroutine: Coroutine[Any, Any, _T]) -> _T:
-    """Runs a coroutine to its end on a loop whose time is virtual.
+    """Runs a coroutine to completion on an event loop with virtual time.
 
-    Sleeps take no real time, so the same seed gives the same run.
+    Sleeps take no real time, so equal seeds give equal runs.
     """
     with warnings.catch_warnings():
-        # In-memory sockets have no options to set.
+        # async_solipsism warns that in-memory sockets have no options.
         warnings.simplefilter("ignore", async_solipsism.SolipsismWarning)
         with asyncio.Runner(loop_factory=EventLoop) as runner:
             return runner.run(coroutine)
