--- a/src/azureramp_standins/soak/answers.py
+++ b/src/azureramp_standins/soak/answers.py
@@ -20,16 +20,16 @@
 
 
 def check_whole(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that each answer is complete and belongs to its request."""
-    for request in seen.history.tries:
+    for request in index.history.tries:
         if request.status != 200:
             continue
         problem = (
-            _find_merged_problem(request, seen.arrivals_by_id[request.id])
+            _find_merged_problem(request, index.arrivals_by_id[request.id])
             if request.path.startswith("/all/")
-            else _find_plain_problem(request, seen.arrivals_by_id[request.id])
+            else _find_plain_problem(request, index.arrivals_by_id[request.id])
         )
         if problem:
             yield indexed_history.Violation(
@@ -71,11 +71,11 @@
 
 
 def check_once(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that a non-idempotent request runs at most once."""
-    for name, arrivals in seen.arrivals_by_id.items():
-        request = seen.requests_by_id.get(name)
+    for name, arrivals in index.arrivals_by_id.items():
+        request = index.requests_by_id.get(name)
         ran = [arrival for arrival in arrivals if arrival.ran]
         if request and request.path.startswith("/once/") and len(ran) > 1:
             yield indexed_history.Violation(
@@ -84,18 +84,18 @@
 
 
 def check_refused(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that requests refused as not run did not run.
 
     A 503 must also have a Retry-After header.
     """
-    for request in seen.history.tries:
+    for request in index.history.tries:
         if request.status not in NOT_RUN_STATUSES:
             continue
         ran = [
             arrival
-            for arrival in seen.arrivals_by_id[request.id]
+            for arrival in index.arrivals_by_id[request.id]
             if arrival.ran
         ]
         if ran:
@@ -108,10 +108,13 @@
 
 
 def check_allowed(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
-    """Checks that the tier answers no valid request with a 3xx or 4xx."""
-    for request in seen.history.tries:
+    """Checks that the tier answers no valid request with a 3xx or 4xx.
+
+    The statuses of requests that were not run are allowed.
+    """
+    for request in index.history.tries:
         if (
             300 <= request.status < 500
             and request.status not in NOT_RUN_STATUSES
@@ -124,10 +127,10 @@
 
 
 def check_attempts(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that a request runs on a service at most `ATTEMPTS` times."""
-    for name, arrivals in seen.arrivals_by_id.items():
+    for name, arrivals in index.arrivals_by_id.items():
         ran: collections.Counter[str] = collections.Counter(
             arrival.service for arrival in arrivals if arrival.ran
         )
@@ -140,14 +143,14 @@
 
 
 def check_deadline(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that searchers get no later deadline than the caller's.
 
     Also reports arrivals whose request id no caller sent.
     """
-    for arrival in seen.history.arrivals:
-        request = seen.requests_by_id.get(arrival.id)
+    for arrival in index.history.arrivals:
+        request = index.requests_by_id.get(arrival.id)
         if request is None:
             yield indexed_history.Violation(
                 "asked", arrival.at_s, f"{arrival.id}: nobody sent it"
@@ -158,15 +161,15 @@
 
 
 def check_stops(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that a planned stop aborts no request."""
-    for span in seen.history.spans:
+    for span in index.history.spans:
         if span.how != "stop":
             continue
-        if not _is_only_fault(seen, span):
+        if not _is_only_fault(index, span):
             continue
-        for request in seen.history.tries:
+        for request in index.history.tries:
             inside = (
                 request.ended_s >= span.began_s
                 and request.sent_s <= span.ended_s
@@ -174,14 +177,14 @@
             if request.vm != span.name or request.status != 0 or not inside:
                 continue
             crossed = request.ended_s - request.sent_s < CLOSE_RACE_S
-            if seen.arrivals_by_id[request.id] or not crossed:
+            if index.arrivals_by_id[request.id] or not crossed:
                 yield indexed_history.Violation(
                     "stop", request.ended_s, f"{request.id} cut"
                 )
 
 
 def _is_only_fault(
-    seen: indexed_history.IndexedHistory, stop: history.FaultSpan
+    index: indexed_history.IndexedHistory, stop: history.FaultSpan
 ) -> bool:
     """Returns True if no other fault hit a VM around its planned stop."""
     return not any(
@@ -190,5 +193,5 @@
         and span.name == stop.name
         and span.began_s <= stop.ended_s
         and span.ended_s >= stop.began_s - indexed_history.UNDISTURBED_S
-        for span in seen.history.spans
+        for span in index.history.spans
     )
--- a/src/azureramp_standins/soak/bounds.py
+++ b/src/azureramp_standins/soak/bounds.py
@@ -27,29 +27,29 @@
 
 
 def check_budget(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that the VMs' extra calls stay within the tier's retry budget."""
-    for service, arrivals in seen.arrivals_by_service.items():
-        first: set[str] = set()
-        firsts_s: list[float] = []
-        extras_s: list[float] = []
+    for service, arrivals in index.arrivals_by_service.items():
+        arrived_ids: set[str] = set()
+        sent_times_s: list[float] = []
+        extra_times_s: list[float] = []
         for arrival in arrivals:
-            if arrival.id in first:
-                extras_s.append(arrival.at_s)
-            first.add(arrival.id)
-        firsts_s = sorted(
+            if arrival.id in arrived_ids:
+                extra_times_s.append(arrival.at_s)
+            arrived_ids.add(arrival.id)
+        sent_times_s = sorted(
             request.sent_s
-            for request in seen.history.tries
-            if _may_reach(request.path, service, seen)
+            for request in index.history.tries
+            if _may_reach(request.path, service, index)
         )
-        for number, at_s in enumerate(extras_s):
+        for number, at_s in enumerate(extra_times_s):
             begin = bisect.bisect_left(
-                extras_s, at_s - declared.BUDGET_WINDOW_S
+                extra_times_s, at_s - declared.BUDGET_WINDOW_S
             )
             requests = max(
                 _count_between(
-                    firsts_s, at_s - back_s, declared.BUDGET_WINDOW_S
+                    sent_times_s, at_s - back_s, declared.BUDGET_WINDOW_S
                 )
                 for back_s in (
                     0,
@@ -68,16 +68,16 @@
 
 
 def check_cold(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that a cold searcher's request rate stays within its limit."""
     bound = declared.COLD_PER_S * declared.COLD_OVERAGE + declared.COLD_SLACK
-    for span in seen.history.spans:
+    for span in index.history.spans:
         if span.how != "cold":
             continue
         times = [
             arrival.at_s
-            for arrival in seen.history.arrivals
+            for arrival in index.history.arrivals
             if arrival.searcher == span.name
             and span.began_s <= arrival.at_s <= span.ended_s
         ]
@@ -90,10 +90,10 @@
 
 
 def check_drained(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that draining searchers and evacuated zones get no new calls."""
-    for span in seen.history.spans:
+    for span in index.history.spans:
         if span.how not in ("drain", "evacuate"):
             continue
         drained = span.how == "drain"
@@ -101,48 +101,48 @@
             declared.DRAIN_BOUND_S if drained else declared.EVACUATION_BOUND_S
         )
         begin_s = span.began_s + bound_s
-        for arrival in seen.history.arrivals:
+        for arrival in index.history.arrivals:
             out = (
                 arrival.searcher == span.name
                 if span.how == "drain"
                 else arrival.searcher.endswith(":0")
             )
             late = begin_s < arrival.at_s < span.ended_s
-            request = seen.requests_by_id.get(arrival.id)
+            request = index.requests_by_id.get(arrival.id)
             if not out or not late or request is None:
                 continue
-            if seen.is_undisturbed(request.vm, span.began_s, arrival.at_s):
+            if index.is_undisturbed(request.vm, span.began_s, arrival.at_s):
                 detail = f"{arrival.id} reached {arrival.searcher}"
                 yield indexed_history.Violation(span.how, arrival.at_s, detail)
 
 
 def check_configured(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that versions take effect in time and are never rolled back.
 
     A process must not return to an older version than one it has used.
     """
-    versions = [service for service, _ in seen.history.versions]
+    versions = [service for service, _ in index.history.versions]
     effects: dict[tuple[str, int], list[tuple[float, float, int]]] = (
         collections.defaultdict(list)
     )
-    for arrival in seen.history.arrivals:
-        request = seen.requests_by_id.get(arrival.id)
+    for arrival in index.history.arrivals:
+        request = index.requests_by_id.get(arrival.id)
         if arrival.service not in versions or request is None:
             continue
         version = versions.index(arrival.service)
-        start_times = seen.history.start_times[request.vm]
+        start_times = index.history.start_times[request.vm]
         process = bisect.bisect_right(start_times, request.sent_s)
         effects[request.vm, process].append(
             (request.sent_s, arrival.at_s, version)
         )
         newer = [
             at_s
-            for _, at_s in seen.history.versions[version + 1 :]
+            for _, at_s in index.history.versions[version + 1 :]
             if request.sent_s > at_s + CONFIGURATION_BOUND_S
         ]
-        if newer and seen.is_undisturbed(request.vm, newer[0], request.sent_s):
+        if newer and index.is_undisturbed(request.vm, newer[0], request.sent_s):
             yield indexed_history.Violation(
                 "configured", arrival.at_s, f"{arrival.id}: old"
             )
@@ -165,21 +165,21 @@
 
 
 def check_named(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that dead VMs are no longer advertised after the bound."""
-    for at_s, vm, names in seen.history.advertised:
+    for at_s, vm, names in index.history.advertised:
         for name in names:
             start_times, end_times = (
-                seen.history.start_times[name],
-                seen.history.end_times[name],
+                index.history.start_times[name],
+                index.history.end_times[name],
             )
             started = bisect.bisect_right(start_times, at_s)
             ended = bisect.bisect_right(end_times, at_s)
             dead = ended == started and ended > 0
             if not dead or at_s - end_times[ended - 1] <= DEAD_VM_ADVERTISED_S:
                 continue
-            if seen.is_undisturbed(vm, end_times[ended - 1], at_s):
+            if index.is_undisturbed(vm, end_times[ended - 1], at_s):
                 detail = (
                     f"{vm} named {name}, dead since {end_times[ended - 1]:.2f}"
                 )
@@ -187,25 +187,25 @@
 
 
 def check_recovered(
-    seen: indexed_history.IndexedHistory,
+    index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that nearly all requests succeed long after the last fault."""
     last = [
         each
-        for each in seen.history.tries
-        if each.sent_s > seen.history.ended_s - FINAL_WINDOW_S
+        for each in index.history.tries
+        if each.sent_s > index.history.ended_s - FINAL_WINDOW_S
         and each.ended_s > 0
     ]
     good = sum(each.status == 200 for each in last)
     if not last or good < RECOVERED_SHARE * len(last):
         detail = f"{good} of {len(last)} answered at the end"
         yield indexed_history.Violation(
-            "recovered", seen.history.ended_s, detail
+            "recovered", index.history.ended_s, detail
         )
 
 
 def _may_reach(
-    path: str, service: str, seen: indexed_history.IndexedHistory
+    path: str, service: str, index: indexed_history.IndexedHistory
 ) -> bool:
     """Returns True if requests for a path may go to a service."""
     if path.startswith("/all/"):
--- a/src/azureramp_standins/soak/callers.py
+++ b/src/azureramp_standins/soak/callers.py
@@ -46,13 +46,13 @@
         self,
         name: str,
         fleet: list[daemons.Daemon],
-        seen: history.History,
+        run_history: history.History,
         rng: random.Random,
     ) -> None:
         """Makes a caller that sends no requests before `run`."""
         self._name = name
         self._daemons = fleet
-        self._history = seen
+        self._history = run_history
         self._rng = rng
         self._ids = itertools.count(1)
         self._addresses: list[str] = []
--- a/src/azureramp_standins/soak/checks.py
+++ b/src/azureramp_standins/soak/checks.py
@@ -31,16 +31,16 @@
 
 
 def check(
-    seen: history.History, timed: bool = True
+    run_history: history.History, timed: bool = True
 ) -> list[indexed_history.Violation]:
     """Returns the violations of the guarantees, ordered by time.
 
     Args:
-        seen: The history of the run.
+        run_history: The history of the run.
         timed: False to omit the guarantees with a time bound, which a
             machine that stalls for seconds violates without any fault.
     """
-    sorted_history = indexed_history.IndexedHistory(seen)
+    sorted_history = indexed_history.IndexedHistory(run_history)
     checks = (*UNTIMED, *TIMED) if timed else UNTIMED
     broken = [each for run in checks for each in run(sorted_history)]
     return sorted(broken, key=lambda each: each.at_s)
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -239,33 +239,36 @@
         """Adds a searcher behind its own link."""
         name = f"{service}:{index}"
         own, advertised = next(self._addresses), next(self._addresses)
-        made = searcher.Searcher(name, service, own, f"zone-{index % 2}")
-        made.script = lambda seen: self._act(made, seen)
+        target = searcher.Searcher(name, service, own, f"zone-{index % 2}")
+        target.script = lambda request: self._act(target, request)
         number = len(self._searchers)
         self._links["searcher", number] = proxy.Proxy(advertised, own)
-        self._searchers.append(made)
-        self._entries[name] = made.describe(Address=advertised)
+        self._searchers.append(target)
+        self._entries[name] = target.describe(Address=advertised)
 
     def _act(
-        self, made: searcher.Searcher, seen: searcher.Seen
+        self, target: searcher.Searcher, request: searcher.Seen
     ) -> searcher.Act:
         """Chooses a searcher's response to a request and records the call."""
-        act = self._acts.get(made.id, searcher.Act(after_s=0.01))
-        if made.service in declared.SHARDS:
-            body = declared.make_records(made.service, seen.id)
+        act = self._acts.get(target.id, searcher.Act(after_s=0.01))
+        if target.service in declared.SHARDS:
+            body = declared.make_records(target.service, request.id)
         else:
-            body = f"{made.service} {seen.method} {seen.target}".encode()
+            body = (
+                f"{target.service} {request.method} {request.target}".encode()
+            )
         act = dataclasses.replace(act, body=body if act.status < 300 else b"")
-        meant = seen.headers.get("azureramp-target-instance", made.id)
+        target_id = request.headers.get("azureramp-target-instance", target.id)
         self.history.arrivals.append(
             history.Arrival(
-                seen.at_s,
-                seen.id,
-                made.id,
-                made.service,
-                not act.not_run and meant == made.id,
-                float(seen.headers.get("azureramp-deadline-ms", "1e9")) / 1000,
-                f"{made.id}.{seen.id}.{len(made.seen)}",
+                request.at_s,
+                request.id,
+                target.id,
+                target.service,
+                not act.not_run and target_id == target.id,
+                float(request.headers.get("azureramp-deadline-ms", "1e9"))
+                / 1000,
+                f"{target.id}.{request.id}.{len(target.seen)}",
                 body,
             )
         )
@@ -280,7 +283,7 @@
             {name: next(self._addresses) for name in names} for _ in range(vms)
         ]
         seeds = ", ".join(f'"{each["control"]}"' for each in addresses[:3])
-        made: list[daemons.Daemon] = []
+        made_daemons: list[daemons.Daemon] = []
         for number, own in enumerate(addresses):
             link = proxy.Proxy(
                 next(self._addresses), self._store.server.address
@@ -299,7 +302,7 @@
                 grace_s=declared.GRACE_S,
                 **own,
             )
-            made.append(
+            made_daemons.append(
                 daemons.Daemon(f"vm-{number}", own, text, folder, mutant)
             )
-        return made
+        return made_daemons
--- a/src/azureramp_standins/soak/indexed_history.py
+++ b/src/azureramp_standins/soak/indexed_history.py
@@ -44,17 +44,17 @@
         "requests_by_id",
     )
 
-    def __init__(self, seen: history.History) -> None:
+    def __init__(self, run_history: history.History) -> None:
         """Builds the indexes of a history."""
-        self.history = seen
-        self.requests_by_id = {each.id: each for each in seen.tries}
+        self.history = run_history
+        self.requests_by_id = {each.id: each for each in run_history.tries}
         self.arrivals_by_id: dict[str, list[history.Arrival]] = (
             collections.defaultdict(list)
         )
         self.arrivals_by_service: dict[str, list[history.Arrival]] = (
             collections.defaultdict(list)
         )
-        for arrival in sorted(seen.arrivals, key=lambda each: each.at_s):
+        for arrival in sorted(run_history.arrivals, key=lambda each: each.at_s):
             self.arrivals_by_id[arrival.id].append(arrival)
             self.arrivals_by_service[arrival.service].append(arrival)
 
--- a/src/azureramp_standins/soak/program.py
+++ b/src/azureramp_standins/soak/program.py
@@ -50,28 +50,31 @@
     Raises:
         RuntimeError: A caller's task failed.
     """
-    deployment = harness.Harness(seed, vms, folder, mutant)
-    seen = deployment.history
+    run_harness = harness.Harness(seed, vms, folder, mutant)
+    run_history = run_harness.history
     loop = asyncio.get_running_loop()
     clients = [
         callers.Caller(
-            f"c{number}", deployment.daemons, seen, random.Random(number)
+            f"c{number}",
+            run_harness.daemons,
+            run_history,
+            random.Random(number),
         )
         for number in range(4 * vms)
     ]
     tasks: list[asyncio.Task[None]] = []
     try:
-        await deployment.start()
+        await run_harness.start()
         await asyncio.sleep(START_S)
         began_s = loop.time()
         tasks = [asyncio.ensure_future(each.run()) for each in clients]
-        faults = plan.draw(seed, seconds, vms, deployment.count_searchers())
+        faults = plan.draw(seed, seconds, vms, run_harness.count_searchers())
         await asyncio.gather(
-            *(_inject_later(deployment, each, began_s) for each in faults)
+            *(_inject_later(run_harness, each, began_s) for each in faults)
         )
-        seen.faults_ended_s = loop.time()
+        run_history.faults_ended_s = loop.time()
         await asyncio.sleep(RECOVERY_S)
-        seen.ended_s = loop.time()
+        run_history.ended_s = loop.time()
         await asyncio.sleep(callers.DEADLINE_S)
     finally:
         for task in tasks:
@@ -80,36 +83,36 @@
             await asyncio.wait(tasks)
         for each in clients:
             each.close()
-        await deployment.stop()
+        await run_harness.stop()
     for task in tasks:
         if not task.cancelled() and task.exception():
             raise RuntimeError("a caller's task failed") from task.exception()
-    return seen
+    return run_history
 
 
 async def _inject_later(
-    deployment: harness.Harness, planned: plan.Planned, began_s: float
+    run_harness: harness.Harness, planned: plan.Planned, began_s: float
 ) -> None:
     """Injects a fault at its time."""
     now_s = asyncio.get_running_loop().time()
     await asyncio.sleep(max(0.0, began_s + planned.at_s - now_s))
-    await deployment.inject(planned)
+    await run_harness.inject(planned)
 
 
 def write_report(
     path: pathlib.Path,
-    seen: history.History,
+    run_history: history.History,
     broken: list[indexed_history.Violation],
 ) -> None:
     """Writes the timeline of a run's faults and violations."""
-    begin_s = min((each.sent_s for each in seen.tries), default=0.0)
+    begin_s = min((each.sent_s for each in run_history.tries), default=0.0)
     lines = [
         (
             span.began_s,
             f"{span.kind} {span.name} {span.how}, until "
             f"{span.ended_s - begin_s:.2f}",
         )
-        for span in seen.spans
+        for span in run_history.spans
     ]
     lines += [
         (each.at_s, f"BROKEN {each.guarantee}: {each.detail}")
@@ -124,18 +127,18 @@
     seed: int,
     seconds: float,
     vms: int,
-    seen: history.History,
+    run_history: history.History,
     broken: list[indexed_history.Violation],
 ) -> dict[str, object]:
     """Returns a run's row for the file of results."""
-    good = sum(each.status == 200 for each in seen.tries)
+    good = sum(each.status == 200 for each in run_history.tries)
     return {
         "seed": seed,
         "seconds": seconds,
         "vms": vms,
-        "faults": len(seen.spans),
-        "tries": len(seen.tries),
-        "answered": round(good / max(1, len(seen.tries)), 3),
+        "faults": len(run_history.spans),
+        "tries": len(run_history.tries),
+        "answered": round(good / max(1, len(run_history.tries)), 3),
         "broken": sorted({each.guarantee for each in broken}),
     }
 
@@ -167,16 +170,18 @@
     failed = False
     for number in range(seed, seed + count):
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{number}-"))
-        seen = asyncio.run(run_seed(number, seconds, vms, folder, mutant))
-        broken = checks.check(seen)
-        line = json.dumps(summarize(number, seconds, vms, seen, broken))
+        run_history = asyncio.run(
+            run_seed(number, seconds, vms, folder, mutant)
+        )
+        broken = checks.check(run_history)
+        line = json.dumps(summarize(number, seconds, vms, run_history, broken))
         click.echo(line)
         if record:
             with RESULTS.open("a", encoding="utf-8") as results:
                 results.write(line + "\n")
         if broken:
             failed = True
-            write_report(folder / "report.txt", seen, broken)
+            write_report(folder / "report.txt", run_history, broken)
             click.echo(f"kept in {folder}: report.txt and the daemons' logs")
     sys.exit(1 if failed else 0)
 
