--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -110,7 +110,7 @@
         self.service = service
         self.address = address
         self.zone = zone
-        self.script: Script = lambda seen: Act()
+        self.script: Script = lambda request: Act()
         self.seen: list[Seen] = []
         self.connections = 0
         self.open = 0
@@ -183,13 +183,13 @@
         writer: asyncio.StreamWriter,
     ) -> bool:
         """Serves one request; returns False if the connection ends."""
-        seen = await self._read_request(http, reader)
-        if seen is None:
+        request = await self._read_request(http, reader)
+        if request is None:
             return False
-        self.seen.append(seen)
-        signature = f"{self.id}.{seen.id}.{len(self.seen)}"
-        target_id = seen.headers.get("azureramp-target-instance", self.id)
-        act = self.script(seen)
+        self.seen.append(request)
+        signature = f"{self.id}.{request.id}.{len(self.seen)}"
+        target_id = request.headers.get("azureramp-target-instance", self.id)
+        act = self.script(request)
         if target_id != self.id:
             act = Act(status=421, signed=False)
         work = asyncio.ensure_future(asyncio.sleep(act.after_s))
@@ -201,7 +201,7 @@
         self.running -= 1
         if not work.done():
             work.cancel()
-            self.cancelled[seen.id] += 1
+            self.cancelled[request.id] += 1
             return False
         if act.then == "hang":
             await disconnected
@@ -211,7 +211,7 @@
         if act.then == "reset" and act.raw is None:
             writer.transport.abort()
             return False
-        writer.write(self._encode_response(http, seen, act, signature))
+        writer.write(self._encode_response(http, request, act, signature))
         if act.extra_after_s:
             asyncio.get_running_loop().call_later(
                 act.extra_after_s, writer.write, act.extra
@@ -253,12 +253,12 @@
         )
 
     def _encode_response(
-        self, http: h11.Connection, seen: Seen, act: Act, signature: str
+        self, http: h11.Connection, request: Seen, act: Act, signature: str
     ) -> bytes:
         """Encodes the response to a request."""
         if act.raw is not None:
             return act.raw
-        name = seen.id if act.id is None else act.id
+        name = request.id if act.id is None else act.id
         headers = [("Azureramp-Request-Id", name)]
         if act.signed:
             headers.append(("Azureramp-Server-Stamp", signature))
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -300,8 +300,8 @@
     async def _slow_down(self, slow: searcher.Searcher) -> None:
         """Slows a searcher down by a factor of 5 for 5 seconds."""
         script = slow.script
-        slow.script = lambda seen: dataclasses.replace(
-            script(seen), after_s=script(seen).after_s * 5
+        slow.script = lambda request: dataclasses.replace(
+            script(request), after_s=script(request).after_s * 5
         )
         await asyncio.sleep(5.0)
         slow.script = script
@@ -331,15 +331,15 @@
         """Evaluates the requests that reached the searchers."""
         deadline_s = self._ordered_s + DURATION_S
         calls_to_new = sorted(
-            seen.at_s
+            request.at_s
             for each in self._list_searchers(NEW_VERSION)
-            for seen in each.seen
+            for request in each.seen
         )
         calls_to_old = [
-            seen.at_s
+            request.at_s
             for each in self._list_searchers(OLD_VERSION)
-            for seen in each.seen
-            if seen.at_s >= self._ordered_s
+            for request in each.seen
+            if request.at_s >= self._ordered_s
         ]
         new_in_time = sum(at_s <= deadline_s for at_s in calls_to_new)
         all_in_time = new_in_time + sum(
--- a/src/azureramp_standins/rollouts/versions.py
+++ b/src/azureramp_standins/rollouts/versions.py
@@ -110,31 +110,31 @@
         self._recent_s: collections.deque[float] = collections.deque()
         self.bad_answer_times: list[float] = []
 
-    def act(self, seen: searcher.Seen) -> searcher.Act:
+    def act(self, request: searcher.Seen) -> searcher.Act:
         """Chooses the response to a request; see `searcher.Script`."""
-        self._recent_s.append(seen.at_s)
-        while self._recent_s[0] < seen.at_s - 1.0:
+        self._recent_s.append(request.at_s)
+        while self._recent_s[0] < request.at_s - 1.0:
             self._recent_s.popleft()
         work_s = MEDIAN_WORK_S * self._rng.lognormvariate(0.0, WORK_LOG_STDDEV)
-        bad = self._is_bad(seen) and self._rng.random() < self._version.share
+        bad = self._is_bad(request) and self._rng.random() < self._version.share
         if not bad:
             return searcher.Act(after_s=work_s)
-        self.bad_answer_times.append(seen.at_s)
+        self.bad_answer_times.append(request.at_s)
         if self._version.slowdown:
             return searcher.Act(after_s=work_s * self._version.slowdown)
         return searcher.Act(after_s=work_s, status=500)
 
-    def _is_bad(self, seen: searcher.Seen) -> bool:
+    def _is_bad(self, request: searcher.Seen) -> bool:
         """Returns True if the version is bad for a request."""
         match self._version.condition:
             case Always():
                 return True
             case AfterTime(at_s=at_s):
-                return seen.at_s >= at_s
+                return request.at_s >= at_s
             case AboveRate(per_s=per_s):
                 return len(self._recent_s) > per_s
             case OnRoute(prefix=prefix):
-                return seen.target.startswith(prefix)
+                return request.target.startswith(prefix)
             case Never():
                 return False
 
