--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -1,7 +1,8 @@
-"""Several whole VMs in one event loop, over the in-memory ports.
+"""Runs the daemons of several VMs in one event loop, over in-memory ports.
 
-The daemons are the real ones; only what is outside of them is replaced. It
-models no network, host or load of its own beyond the ports' faults.
+The daemons are those of the product; only their environment is replaced.
+Networks, hosts and load are modelled only as far as the faults of the ports
+go.
 """
 
 from __future__ import annotations
@@ -40,34 +41,34 @@
 )
 
 KEYS_PER_ITEM = 100
-"""Each so many keys there is one item."""
+"""Distance between the keys of two items of an index."""
 
-READY_S = 60.0
-"""Longest wait until all VMs are ready, in virtual seconds."""
+READY_TIMEOUT_S = 60.0
+"""Maximum time until all VMs are ready, in virtual seconds."""
 
-START_S = 0.002
-"""Least time from the end of a VM's process to the start of its next."""
+MIN_RESTART_S = 0.002
+"""Minimum time between two processes of a VM, in virtual seconds."""
 
-CHANGE_TRIES = 20
-CHANGE_GAP_S = 0.25
-"""How often, and how far apart, an operator tries a change again."""
+MAX_CHANGE_ATTEMPTS = 20
+CHANGE_RETRY_DELAY_S = 0.25
+"""Maximum number of attempts at a change, and the delay between them."""
 
-EFFECT_KEY = "idempotency_key"
-"""Where an operation carries its key, so that searchers can log it."""
+OPERATION_KEY_FIELD = "idempotency_key"
+"""Field of an operation with its idempotency key, for the searchers' log."""
 
 
 @dataclasses.dataclass(slots=True)
 class Vm:
-    """One VM.
+    """One VM and the parts of its process.
 
     Attributes:
         entry: Its entry in the VM list.
-        daemon: Its daemon, while it runs.
-        server: Its HTTP server, while it runs.
-        store: Its client of the key-value service.
-        starts: How often it was started.
-        stopping: True while it stops gracefully.
-        started: Set while its daemon runs and has started.
+        daemon: Its daemon; None while no process runs.
+        server: Its HTTP server; None while no process runs.
+        store: Its latest client of the key-value service.
+        starts: Number of starts, which is also the incarnation.
+        stopping: True during a graceful stop.
+        started: Set while the daemon runs and has finished its start.
     """
 
     entry: vmlist_api.Vm
@@ -80,26 +81,26 @@
 
 
 class Cluster:
-    """A deployment in memory.
+    """An in-memory deployment.
 
     Attributes:
-        layout: Its size.
-        network: Carries the peer messages.
-        state: The key-value service.
+        layout: Size of the deployment.
+        network: The network that carries the peer messages.
+        state: State of the key-value service.
         vmlist: The VM list.
         fleet: The searchers.
         vms: The VMs by name.
-        past: What happened, for the checker.
+        past: Recorded history, the input of the invariant checker.
         overrides: Settings that differ from the defaults.
-        observer: Told of each event of any VM.
-        isolated: True if each VM's list shows only that VM itself, so that
-            each takes itself for the owner of every searcher.
+        observer: Called with each timeline record of any VM.
+        isolated: True if the VM list that a VM reads contains only that VM,
+            so that each VM is the owner of every searcher.
     """
 
     __slots__ = (
-        "_ended",
+        "_ended_timelines",
         "_random",
-        "_servers",
+        "_searcher_names",
         "fleet",
         "isolated",
         "layout",
@@ -119,18 +120,18 @@
         service_ms: float,
         overrides: dict[str, int],
     ) -> None:
-        """Makes a deployment that has not started; see `make`."""
+        """Initializes a deployment that is not started; see `make`."""
         self.layout = layout
         self.network = peers_memory.Network(seed)
-        self.network.faults.delay_s = layout.hop_ms / 1000
+        self.network.faults.delay_s = layout.one_way_delay_ms / 1000
         self.state = store_state.State()
         self.past = history.History()
         self.overrides = overrides
         self.isolated = False
         self.observer: Callable[[timelines.Record], None] | None = None
         self._random = random.Random(seed)
-        self._ended: list[list[timelines.Record]] = []
-        self._servers: dict[str, tuple[str, str, str]] = {}
+        self._ended_timelines: list[list[timelines.Record]] = []
+        self._searcher_names: dict[str, tuple[str, str, str]] = {}
         self.vms = {
             vm.name: Vm(vm)
             for vm in (_make_vm(layout, n) for n in range(layout.vms))
@@ -160,24 +161,28 @@
                     versions=(f"{service.name}.1",),
                     seed=seed,
                 )
-                searcher.search = search_every_hundredth
-                searcher.on_arrival = functools.partial(self._log, searcher)
+                searcher.search = make_items_at_interval
+                searcher.on_arrival = functools.partial(
+                    self._record_arrival, searcher
+                )
                 searcher.siblings = siblings
                 siblings.append(searcher)
                 names = (declared.name, server.name, server.zone)
-                self._servers[declared.address] = names
+                self._searcher_names[declared.address] = names
             made.extend(siblings)
         return made
 
-    def _log(
+    def _record_arrival(
         self, searcher: searchers_memory.Searcher, call: searchers_api.Call
     ) -> None:
-        """Logs that a call has reached a searcher."""
-        name, server, zone = self._servers[searcher.address]
+        """Records the arrival of a call at a searcher."""
+        name, server, zone = self._searcher_names[searcher.address]
         cold = searcher.is_cold() and searcher.cold_shown
         key = ""
         if not call.repeatable:
-            key = str(msgspec.json.decode(call.body).get(EFFECT_KEY, ""))
+            key = str(
+                msgspec.json.decode(call.body).get(OPERATION_KEY_FIELD, "")
+            )
         self.past.arrivals.append(
             history.Arrival(
                 at_s=asyncio.get_running_loop().time(),
@@ -193,7 +198,7 @@
         )
 
     async def start(self) -> None:
-        """Declares the resources, starts all VMs and waits for them."""
+        """Declares the resources, starts all VMs and awaits readiness."""
         for resource in layouts.make_resources(self.layout):
             self.declare(resource)
         for name in self.vms:
@@ -201,47 +206,47 @@
         await self.wait_until_ready()
 
     def declare(self, resource: resources.AnyResource) -> int:
-        """Writes a resource straight into the store, as before the start.
+        """Writes a resource directly into the store, without a daemon.
 
         Returns:
-            The store revision.
+            The store's revision after the write.
         """
         kind = str(type(resource).__struct_config__.tag)
         key = f"/azureramp/resources/{kind}/{resource.name}"
-        present = self.state.read(key)
-        expected = present.revision if present else 0
+        current = self.state.read(key)
+        expected = current.revision if current else 0
         self.state.write(key, msgspec.json.encode(resource), expected)
         if isinstance(resource, resources.ShardMap):
             self.past.shard_maps[resource.name] = resource
         return self.state.revision
 
     async def wait_until_ready(self) -> None:
-        """Waits until every running VM takes work and sees searchers.
+        """Waits until every running VM is ready and can use all searchers.
 
         Raises:
-            TimeoutError: They don't in time.
+            TimeoutError: A VM is not ready within `READY_TIMEOUT_S`.
         """
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not all(map(self._is_ready, self.vms)):  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
 
     def _is_ready(self, name: str) -> bool:
-        """Tells whether a VM takes work and sees all searchers usable."""
+        """Returns True if a VM is down, or ready with all searchers usable."""
         daemon = self.vms[name].daemon
         if daemon is None:
             return True
         states = daemon.board.get_searcher_states()
         usable = sum(state.usable for state in states.values())
-        total = len(self._servers)
+        total = len(self._searcher_names)
         return daemon.board.serving.value == "ready" and usable == total
 
     async def start_vm(self, name: str) -> None:
         """Starts a VM's daemon."""
         vm = self.vms[name]
         vm.starts += 1
-        # Events of two processes of one VM within a millisecond could not be
-        # told apart by their clocks; no process starts as fast as that.
-        await asyncio.sleep(START_S)
+        # The clocks can't order events of two processes of one VM that are
+        # less than a millisecond apart. Real processes take longer to start.
+        await asyncio.sleep(MIN_RESTART_S)
         vm.store = store_memory.MemoryStore(self.state)
         loop = asyncio.get_running_loop()
         timeline = timelines.Timeline(name, wall=loop.time)
@@ -269,7 +274,7 @@
         vm.started.set()
 
     def _make_settings(self, entry: vmlist_api.Vm) -> settings.Settings:
-        """Makes a VM's settings."""
+        """Makes the settings of a VM, with the overrides."""
         made = settings.Settings(
             vm=entry.name,
             zone=entry.zone,
@@ -286,83 +291,89 @@
         """Stops a VM gracefully.
 
         Returns:
-            How many requests it cut.
+            Number of requests that were aborted.
         """
         vm = self.vms[name]
         assert vm.daemon is not None
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        start_s = loop.time()
         vm.stopping = True
         daemon = vm.daemon
-        cut = await daemon.stop(asyncio.Event())
+        aborted = await daemon.stop(asyncio.Event())
         vm.stopping = False
         self.past.stops.append(
-            history.Stop(name, began_s, loop.time(), limit_reached=cut > 0)
+            history.Stop(name, start_s, loop.time(), limit_reached=aborted > 0)
         )
         if vm.daemon is daemon:
-            self._forget(vm)
-        return cut
+            self._discard_daemon(vm)
+        return aborted
 
     async def kill_vm(self, name: str) -> None:
-        """Ends a VM at once, as when its host fails."""
+        """Kills a VM without a graceful stop, as a failure of its host does."""
         vm = self.vms[name]
         await vm.started.wait()
         assert vm.daemon is not None
         assert vm.server is not None
         daemon, server = vm.daemon, vm.server
-        self._forget(vm)
+        self._discard_daemon(vm)
         self.network.detach(vm.entry.peer_address)
         await server.stop(0.0)
         await daemon.kill()
 
-    def _forget(self, vm: Vm) -> None:
-        """Keeps the timeline of a VM whose daemon has ended."""
+    def _discard_daemon(self, vm: Vm) -> None:
+        """Saves the timeline of a VM's ended daemon, and drops the daemon."""
         if vm.daemon is not None:
-            self._ended.append(vm.daemon.board.timeline.get_records())
+            self._ended_timelines.append(vm.daemon.board.timeline.get_records())
         vm.daemon = None
         vm.server = None
         vm.started.clear()
 
     async def close(self) -> history.History:
-        """Kills what still runs.
+        """Kills the VMs that still run.
 
         Returns:
-            What happened, ready for the checker.
+            The recorded history, complete for the checker.
         """
         for name, vm in self.vms.items():
             if vm.daemon is not None:
                 await self.kill_vm(name)
-        self.past.records = timelines.merge(self._ended)
+        self.past.records = timelines.merge(self._ended_timelines)
         self.past.end_s = asyncio.get_running_loop().time()
         return self.past
 
     async def change(
         self, vm: str, resource: resources.AnyResource
     ) -> web_api.Response:
-        """Puts a resource, as an operator would.
+        """Puts a resource through the operators' HTTP interface.
+
+        Retries while every VM is down or answers 503.
 
         Args:
-            vm: The VM to try first; one that refuses is left for the next.
+            vm: The VM to try first; the others follow if it is down or
+                answers 503.
             resource: The resource.
+
+        Returns:
+            The first other response, or that of the last attempt.
         """
         if isinstance(resource, resources.ShardMap):
             self.past.shard_maps[resource.name] = resource
-        order = [vm, *(name for name in self.vms if name != vm)]
+        candidates = [vm, *(name for name in self.vms if name != vm)]
         response = web_api.Response(status=0)
-        for _ in range(CHANGE_TRIES):
-            for name in order:
+        for _ in range(MAX_CHANGE_ATTEMPTS):
+            for name in candidates:
                 response = await self.ask(name, self._make_change(resource))
                 if response.status not in (0, 503):
                     return response
-            await asyncio.sleep(CHANGE_GAP_S)
+            await asyncio.sleep(CHANGE_RETRY_DELAY_S)
         return response
 
     def _make_change(self, resource: resources.AnyResource) -> web_api.Request:
-        """Makes an operator's request on the present revision."""
+        """Makes an operator's request that expects the current revision."""
         kind = str(type(resource).__struct_config__.tag)
         name = f"{kind}/{resource.name}"
-        present = self.state.read(f"/azureramp/resources/{name}")
-        revision = present.revision if present else 0
+        current = self.state.read(f"/azureramp/resources/{name}")
+        revision = current.revision if current else 0
         return web_api.Request(
             "PUT",
             f"/v1/resources/{name}",
@@ -372,7 +383,11 @@
         )
 
     async def ask(self, vm: str, request: web_api.Request) -> web_api.Response:
-        """Asks a VM, without the HTTP transport."""
+        """Calls a VM's request handler, without the HTTP transport.
+
+        Returns:
+            The response; its status is 0 if the VM is down or was killed.
+        """
         daemon = self.vms[vm].daemon
         if daemon is None:
             return web_api.Response(status=0)
@@ -382,12 +397,13 @@
             task = asyncio.current_task()
             if task is not None and task.cancelling():
                 raise
-            # The VM was killed under the request: no answer ever comes.
+            # The VM was killed while it handled the request: there is no
+            # answer.
             return web_api.Response(status=0)
 
 
-def search_every_hundredth(call: searchers_api.Call) -> bytes:
-    """Finds an item at each hundredth key, tagged with query and version."""
+def make_items_at_interval(call: searchers_api.Call) -> bytes:
+    """Returns an item for each hundredth key, tagged with query and version."""
     query = msgspec.json.decode(call.body)
     text = query.get("text", "") if isinstance(query, dict) else ""
     first = -(-call.low // KEYS_PER_ITEM) * KEYS_PER_ITEM
@@ -400,7 +416,7 @@
 
 
 def _make_vm(layout: layouts.Layout, number: int) -> vmlist_api.Vm:
-    """Makes a VM's entry in the VM list."""
+    """Makes the VM list's entry of a VM."""
     return vmlist_api.Vm(
         name=f"vm-{number}",
         zone=layout.zones[number % len(layout.zones)],
@@ -419,8 +435,8 @@
     """Makes a deployment that has not started.
 
     Args:
-        layout: Its size.
-        seed: Of everything drawn.
+        layout: Size of the deployment; None uses the default layout.
+        seed: Seed of all random draws.
         service_ms: Median service time of a searcher, in milliseconds.
         **overrides: Settings that differ from the defaults.
     """
--- a/src/azureramp_standins/layout.py
+++ b/src/azureramp_standins/layout.py
@@ -1,4 +1,4 @@
-"""The resources of a deployment for tests and measurements."""
+"""Resources of a deployment for tests and measurements."""
 
 from __future__ import annotations
 
@@ -14,23 +14,26 @@
     "ledger": resources.Priority.NORMAL,
     "statements": resources.Priority.DEFERRABLE,
 }
-"""Callers by name; the token of each is its name."""
+"""Priorities of the callers by name; each caller's token is its name."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Service:
-    """How large one service's back end is; it holds the index of its name.
+    """Size of one service's back end.
+
+    The service has one index, which is named after the service.
 
     Attributes:
         name: The service's name.
-        servers: How many backend servers, spread over the zones in turn.
-        searchers: How many searchers each has.
-        slots: Slots of a searcher.
-        connections: Connections that a searcher accepts.
-        connect_ms: Time that a new connection takes, in milliseconds.
-        cold_limit: What a searcher bears in cold start.
-        shards: How many shards an index version has.
-        replicas: How many searchers hold each shard.
+        servers: Number of backend servers, assigned to the zones round-robin.
+        searchers: Number of searchers of each backend server.
+        slots: Number of slots of a searcher.
+        connections: Number of connections that a searcher accepts.
+        connect_ms: Time to open a connection, in milliseconds.
+        cold_limit: Maximum number of concurrent calls to a searcher in cold
+            start.
+        shards: Number of shards of an index version.
+        replicas: Number of searchers that hold each shard.
     """
 
     name: str = "claims"
@@ -44,40 +47,41 @@
     replicas: int = 2
 
     def count_keys(self) -> int:
-        """Returns the size of the key space."""
+        """Returns the number of keys of the index."""
         return self.shards * KEYS_PER_SHARD
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Layout:
-    """How large a deployment is.
+    """Size of a deployment.
 
     Attributes:
-        zones: The availability zones' names.
-        vms: How many entry VMs, spread over the zones in turn.
+        zones: Names of the availability zones.
+        vms: Number of entry VMs, assigned to the zones round-robin.
         services: The services.
-        hop_ms: One way between two VMs, in milliseconds.
+        one_way_delay_ms: Network delay from one VM to another, in
+            milliseconds.
     """
 
     zones: tuple[str, ...] = ("a", "b", "c")
     vms: int = 3
     services: tuple[Service, ...] = (Service(),)
-    hop_ms: float = 1.0
+    one_way_delay_ms: float = 1.0
 
     def get_service(self, name: str) -> Service:
-        """Returns a service by its name."""
+        """Returns the service of a name."""
         return next(each for each in self.services if each.name == name)
 
 
-def _make_dear(name: str, servers: int) -> Service:
-    """Makes a service whose connections are few and dear."""
+def _make_service_with_few_connections(name: str, servers: int) -> Service:
+    """Makes a service with few connections that are slow to open."""
     return Service(name=name, servers=servers, shards=servers, replicas=2)
 
 
-def _make_cheap(
+def _make_service_with_many_connections(
     name: str, servers: int, slots: int, connections: int
 ) -> Service:
-    """Makes a service whose connections are many and cheap."""
+    """Makes a service with many connections that are fast to open."""
     return Service(
         name=name,
         servers=servers,
@@ -94,27 +98,27 @@
     zones=("edinburgh-a", "edinburgh-b", "glasgow-a", "dundee-a"),
     vms=8,
     services=(
-        _make_dear("claims", 20),
-        _make_dear("ledger", 30),
-        _make_cheap("statements", 4, 3, 100),
-        _make_cheap("collectors", 4, 3, 100),
+        _make_service_with_few_connections("claims", 20),
+        _make_service_with_few_connections("ledger", 30),
+        _make_service_with_many_connections("statements", 4, 3, 100),
+        _make_service_with_many_connections("collectors", 4, 3, 100),
     ),
-    hop_ms=1.5,
+    one_way_delay_ms=1.5,
 )
-"""The burial fund's deployment, as its operators state it today."""
+"""The burial fund's deployment, with the sizes that its operators state."""
 
 HUNGARY = Layout(
     zones=("budapest-a", "gyor-a", "szeged-a"),
     vms=8,
     services=(
-        _make_dear("dispatch", 20),
-        _make_dear("invoicing", 30),
-        _make_cheap("reorder", 3, 4, 40),
-        _make_cheap("fleet", 3, 4, 40),
+        _make_service_with_few_connections("dispatch", 20),
+        _make_service_with_few_connections("invoicing", 30),
+        _make_service_with_many_connections("reorder", 3, 4, 40),
+        _make_service_with_many_connections("fleet", 3, 4, 40),
     ),
-    hop_ms=1.0,
+    one_way_delay_ms=1.0,
 )
-"""The nitrogen supplier's deployment, as its operators state it today."""
+"""The nitrogen supplier's deployment, with its operators' sizes."""
 
 
 def make_server(
@@ -124,11 +128,11 @@
 
     Args:
         layout: The deployment's size.
-        service: Its service.
-        number: Its number within the service, from 0.
+        service: The service of the backend server.
+        number: The backend server's number within the service, from 0.
     """
     name = f"{service.name}-{number:02}"
-    place = layout.services.index(service) + 1
+    service_number = layout.services.index(service) + 1
     return resources.BackendServer(
         name=name,
         service=service.name,
@@ -136,7 +140,7 @@
         searchers=tuple(
             resources.Searcher(
                 name=f"{name}-{letter}",
-                address=f"127.{place}.{number}.{letter + 1}:80",
+                address=f"127.{service_number}.{number}.{letter + 1}:80",
                 slots=service.slots,
                 connections=service.connections,
                 cold_limit=service.cold_limit,
@@ -160,13 +164,14 @@
 ) -> resources.ShardMap:
     """Makes the shard map of one version of a service's index.
 
-    Replicas of a shard lie on different backend servers, whose zones differ
-    as far as there are zones, since servers take the zones in turn.
+    Replicas of a shard are on different backend servers. These are in
+    different zones if there are enough zones, since backend servers are
+    assigned to the zones round-robin.
 
     Args:
         service: The service.
         version: The index version.
-        shards: How many shards it has; None takes the service's.
+        shards: Number of shards; None uses that of the service.
     """
     count = shards or service.shards
     span = service.count_keys()
@@ -176,8 +181,11 @@
         low, high = span * number // count, span * (number + 1) // count
         names = []
         for copy in range(service.replicas):
-            place = (number * service.replicas + copy) % total
-            server, letter = place % service.servers, place // service.servers
+            position = (number * service.replicas + copy) % total
+            server, letter = (
+                position % service.servers,
+                position // service.servers,
+            )
             names.append(f"{service.name}-{server:02}-{letter}")
         made.append(
             resources.Shard(
@@ -215,7 +223,7 @@
 
 
 def make_resources(layout: Layout) -> list[resources.AnyResource]:
-    """Makes every resource of a deployment with index versions 1."""
+    """Makes all resources of a deployment, with version 1 of each index."""
     return [
         *(resources.Zone(name=zone) for zone in layout.zones),
         *make_callers(layout),
--- a/src/azureramp_standins/measuring/platform_calls.py
+++ b/src/azureramp_standins/measuring/platform_calls.py
@@ -1,10 +1,11 @@
-"""Counts the calls of the platform that whole VMs make, in virtual time.
-
-The platform counts each call, a waiting watch included, and its rates grow
-more slowly than the fleet. The phases: at rest; with the target's 4,300
-changes of configuration a day; with requests that may not be repeated; during
-an outage of the store while these go on and are sent again; and the seconds
-after its return, when everybody wants to be served at once.
+"""Counts the VMs' calls to the platform in virtual time.
+
+The platform counts each call, including each long-polling watch, and its rate
+limits grow more slowly than the fleet. The phases are: at rest; with 4,300
+configuration changes per day, which is the target; additionally with requests
+that must not run more than once; during an outage of the store, in which these
+requests continue and are retried; the seconds after the outage, when all
+waiting callers retry at once; and the time after that.
 """
 
 from __future__ import annotations
@@ -26,64 +27,71 @@
 from azureramp_standins.measuring import tables
 
 PHASE_S = 30
-"""Length of each phase but the last, in seconds."""
+"""Duration of each phase except `return`, in seconds."""
 
-RETURN_S = 20
-"""Length of the last phase, in seconds."""
+RETURN_PHASE_S = 20
+"""Duration of the phase `return`, in seconds."""
 
-CHANGE_EVERY_S = 86_400 / 4_300
+CHANGE_INTERVAL_S = 86_400 / 4_300
 ROUND_TRIP_S = 0.004
-MAX_TRIES = 100
+MAX_ATTEMPTS = 100
 
-KINDS = ("reads", "writes", "watches")
+CALL_KINDS = ("reads", "writes", "watches")
 
 
-class Counter:
-    """Counts what the VMs have called, by second."""
+class CallCounter:
+    """Counts the VMs' calls between two readings."""
 
     def __init__(self, deployment: cluster.Cluster) -> None:
-        """Begins at zero."""
+        """Initializes the previous counts with zero."""
         self._deployment = deployment
-        self._before: dict[tuple[str, str], int] = {}
-        self._list_before = 0
+        self._previous_counts: dict[tuple[str, str], int] = {}
+        self._previous_list_reads = 0
 
-    def take(self) -> dict[str, int]:
-        """Returns the calls since the last time, by kind."""
-        taken = dict.fromkeys(KINDS, 0)
+    def read(self) -> dict[str, int]:
+        """Returns the number of calls since the previous reading, by kind."""
+        counts_by_kind = dict.fromkeys(CALL_KINDS, 0)
         for name, vm in self._deployment.vms.items():
             if vm.daemon is None:
                 continue
             counts = vm.daemon.board.metrics.counts
-            for kind in KINDS:
+            for kind in CALL_KINDS:
                 now = counts[f"store.{kind}"]
-                taken[kind] += now - self._before.get((name, kind), 0)
-                self._before[name, kind] = now
+                counts_by_kind[kind] += now - self._previous_counts.get(
+                    (name, kind), 0
+                )
+                self._previous_counts[name, kind] = now
         reads = self._deployment.vmlist.reads
-        taken["list"] = reads - self._list_before
-        self._list_before = reads
-        return taken
+        counts_by_kind["list"] = reads - self._previous_list_reads
+        self._previous_list_reads = reads
+        return counts_by_kind
 
 
 @dataclasses.dataclass(slots=True)
-class Load:
-    """Requests that may not be repeated, sent again until they are served.
+class RequestLoad:
+    """Requests that must not run more than once, retried until served.
 
     Attributes:
-        rate: New requests a second; 0 sends none.
-        minds_retry_after: False if callers ask again after 1 s, whatever
-            they were told.
+        deployment: The deployment under load.
+        rng: Source of the random draws.
+        rate: New requests per second; 0 sends none.
+        respects_retry_after: False if callers retry after 1 s, whatever delay
+            the answer states.
+        served: Number of requests that were served.
+        abandoned: Number of requests without success after `MAX_ATTEMPTS`.
+        waiting: Number of requests that are in progress.
     """
 
     deployment: cluster.Cluster
     rng: random.Random
     rate: float
-    minds_retry_after: bool = True
+    respects_retry_after: bool = True
     served: int = 0
-    given_up: int = 0
+    abandoned: int = 0
     waiting: int = 0
 
     async def run(self) -> None:
-        """Sends new requests at random times, for ever."""
+        """Sends new requests at random times until cancelled."""
         sending: set[asyncio.Task[None]] = set()
         number = 0
         while True:
@@ -97,13 +105,13 @@
             task.add_done_callback(sending.discard)
 
     async def _send(self, key: str) -> None:
-        """Sends one request until it is served."""
+        """Sends one request, and retries it until it is served."""
         service = self.deployment.layout.services[0].name
         body = {
             "service": service,
             "index": service,
             "key": 0,
-            "operation": {cluster.EFFECT_KEY: key},
+            "operation": {cluster.OPERATION_KEY_FIELD: key},
             "deadline_ms": 5000,
         }
         request = web_api.Request(
@@ -115,7 +123,7 @@
         )
         vms = list(self.deployment.vms)
         self.waiting += 1
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             vm = vms[self.rng.randrange(len(vms))]
             response = await self.deployment.ask(vm, request)
             if response.status == 200:
@@ -124,10 +132,10 @@
                 return
             answer = msgspec.json.decode(response.body)
             wait_ms = answer["retry_after_ms"] or 1000
-            if not self.minds_retry_after:
+            if not self.respects_retry_after:
                 wait_ms = 1000
             await asyncio.sleep(wait_ms / 1000)
-        self.given_up += 1
+        self.abandoned += 1
         self.waiting -= 1
 
 
@@ -136,20 +144,22 @@
     """One run.
 
     Attributes:
-        name: Its name in the table.
-        vms: How many VMs.
-        rate: Requests that may not be repeated, a second.
-        faults: The outage.
-        guarded: False switches off backoff and pace, for comparison.
-        minds_retry_after: As in `Load`.
+        name: Name in the table.
+        vms: Number of VMs.
+        rate: Rate of the requests that must not run more than once, per
+            second.
+        faults: Faults of the store during the outage.
+        is_limited: False disables backoff and the rate limit of records, for
+            comparison.
+        respects_retry_after: As in `RequestLoad`.
     """
 
     name: str
     vms: int
     rate: float
     faults: store_memory.Faults
-    guarded: bool = True
-    minds_retry_after: bool = True
+    is_limited: bool = True
+    respects_retry_after: bool = True
 
 
 DOWN = store_memory.Faults(down=True, delay_s=ROUND_TRIP_S)
@@ -168,17 +178,17 @@
 
 
 async def _run(scenario: Scenario) -> list[Row]:
-    """Runs one scenario through its phases."""
+    """Runs one scenario through all phases."""
     deployment = cluster.make(
         dataclasses.replace(layout.Layout(), vms=scenario.vms), seed=1
     )
     await deployment.start()
     _set_faults(deployment, store_memory.Faults(delay_s=ROUND_TRIP_S))
-    load = Load(
+    load = RequestLoad(
         deployment,
         random.Random(1),
         0.0,
-        minds_retry_after=scenario.minds_retry_after,
+        respects_retry_after=scenario.respects_retry_after,
     )
     loading = asyncio.ensure_future(load.run())
     rows = []
@@ -188,7 +198,7 @@
 
     await asyncio.sleep(10.0)
     await measure("at rest", PHASE_S)
-    changing = asyncio.ensure_future(_change(deployment))
+    changing = asyncio.ensure_future(_change_configuration(deployment))
     await measure("4,300 changes a day", PHASE_S)
     load.rate = scenario.rate
     await measure("and requests", PHASE_S)
@@ -196,7 +206,7 @@
     _set_faults(deployment, scenario.faults)
     await measure("outage", PHASE_S)
     _set_faults(deployment, store_memory.Faults(delay_s=ROUND_TRIP_S))
-    await measure("return", RETURN_S)
+    await measure("return", RETURN_PHASE_S)
     await measure("after", PHASE_S)
     loading.cancel()
     await deployment.close()
@@ -205,28 +215,28 @@
 
 async def _measure(
     deployment: cluster.Cluster,
-    load: Load,
+    load: RequestLoad,
     scenario: Scenario,
     phase: str,
     seconds: int,
 ) -> Row:
-    """Counts the calls of one phase."""
-    counter = Counter(deployment)
-    counter.take()
+    """Counts the calls of one phase and returns its row."""
+    counter = CallCounter(deployment)
+    counter.read()
     served = load.served
     total: collections.Counter[str] = collections.Counter()
     peak = 0
     for _ in range(seconds):
         await asyncio.sleep(1.0)
-        taken = counter.take()
-        total.update(taken)
-        peak = max(peak, taken["writes"] + taken["reads"])
+        counts_by_kind = counter.read()
+        total.update(counts_by_kind)
+        peak = max(peak, counts_by_kind["writes"] + counts_by_kind["reads"])
     row: Row = {
         "scenario": scenario.name,
         "vms": scenario.vms,
         "phase": phase,
     }
-    for kind in (*KINDS, "list"):
+    for kind in (*CALL_KINDS, "list"):
         row[f"{kind}_per_s"] = total[kind] / seconds
     row["calls_per_s_a_vm"] = sum(total.values()) / seconds / scenario.vms
     row["peak_reads_and_writes"] = peak
@@ -235,11 +245,11 @@
     return row
 
 
-async def _change(deployment: cluster.Cluster) -> None:
-    """Changes the configuration at the target's rate."""
+async def _change_configuration(deployment: cluster.Cluster) -> None:
+    """Changes the configuration at the target's rate until cancelled."""
     number = 0
     while True:
-        await asyncio.sleep(CHANGE_EVERY_S)
+        await asyncio.sleep(CHANGE_INTERVAL_S)
         number += 1
         policy = resources.Policy(name="default", queue_ms=1000 + number)
         await deployment.change("vm-0", policy)
@@ -248,22 +258,22 @@
 def _set_faults(
     deployment: cluster.Cluster, faults: store_memory.Faults
 ) -> None:
-    """Sets the same faults for all VMs."""
+    """Sets the same faults of the store for all VMs."""
     for vm in deployment.vms.values():
         assert vm.store is not None
         vm.store.faults = dataclasses.replace(faults)
 
 
 def run(scenario: Scenario) -> list[Row]:
-    """Runs a scenario in virtual time."""
-    kept = backoff.TOLERATED, record_bounds.RECORDS_PER_S
-    if not scenario.guarded:
+    """Runs a scenario in virtual time and returns a row per phase."""
+    saved = backoff.TOLERATED, record_bounds.RECORDS_PER_S
+    if not scenario.is_limited:
         backoff.TOLERATED = 10**9
         record_bounds.RECORDS_PER_S = 1e9
     try:
         return virtual.run(_run(scenario))
     finally:
-        backoff.TOLERATED, record_bounds.RECORDS_PER_S = kept
+        backoff.TOLERATED, record_bounds.RECORDS_PER_S = saved
 
 
 @click.command()
@@ -271,11 +281,13 @@
     "--json",
     "json_path",
     type=click.Path(path_type=pathlib.Path),
-    help="Also write the rows here.",
+    help="File to which the rows are written as JSON too.",
+)
+@click.option(
+    "--only", type=int, help="Run only the scenario with this number, from 0."
 )
-@click.option("--only", type=int, help="Run only the scenario of this number.")
 def main(json_path: pathlib.Path | None, only: int | None) -> None:
-    """Measures every scenario, and prints a table."""
+    """Measures the scenarios and prints a table."""
     chosen = SCENARIOS if only is None else SCENARIOS[only : only + 1]
     tables.print_rows(
         (row for scenario in chosen for row in run(scenario)), json_path
--- a/src/azureramp_standins/traffic.py
+++ b/src/azureramp_standins/traffic.py
@@ -1,4 +1,4 @@
-"""Callers of a deployment in memory: requests, and what came of them."""
+"""Sends callers' requests to an in-memory deployment and records answers."""
 
 from __future__ import annotations
 
@@ -25,22 +25,37 @@
     minimum_coverage: float = 0.0,
     over_http: bool = False,
 ) -> history.Received:
-    """Sends a query and notes what came of it."""
-    sized = _get_service(deployment, service)
+    """Sends a query and records its result.
+
+    Args:
+        deployment: The deployment.
+        vm: The entry VM that receives the query.
+        text: The query's text.
+        caller: The caller's name, which is its token too.
+        service: The service; the empty name means the first one.
+        deadline_ms: The deadline, in milliseconds.
+        minimum_coverage: Share of the index that the answer must cover.
+        over_http: True sends it over a new HTTP connection, False calls the
+            daemon's request handler.
+
+    Returns:
+        The result as the caller received it.
+    """
+    target = _get_service(deployment, service)
     body = {
-        "service": sized.name,
-        "index": sized.name,
+        "service": target.name,
+        "index": target.name,
         "query": {"text": text},
         "deadline_ms": deadline_ms,
         "minimum_coverage": minimum_coverage,
     }
     request = _make_request("/v1/query", caller, body)
-    got = await _send(deployment, vm, request, over_http, wanted=text)
-    if got.version:
-        tag = f"{text}@{got.version}"
-        keys = range(0, sized.count_keys(), cluster.KEYS_PER_ITEM)
+    received = await _send(deployment, vm, request, over_http, wanted=text)
+    if received.version:
+        tag = f"{text}@{received.version}"
+        keys = range(0, target.count_keys(), cluster.KEYS_PER_ITEM)
         deployment.past.keys_by_tag[tag] = tuple(keys)
-    return got
+    return received
 
 
 async def execute(
@@ -54,13 +69,28 @@
     deadline_ms: int = 1000,
     over_http: bool = False,
 ) -> history.Received:
-    """Sends a request that may not be repeated."""
-    sized = _get_service(deployment, service)
+    """Sends a request that must not run more than once.
+
+    Args:
+        deployment: The deployment.
+        vm: The entry VM that receives the request.
+        idempotency_key: The idempotency key.
+        key: The key in the index at which the operation is run.
+        caller: The caller's name, which is its token too.
+        service: The service; the empty name means the first one.
+        deadline_ms: The deadline, in milliseconds.
+        over_http: True sends it over a new HTTP connection, False calls the
+            daemon's request handler.
+
+    Returns:
+        The result as the caller received it.
+    """
+    target = _get_service(deployment, service)
     body = {
-        "service": sized.name,
-        "index": sized.name,
+        "service": target.name,
+        "index": target.name,
         "key": key,
-        "operation": {cluster.EFFECT_KEY: idempotency_key},
+        "operation": {cluster.OPERATION_KEY_FIELD: idempotency_key},
         "deadline_ms": deadline_ms,
     }
     request = _make_request(
@@ -82,31 +112,31 @@
     wanted: str = "",
     idempotency_key: str = "",
 ) -> history.Received:
-    """Sends a request, and notes the answer or its absence."""
+    """Sends a request and records the answer, or that there is none."""
     loop = asyncio.get_running_loop()
     sent_s = loop.time()
     if over_http:
-        response = await _ask_over_http(deployment, vm, request)
+        response = await _send_over_http(deployment, vm, request)
     else:
         response = await deployment.ask(vm, request)
-    got = _read_answer(
+    received = _read_answer(
         response, vm, sent_s, loop.time(), wanted, idempotency_key
     )
-    deployment.past.received.append(got)
-    return got
+    deployment.past.received.append(received)
+    return received
 
 
 def _get_service(deployment: cluster.Cluster, name: str) -> layouts.Service:
-    """Returns a service; the empty name means the first one."""
+    """Returns the service of a name; the empty name means the first one."""
     if not name:
         return deployment.layout.services[0]
     return deployment.layout.get_service(name)
 
 
-async def _ask_over_http(
+async def _send_over_http(
     deployment: cluster.Cluster, vm: str, request: web_api.Request
 ) -> web_api.Response:
-    """Asks a VM over a new connection."""
+    """Sends a request to a VM over a new HTTP connection."""
     address = deployment.vms[vm].entry.http_address
     opened = await web_connection.connect(address, 1.0)
     if opened.is_error():
@@ -131,7 +161,7 @@
     body: dict[str, Any],
     headers: dict[str, str] | None = None,
 ) -> web_api.Request:
-    """Makes a caller's request."""
+    """Makes the HTTP request of a caller."""
     return web_api.Request(
         "POST",
         path,
@@ -145,16 +175,16 @@
     response: web_api.Response,
     vm: str,
     sent_s: float,
-    got_s: float,
+    received_s: float,
     wanted: str,
     idempotency_key: str,
 ) -> history.Received:
-    """Reads a response as what a caller received."""
+    """Converts a response to the record of what the caller received."""
     if response.status == 0:
         refused = bool(response.headers)
         return history.Received(
             sent_s,
-            got_s,
+            received_s,
             vm,
             answered=False,
             connected=not refused,
@@ -165,7 +195,7 @@
     items = body.get("items", [])
     return history.Received(
         sent_s,
-        got_s,
+        received_s,
         vm,
         answered=True,
         code="ok" if ok else body["code"],
