--- a/src/azureramp_standins/client.py
+++ b/src/azureramp_standins/client.py
@@ -1,4 +1,4 @@
-"""A caller: it asks for addresses and sends requests by HTTP."""
+"""HTTP client of a caller, which fetches the entry VMs' addresses."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from azureramp.ports.web import api as web_api
 from azureramp.ports.web import connection as web_connection
 
-CONNECT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 
 
 class Client:
-    """A caller with its token.
+    """Client that authenticates with a caller's token.
 
     Attributes:
-        addresses: The entry VMs' `IP:port`, best first.
+        addresses: `IP:port` of the entry VMs, in order of preference.
     """
 
     __slots__ = ("_token", "addresses")
 
     def __init__(self, token: str, addresses: tuple[str, ...]) -> None:
-        """Makes a caller that knows some first addresses."""
+        """Initializes the client with the addresses to use at first."""
         self._token = token
         self.addresses = addresses
 
@@ -38,35 +38,35 @@
         Args:
             method: The HTTP method.
             path: The path.
-            body: The body, encoded as JSON; None for none.
-            headers: Further headers.
+            body: The body, which is encoded as JSON; None sends no body.
+            headers: Additional headers.
 
         Returns:
             The response.
 
         Raises:
             ConnectionError: No address accepts connections.
-            web_connection.BrokenError: The connection broke.
+            web_connection.BrokenError: The connection was lost.
         """
         data = b"" if body is None else msgspec.json.encode(body)
         for address in self.addresses:
-            opened = await web_connection.connect(address, CONNECT_S)
+            opened = await web_connection.connect(address, CONNECT_TIMEOUT_S)
             if opened.is_error():
                 continue
-            sent = list(headers)
+            all_headers = list(headers)
             if self._token:
-                sent.append(("Authorization", f"Bearer {self._token}"))
+                all_headers.append(("Authorization", f"Bearer {self._token}"))
             try:
-                return await opened.ok.exchange(method, path, sent, data)
+                return await opened.ok.exchange(method, path, all_headers, data)
             finally:
                 opened.ok.abort()
         raise ConnectionError("no entry VM accepts connections")
 
     async def refresh(self) -> int:
-        """Asks the system which addresses to use.
+        """Replaces the addresses with those that an entry VM advertises.
 
         Returns:
-            How long they may be kept, in milliseconds.
+            Time for which the addresses may be cached, in milliseconds.
         """
         response = await self.ask("GET", "/v1/addresses")
         answer = msgspec.json.decode(response.body)
