--- a/src/azureramp_standins/deployment.py
+++ b/src/azureramp_standins/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of real processes on loopback, for the demo and the tests."""
+"""Runs a deployment as processes on loopback, for the demo and the tests."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 ZONES = ("edinburgh-a", "edinburgh-b", "glasgow-a")
 SERVICE = "front-desk-claims"
 INDEX = "arrears"
-KEYS = 12_000
-"""The key space of the demo's documents."""
+KEY_COUNT = 12_000
+"""Number of keys of the demo's index."""
 
 CALLER_TOKEN = "demo-desk-token"
 OPERATOR_TOKEN = "demo-operator-token"
@@ -31,14 +31,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Deployment:
-    """Started processes.
+    """The processes of a deployment.
 
     Attributes:
-        folder: Where logs and resource files lie.
-        platform: The platform's stand-in.
-        searchers: The searchers, by name.
-        daemons: The daemons, by VM name.
-        servers: The declared backend servers.
+        folder: Directory of the logs and of the resource file.
+        platform: The platform's test double.
+        searchers: The started searchers by name.
+        daemons: The started daemons by VM name.
+        servers: The backend servers to declare.
         vms: The VMs' entries in the VM list.
     """
 
@@ -50,29 +50,29 @@
     vms: list[vmlist_api.Vm]
 
     def run_tool(self, *arguments: str) -> str:
-        """Runs the operators' tool.
+        """Runs the `azureramp` command-line tool.
 
         Args:
-            *arguments: Its arguments, without address and token.
+            *arguments: The tool's arguments without address and token.
 
         Returns:
-            What it printed.
+            The tool's standard output.
 
         Raises:
-            subprocess.CalledProcessError: It failed.
+            subprocess.CalledProcessError: The exit code is not 0.
         """
         program = pathlib.Path(sys.executable).parent / "azureramp"
         command, *rest = arguments
-        done = subprocess.run(
+        completed = subprocess.run(
             [str(program), command, *self._make_flags(), *rest],
             check=True,
             stdout=subprocess.PIPE,
             text=True,
         )
-        return done.stdout
+        return completed.stdout
 
     def _make_flags(self) -> list[str]:
-        """Returns the flags for the VMs that run, and the token."""
+        """Returns the token and the addresses of the running VMs as flags."""
         flags = ["--token", OPERATOR_TOKEN]
         for process in self.daemons.values():
             if process.popen.poll() is None:
@@ -80,7 +80,7 @@
         return flags
 
     def start_daemon(self, vm: vmlist_api.Vm) -> None:
-        """Starts a VM's daemon."""
+        """Starts the daemon of a VM."""
         flags = {
             "vm": vm.name,
             "zone": vm.zone,
@@ -101,7 +101,11 @@
         )
 
     def write_resources(self) -> pathlib.Path:
-        """Writes the file of all resources, for `azureramp apply`."""
+        """Writes the resource file for `azureramp apply`.
+
+        Returns:
+            The file's path.
+        """
         declared: list[resources.AnyResource] = [
             *(resources.Zone(name=zone) for zone in ZONES),
             resources.Service(name=SERVICE, indexes=(INDEX,)),
@@ -119,31 +123,31 @@
         return path
 
     def stop(self) -> dict[str, int]:
-        """Stops everything gracefully, the daemons first.
+        """Stops all processes gracefully, the daemons first.
 
         Returns:
-            The exit codes of the daemons, by VM.
+            The daemons' exit codes by VM name.
         """
         for daemon in self.daemons.values():
             daemon.terminate()
         codes = {name: daemon.wait() for name, daemon in self.daemons.items()}
-        rest = [*self.searchers.values(), self.platform]
-        for process in rest:
+        others = [*self.searchers.values(), self.platform]
+        for process in others:
             process.terminate()
-        for process in rest:
+        for process in others:
             process.wait()
         return codes
 
 
 def hash_token(token: str) -> str:
-    """Returns a token's SHA-256 in hexadecimal."""
+    """Returns the SHA-256 of a token in hexadecimal."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def make_shard_map(
     servers: list[resources.BackendServer], shards: int = 3
 ) -> resources.ShardMap:
-    """Makes a shard map whose replicas lie in two zones each."""
+    """Makes a shard map in which each shard has replicas in two zones."""
     names = [searcher.name for s in servers for searcher in s.searchers]
     return resources.ShardMap(
         name=f"{INDEX}.1",
@@ -152,9 +156,9 @@
         shards=tuple(
             resources.Shard(
                 name=f"{number:03}",
-                low=KEYS * number // shards,
-                high=KEYS * (number + 1) // shards,
-                size=KEYS // shards,
+                low=KEY_COUNT * number // shards,
+                high=KEY_COUNT * (number + 1) // shards,
+                size=KEY_COUNT // shards,
                 searchers=tuple(names[number * 2 : number * 2 + 2]),
             )
             for number in range(shards)
@@ -163,10 +167,13 @@
 
 
 def make(folder: pathlib.Path) -> Deployment:
-    """Starts a platform, and lays out the rest of a deployment.
+    """Starts a platform and prepares the other parts of a deployment.
 
     Args:
-        folder: For logs and files.
+        folder: Directory for logs and resource files.
+
+    Returns:
+        The deployment, to be started by `start`.
     """
     ports = iter(processes.find_ports(13))
 
@@ -190,7 +197,7 @@
     """Starts six searchers in three zones and three daemons.
 
     Raises:
-        processes.StartError: A process did not start.
+        processes.StartError: A process did not begin to listen in time.
     """
     for server in deployment.servers:
         searcher = server.searchers[0]
@@ -205,7 +212,7 @@
         )
     processes.wait_until_listening(deployment.platform)
     for vm in deployment.vms:
-        asyncio.run(list_vm(deployment.platform.address, vm))
+        asyncio.run(register_vm(deployment.platform.address, vm))
         deployment.start_daemon(vm)
     for process in (
         *deployment.searchers.values(),
@@ -214,19 +221,19 @@
         processes.wait_until_listening(process)
 
 
-async def list_vm(platform: str, vm: vmlist_api.Vm) -> None:
-    """Puts a VM into the platform's VM list.
+async def register_vm(platform: str, vm: vmlist_api.Vm) -> None:
+    """Adds a VM to the platform's VM list.
 
     Args:
-        platform: `IP:port` of the platform's stand-in.
-        vm: The entry.
+        platform: `IP:port` of the platform's test double.
+        vm: The VM's entry.
     """
-    asking = client.Client("", (platform,))
-    await asking.ask("PUT", f"/vms/{vm.name}", vm)
+    platform_client = client.Client("", (platform,))
+    await platform_client.ask("PUT", f"/vms/{vm.name}", vm)
 
 
 def _make_server(number: int, address: str) -> resources.BackendServer:
-    """Makes one backend server with one searcher."""
+    """Makes a backend server with one searcher."""
     name = f"claims-{number + 1:02}"
     searcher = resources.Searcher(name=f"{name}-a", address=address)
     return resources.BackendServer(
--- a/src/azureramp_standins/measuring/process_cost.py
+++ b/src/azureramp_standins/measuring/process_cost.py
@@ -1,8 +1,9 @@
-"""What real daemons cost: at rest, and for each searcher call.
+"""Measures the cost of real daemons at rest and per searcher call.
 
 `python -m azureramp_standins.measuring.process_cost` starts the demo's
-deployment, reads the daemons' processor time and memory from the kernel, and
-compares the whole path with a bare h11 client loop to the same searchers.
+deployment and reads the daemons' processor time and memory from the kernel.
+It compares the processor time per call with that of a bare h11 client loop
+that calls one of the same searchers.
 """
 
 from __future__ import annotations
@@ -20,21 +21,23 @@
 from azureramp.ports.web import connection as web_connection
 from azureramp_standins import client, demo, deployment, processes
 
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 SHARDS = 3
 
 
 class Cost(msgspec.Struct, frozen=True, kw_only=True):
-    """What was measured; processor time is user and system together.
+    """Measured cost; processor time is the sum of user and system time.
 
     Attributes:
-        rest_percent: Mean of the daemons at rest, in percent of a core.
-        resident_mb: The largest daemon's resident memory.
-        calls: Searcher calls through the daemons.
-        path_us: All daemons' processor time for each of them.
-        bare_us: A bare h11 client loop's for each call.
-        ratio: `path_us` to `bare_us`.
+        rest_percent: Mean processor use of a daemon at rest, in percent of a
+            core.
+        resident_mb: Resident memory of the largest daemon, in megabytes.
+        calls: Number of searcher calls through the daemons.
+        path_us: Processor time of all daemons per call, in microseconds.
+        bare_us: Processor time of a bare h11 client loop per call, in
+            microseconds.
+        ratio: `path_us` divided by `bare_us`.
     """
 
     rest_percent: float
@@ -46,27 +49,36 @@
 
 
 def read_cpu_s(pid: int) -> float:
-    """Reads a process's processor time, in seconds."""
+    """Returns the processor time of a process, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1]
     user, system = fields.split()[11:13]
-    return (int(user) + int(system)) / TICKS_A_SECOND
+    return (int(user) + int(system)) / TICKS_PER_SECOND
 
 
 def read_resident_mb(pid: int) -> float:
-    """Reads a process's resident memory, in megabytes."""
+    """Returns the resident memory of a process, in megabytes."""
     pages = pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1]
     return int(pages) * PAGE_BYTES / 1e6
 
 
 def read_all_cpu_s(running: deployment.Deployment) -> float:
-    """Reads the processor time of all daemons together, in seconds."""
+    """Returns the total processor time of all daemons, in seconds."""
     return sum(read_cpu_s(d.popen.pid) for d in running.daemons.values())
 
 
 async def run_queries(
     running: deployment.Deployment, count: int, callers: int
 ) -> None:
-    """Sends so many queries over kept connections, some at once."""
+    """Sends queries over persistent connections.
+
+    Args:
+        running: The deployment.
+        count: Number of queries.
+        callers: Number of concurrent connections.
+
+    Raises:
+        processes.StartError: A query is not answered with status 200.
+    """
 
     async def send(address: str, share: int) -> None:
         opened = await web_connection.connect(address, 2.0)
@@ -90,7 +102,7 @@
 
 
 async def measure_bare_us(running: deployment.Deployment, count: int) -> float:
-    """Measures a bare client loop, in microseconds a call."""
+    """Measures a bare client loop, in microseconds per call."""
     address = next(iter(running.searchers.values())).address
     opened = await web_connection.connect(address, 2.0)
     body = searchers_http.SearchBody(
@@ -99,15 +111,15 @@
         version=1,
         shard="000",
         low=0,
-        high=deployment.KEYS // SHARDS,
+        high=deployment.KEY_COUNT // SHARDS,
         repeatable=True,
         query=msgspec.Raw(b'{"text":"MacAoidh"}'),
     )
     data = msgspec.json.encode(body)
-    began_s = time.process_time()
+    start_s = time.process_time()
     for _ in range(count):
         await opened.ok.exchange("POST", "/v1/search", (), data)
-    used_s = time.process_time() - began_s
+    used_s = time.process_time() - start_s
     opened.ok.abort()
     return used_s / count * 1e6
 
@@ -115,23 +127,37 @@
 async def measure(
     running: deployment.Deployment, count: int, callers: int, rest_s: float
 ) -> Cost:
-    """Measures a deployment whose resources are in force."""
+    """Measures a deployment whose resources are applied.
+
+    Args:
+        running: The deployment.
+        count: Number of queries.
+        callers: Number of concurrent connections.
+        rest_s: Duration of the measurement at rest, in seconds.
+
+    Returns:
+        The measured cost.
+    """
     for vm in running.vms:
-        asking = client.Client(deployment.CALLER_TOKEN, (vm.http_address,))
-        await demo.wait_until_answered(asking)
+        caller = client.Client(deployment.CALLER_TOKEN, (vm.http_address,))
+        await demo.wait_until_answered(caller)
     await run_queries(running, callers * 20, callers)
-    before_s = read_all_cpu_s(running)
+    cpu_before_rest_s = read_all_cpu_s(running)
     await asyncio.sleep(rest_s)
-    rested_s = read_all_cpu_s(running)
+    cpu_after_rest_s = read_all_cpu_s(running)
     await run_queries(running, count, callers)
-    worked_s = read_all_cpu_s(running)
+    cpu_after_load_s = read_all_cpu_s(running)
     bare_us = await measure_bare_us(running, count)
     calls = count // callers * callers * SHARDS
-    path_us = (worked_s - rested_s) / calls * 1e6
+    path_us = (cpu_after_load_s - cpu_after_rest_s) / calls * 1e6
     daemons = running.daemons.values()
     return Cost(
         rest_percent=round(
-            100 * (rested_s - before_s) / rest_s / len(running.daemons), 2
+            100
+            * (cpu_after_rest_s - cpu_before_rest_s)
+            / rest_s
+            / len(running.daemons),
+            2,
         ),
         resident_mb=round(
             max(read_resident_mb(d.popen.pid) for d in daemons), 1
@@ -148,7 +174,7 @@
 @click.option("--callers", type=int, default=12, show_default=True)
 @click.option("--rest-s", type=float, default=10.0, show_default=True)
 def main(queries: int, callers: int, rest_s: float) -> None:
-    """Measures real daemons at rest and under queries."""
+    """Measures real daemons at rest and under load."""
     with tempfile.TemporaryDirectory() as folder:
         running = deployment.make(pathlib.Path(folder))
         try:
