--- a/src/azureramp_standins/demo.py
+++ b/src/azureramp_standins/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a whole deployment on this machine, shown step by step."""
+"""Demo that runs a deployment on this machine and prints each step."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from azureramp.ports.web import connection as web_connection
 from azureramp_standins import client, deployment, processes
 
-AFTER_DRAIN_S = 4.0
-"""How long queries go on after the zone was taken out, in seconds."""
+QUERIES_AFTER_DRAIN_S = 4.0
+"""Time for which queries continue after the zone was drained, in seconds."""
 
-ZONE_OUT = "edinburgh-b"
+DRAINED_ZONE = "edinburgh-b"
 READY_S = 15.0
 
 
-def say(words: str) -> None:
-    """Prints one step."""
+def print_lines(words: str) -> None:
+    """Prints lines about a step."""
     click.echo(words)
 
 
 def make_query(text: str) -> dict[str, Any]:
-    """Makes a caller's query."""
+    """Makes the body of a query."""
     return {
         "service": deployment.SERVICE,
         "index": deployment.INDEX,
@@ -39,10 +39,10 @@
 
 
 async def wait_until_answered(caller: client.Client) -> None:
-    """Waits until a query is answered in full.
+    """Waits until a query is answered completely.
 
     Raises:
-        TimeoutError: It isn't in time.
+        TimeoutError: None is within `READY_S`.
     """
     async with asyncio.timeout(READY_S):
         while True:
@@ -53,19 +53,23 @@
             await asyncio.sleep(0.1)
 
 
-async def show_query(caller: client.Client) -> bool:
-    """Sends one query and prints its answer."""
-    began_s = time.monotonic()
+async def show_answer(caller: client.Client) -> bool:
+    """Sends one query and prints its answer.
+
+    Returns:
+        True if the answer is complete.
+    """
+    start_s = time.monotonic()
     response = await caller.ask("POST", "/v1/query", make_query("MacAoidh"))
-    took_ms = (time.monotonic() - began_s) * 1000
+    took_ms = (time.monotonic() - start_s) * 1000
     answer = msgspec.json.decode(response.body)
-    say(f"\nA clerk looks up 'MacAoidh': HTTP {response.status}")
+    print_lines(f"\nA caller searches for 'MacAoidh': HTTP {response.status}")
     for item in answer.get("items", [])[:3]:
-        say(
+        print_lines(
             f"  {item['member']}  {item['name']}, {item['town']}: "
             f"arrears {item['arrears_pence']} pence"
         )
-    say(
+    print_lines(
         f"  items {len(answer.get('items', []))}, "
         f"coverage {answer.get('coverage')}, "
         f"index version {answer.get('version')}, "
@@ -74,14 +78,18 @@
     return bool(answer.get("complete"))
 
 
-async def show_zone_out(
+async def show_zone_drain(
     caller: client.Client, running: deployment.Deployment
 ) -> bool:
-    """Takes a zone out while queries run."""
+    """Drains a zone while queries run.
+
+    Returns:
+        True if all answers are complete and new work in the zone ends in time.
+    """
     codes: dict[str, int] = {}
     stopping = asyncio.Event()
 
-    async def go_on() -> None:
+    async def send_queries() -> None:
         while not stopping.is_set():
             try:
                 response = await caller.ask(
@@ -98,49 +106,58 @@
             if sum(codes.values()) % 100 == 0:
                 await caller.refresh()
 
-    say(f"\nQueries run while {ZONE_OUT} is taken out:")
-    querying = asyncio.create_task(go_on())
+    print_lines(f"\nZone {DRAINED_ZONE} is drained while queries run:")
+    querying = asyncio.create_task(send_queries())
     await asyncio.sleep(1.0)
-    printed = await asyncio.to_thread(running.run_tool, "drain-zone", ZONE_OUT)
-    say("  " + printed.strip().replace("\n", "\n  "))
-    await asyncio.sleep(AFTER_DRAIN_S)
+    printed = await asyncio.to_thread(
+        running.run_tool, "drain-zone", DRAINED_ZONE
+    )
+    print_lines("  " + printed.strip().replace("\n", "\n  "))
+    await asyncio.sleep(QUERIES_AFTER_DRAIN_S)
     stopping.set()
     await querying
-    say(f"  answers: {codes}")
-    last = await asyncio.to_thread(find_last_work, running)
-    say(
-        f"  last new work in {ZONE_OUT}: {last:+.3f} s after the change was "
-        "accepted (bound: +3 s)"
+    print_lines(f"  answers: {codes}")
+    last_s = await asyncio.to_thread(find_last_work, running)
+    print_lines(
+        f"  last new work in {DRAINED_ZONE}: {last_s:+.3f} s after the change "
+        "was accepted (limit: +3 s)"
     )
-    return set(codes) == {"complete"} and last < 3.0
+    return set(codes) == {"complete"} and last_s < 3.0
 
 
-def read_utc(text: str) -> float:
-    """Reads a time of the timeline, in seconds since 1970."""
+def parse_utc(text: str) -> float:
+    """Converts a time of the timeline to seconds since 1970."""
     return datetime.datetime.fromisoformat(text).timestamp()
 
 
 def find_last_work(running: deployment.Deployment) -> float:
-    """Returns when the last work reached the zone, after the acceptance."""
+    """Returns the time of the last new work in the zone.
+
+    The time is in seconds since the zone's change was accepted.
+    """
     printed = running.run_tool("timeline", "--format", "json")
     accepted_s: list[float] = []
     worked_s: list[float] = []
     for line in map(msgspec.json.decode, printed.splitlines()):
         match line:
             case {"event": "configuration.accepted", "name": name, "at": at}:
-                if name == ZONE_OUT:
-                    accepted_s.append(read_utc(at))
+                if name == DRAINED_ZONE:
+                    accepted_s.append(parse_utc(at))
             case {"event": "part.dispatched", "zone": zone, "at": at}:
-                if zone == ZONE_OUT:
-                    worked_s.append(read_utc(at))
+                if zone == DRAINED_ZONE:
+                    worked_s.append(parse_utc(at))
     return max(worked_s) - max(accepted_s)
 
 
 async def show_grant(
     caller: client.Client, running: deployment.Deployment
 ) -> bool:
-    """Sends one grant twice with the same idempotency key."""
-    say("\nA grant is sent, and sent again with the same key:")
+    """Sends one grant twice with the same idempotency key.
+
+    Returns:
+        True if the backend servers ran it exactly once.
+    """
+    print_lines("\nA grant is sent twice with the same idempotency key:")
     body = {
         "service": deployment.SERVICE,
         "index": deployment.INDEX,
@@ -148,54 +165,54 @@
         "operation": {"grant": "funeral", "member": "BF-10042"},
         "deadline_ms": 2000,
     }
-    header = (("Idempotency-Key", "grant-2026-0001"),)
+    headers = (("Idempotency-Key", "grant-2026-0001"),)
     for _ in range(2):
-        response = await caller.ask("POST", "/v1/execute", body, header)
+        response = await caller.ask("POST", "/v1/execute", body, headers)
         answer = msgspec.json.decode(response.body)
-        say(
+        print_lines(
             f"  HTTP {response.status}, replayed {answer.get('replayed')}, "
             f"request {answer.get('request_id')}"
         )
         caller.addresses = caller.addresses[1:] + caller.addresses[:1]
     effects = 0
     for searcher in running.searchers.values():
-        asking = client.Client("", (searcher.address,))
-        response = await asking.ask("GET", "/v1/effects")
+        searcher_client = client.Client("", (searcher.address,))
+        response = await searcher_client.ask("GET", "/v1/effects")
         effects += len(msgspec.json.decode(response.body))
-    say(f"  the backend servers ran it {effects} time(s)")
+    print_lines(f"  the backend servers ran it {effects} time(s)")
     return effects == 1
 
 
-async def show_all(running: deployment.Deployment) -> bool:
-    """Shows every step.
+async def run_steps(running: deployment.Deployment) -> bool:
+    """Runs all steps against a started deployment.
 
     Returns:
-        True if each one went as it should.
+        True if all steps succeeded.
     """
     path = running.write_resources()
-    say("\nThe operator declares the resources:")
+    print_lines("\nThe operator applies the resources:")
     printed = await asyncio.to_thread(
         running.run_tool, "apply", "--file", str(path)
     )
-    say("  " + "\n  ".join(printed.strip().splitlines()[-4:]))
+    print_lines("  " + "\n  ".join(printed.strip().splitlines()[-4:]))
     first = running.daemons["entry-1"].address
     caller = client.Client(deployment.CALLER_TOKEN, (first,))
     await wait_until_answered(caller)
     lifetime_ms = await caller.refresh()
-    say(
-        f"\nThe caller asks which addresses to use: "
-        f"{', '.join(caller.addresses)} for {lifetime_ms} ms"
+    print_lines(
+        f"\nThe caller fetches the addresses to use: "
+        f"{', '.join(caller.addresses)}, valid for {lifetime_ms} ms"
     )
-    results = [await show_query(caller)]
-    results.append(await show_zone_out(caller, running))
+    results = [await show_answer(caller)]
+    results.append(await show_zone_drain(caller, running))
     results.append(await show_grant(caller, running))
     return all(results)
 
 
 @click.command()
 def main() -> None:
-    """Runs the demo; exits 0 if every step went as it should."""
-    began_s = time.monotonic()
+    """Runs the demo; the exit code is 0 if all steps succeeded."""
+    start_s = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         running = deployment.make(pathlib.Path(folder))
         try:
@@ -203,19 +220,19 @@
         except processes.StartError:
             running.stop()
             raise
-        say(
+        print_lines(
             f"Started the platform, {len(running.searchers)} searchers in "
             f"{len(deployment.ZONES)} availability zones and "
             f"{len(running.daemons)} daemons."
         )
         try:
-            good = asyncio.run(show_all(running))
+            succeeded = asyncio.run(run_steps(running))
         finally:
             codes = running.stop()
-        say(f"\nStopped gracefully; exit codes of the daemons: {codes}")
-    say(f"The demo took {time.monotonic() - began_s:.1f} s.")
-    if not good or any(codes.values()):
-        say("FAILED: see above.")
+        print_lines(f"\nStopped gracefully; exit codes of the daemons: {codes}")
+    print_lines(f"The demo took {time.monotonic() - start_s:.1f} s.")
+    if not succeeded or any(codes.values()):
+        print_lines("FAILED: a step above did not succeed.")
         sys.exit(1)
 
 
