--- a/src/azureramp_standins/reference.py
+++ b/src/azureramp_standins/reference.py
@@ -1,4 +1,4 @@
-"""Makes the pages of docs/reference/ that list what the code holds."""
+"""Generates the pages of docs/reference/ that list definitions of the code."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 DIRECTORY = pathlib.Path(__file__).parents[2] / "docs" / "reference"
 
-NOTE = "Made from the code by `scripts/reference`; don't edit it by hand.\n"
+NOTE = "Generated from the code by `scripts/reference`; do not edit by hand.\n"
 
 
 def make_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
@@ -23,13 +23,14 @@
 
 
 def make_cli() -> str:
-    """Makes the page of the operators' tool."""
+    """Makes the page of the command-line tool."""
     parts = [
-        "# The tool `azureramp`\n",
+        "# Command-line tool `azureramp`\n",
         NOTE,
-        "Every flag can be given as an environment variable; the flag goes "
-        "first. A wrong one is one line that names flag, variable, value "
-        "and what is allowed, with exit code 2.\n",
+        "Every flag can be given as an environment variable; the flag takes "
+        "precedence. An invalid value is reported in one line that names the "
+        "flag, the variable, the value and the allowed values; the exit code "
+        "is 2.\n",
         "## Exit codes\n",
         make_table(
             ["code", "name", "meaning"],
@@ -42,7 +43,7 @@
     for name, command in sorted(main.group.commands.items()):
         parts += _make_command(name, command)
     parts += [
-        "## What the commands say\n",
+        "## Messages of the commands\n",
         make_table(
             ["code", "English", "magyar"],
             ([f"`{code}`", t.en, t.hu] for code, t in texts.TOOL.items()),
@@ -80,7 +81,7 @@
         allowed = "1 or 0"
     default = "" if option.default is None else str(option.default)
     if option.required:
-        default = "must be given"
+        default = "required"
     elif not isinstance(option.default, str | int | float):
         default = ""
     return [
@@ -105,23 +106,28 @@
             f"`{option.flag}`",
             f"`{option.variable}`",
             describe_form(option.form),
-            "must be given" if option.default is None else option.default,
+            "required" if option.default is None else option.default,
             option.help,
         ]
         for option in settings.OPTIONS
     ]
     head = ["flag", "variable", "allowed", "default", "meaning"]
-    words = (
-        "Every setting is a flag and an environment variable; the flag goes "
-        "first. A wrong one ends `azurerampd` with exit code 2.\n"
+    introduction = (
+        "Every setting is a flag and an environment variable; the flag takes "
+        "precedence. `azurerampd` exits with code 2 if a setting is invalid.\n"
     )
     return "\n".join(
-        ["# Settings of `azurerampd`\n", NOTE, words, make_table(head, rows)]
+        [
+            "# Settings of `azurerampd`\n",
+            NOTE,
+            introduction,
+            make_table(head, rows),
+        ]
     )
 
 
 def describe_form(form: settings.Form) -> str:
-    """Says what a setting may be."""
+    """Describes the allowed values of a setting."""
     match form:
         case settings.Word(may_be_empty):
             return "any text" if may_be_empty else "a word"
@@ -134,7 +140,7 @@
 
 
 def make_errors() -> str:
-    """Makes the page of the error kinds and of the rules of resources."""
+    """Makes the page of the error kinds and of the resources' rules."""
     kinds = []
     for kind in errors.Kind:
         answer, text = errors.ANSWERS[kind], texts.KINDS[kind]
@@ -158,13 +164,13 @@
         [
             "# Errors\n",
             NOTE,
-            "`ran` says whether the request took place. `retry` says what "
-            "to do next: `never`; `same` request again; at an "
+            "`ran` states whether the request was run. `retry` states how to "
+            "retry: `never`; the `same` request again; at an "
             "`other_address`; or `read_state` first.\n",
             make_table(head, kinds),
             "## Rules of resources\n",
-            "An answer `invalid_resource` names each field with one of "
-            "these.\n",
+            "An answer `invalid_resource` names one of these rules for each "
+            "invalid field.\n",
             make_table(["rule", "English", "magyar"], rules),
         ]
     )
@@ -191,11 +197,11 @@
     "metrics.md": make_metrics,
     "settings.md": make_settings,
 }
-"""The pages by file name."""
+"""Functions that make the pages, by file name."""
 
 
 def write() -> None:
-    """Writes every page."""
+    """Writes all pages."""
     DIRECTORY.mkdir(parents=True, exist_ok=True)
     for name, make in PAGES.items():
         (DIRECTORY / name).write_text(make(), encoding="utf-8")
