--- a/src/azureramp_standins/matrix/__init__.py
+++ b/src/azureramp_standins/matrix/__init__.py
@@ -1,1 +1,1 @@
-"""The fault matrix: every fault at every step, checked by one checker."""
+"""Fault matrix: runs every fault at every step under the invariant checker."""
--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -1,4 +1,4 @@
-"""One cell of the matrix: a fault at a step, under load, then recovery."""
+"""Runs one cell of the matrix: a fault at a step under load, then recovery."""
 
 from __future__ import annotations
 
@@ -21,37 +21,40 @@
         ),
     )
 )
-FAULT_S = 1.5
-"""How long a fault lasts, in seconds."""
+FAULT_DURATION_S = 1.5
+"""Duration of a fault, in seconds."""
 
-QUERY_GAP_S = 0.05
-GRANT_GAP_S = 0.25
-WARM_S = 3.0
-"""Load before a fault may begin, so that usual latencies are known."""
+QUERY_INTERVAL_S = 0.05
+GRANT_INTERVAL_S = 0.25
+WARMUP_S = 3.0
+"""Duration of the load before a fault may begin, in seconds.
+
+In this time the VMs learn the usual latencies.
+"""
 
 CHANGE_AT_S = 0.5
-STOP_AT_S = 1.0
-"""When an operator changes a resource, and a VM is replaced, after that."""
+REPLACE_AT_S = 1.0
+"""Times after `WARMUP_S` at which a resource changes and a VM is replaced."""
 
-START_S = 0.5
-"""Time in which the replaced VM reaches its steps."""
+VM_START_S = 0.5
+"""Time for the replaced VM to reach the steps of its start, in seconds."""
 
-RECOVERY_S = 12.0
-"""Longest time from a fault's end until all VMs answer in full."""
+MAX_RECOVERY_S = 12.0
+"""Maximum time from a fault's end until all VMs answer completely."""
 
 SETTLE_S = 3.5
-"""Time after recovery in which late effects would still show."""
+"""Time after recovery in which late effects would become visible."""
 
-SAME_INSTANT = "no wait lies between admission and pinning"
+NO_AWAIT = "no await between admission and pinning"
 
 CANNOT_OCCUR: dict[tuple[str, str], str] = {
-    (fault, "query.pin"): SAME_INSTANT for fault in faults.FAULTS
+    (fault, "query.pin"): NO_AWAIT for fault in faults.FAULTS
 }
-"""The cells that can't occur, by fault and step, and why."""
+"""Reasons why cells cannot occur, by fault and step."""
 
 
 class Verdict(enum.Enum):
-    """How a cell ended."""
+    """Result of the check of a cell."""
 
     HELD = "held"
     BROKEN = "broken"
@@ -60,15 +63,16 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """One cell's result.
+    """Result of one cell.
 
     Attributes:
-        fault: The fault, or two joined by `+`.
-        step: The step.
-        verdict: How it ended.
-        words: The first violations, or why it was not run.
-        recovery_s: Time from the fault's end until all VMs answered in full.
-        answered: Share of the queries answered in full.
+        fault: The fault's name, or two names joined by `+`.
+        step: The step's name.
+        verdict: The result of the check.
+        words: The first violations, or the reason why the cell was not run.
+        recovery_s: Time from the fault's end until all VMs answered
+            completely, in seconds.
+        answered: Share of the queries that were answered completely.
     """
 
     fault: str
@@ -80,120 +84,127 @@
 
 
 class Cell:
-    """A run in which a fault happens when a step is reached."""
+    """A run that injects faults when a step is reached."""
 
     __slots__ = (
         "_deployment",
+        "_detector",
         "_faults",
-        "_injecting",
+        "_injection",
         "_random",
         "_step",
-        "_watcher",
     )
 
     def __init__(self, names: tuple[str, ...], step: str, seed: int) -> None:
-        """Makes a cell that has not run."""
+        """Initializes a cell that has not run."""
         service = LAYOUT.services[0]
-        self._watcher = steps.Watcher(service.shards)
+        self._detector = steps.StepDetector(service.shards)
         self._deployment = cluster.make(
             LAYOUT, seed=seed, address_lifetime_ms=500, list_lag_ms=500
         )
-        state = steps.ObservedState(self._watcher)
-        network = steps.ObservedNetwork(seed, self._watcher)
+        state = steps.ObservedState(self._detector)
+        network = steps.ObservedNetwork(seed, self._detector)
         self._deployment.state = state
         self._deployment.network = network
-        self._deployment.observer = self._watcher.observe_event
+        self._deployment.observer = self._detector.observe_event
         self._faults = [faults.FAULTS[name] for name in names]
         self._step = step
         self._random = random.Random(seed)
-        self._injecting: asyncio.Task[None] | None = None
+        self._injection: asyncio.Task[None] | None = None
 
     async def run(self) -> tuple[history.History, float | None, bool]:
         """Runs the cell.
 
         Returns:
-            What happened, the time to recovery (None if there was none), and
-            whether the step was reached.
+            The recorded history, the time to recovery in seconds (None if
+            the VMs did not recover), and True if the step was reached.
         """
         deployment = self._deployment
         await deployment.start()
         stopping = asyncio.Event()
         load = [
-            asyncio.create_task(self._query(stopping)),
-            asyncio.create_task(self._grant(stopping)),
+            asyncio.create_task(self._send_queries(stopping)),
+            asyncio.create_task(self._send_grants(stopping)),
         ]
-        await asyncio.sleep(WARM_S)
-        self._watcher.base_revision = deployment.state.revision
-        self._watcher.observer = self._observe
+        await asyncio.sleep(WARMUP_S)
+        self._detector.base_revision = deployment.state.revision
+        self._detector.observer = self._observe
         await asyncio.sleep(CHANGE_AT_S)
-        self._watcher.tell("configuration.validate")
-        await self._change()
-        await asyncio.sleep(STOP_AT_S - CHANGE_AT_S)
+        self._detector.report("configuration.validate")
+        await self._change_policy()
+        await asyncio.sleep(REPLACE_AT_S - CHANGE_AT_S)
         await self._replace_vm()
-        await asyncio.sleep(START_S)
-        reached = self._injecting is not None
+        await asyncio.sleep(VM_START_S)
+        reached = self._injection is not None
         recovery_s: float | None = None
-        if self._injecting is not None:
-            await self._injecting
-            recovery_s = await self._recover()
+        if self._injection is not None:
+            await self._injection
+            recovery_s = await self._wait_until_recovered()
         await asyncio.sleep(SETTLE_S)
         stopping.set()
         await asyncio.gather(*load)
         return await deployment.close(), recovery_s, reached
 
-    def _observe(self, moment: steps.Moment) -> None:
-        """Begins the faults when the step is reached first."""
-        if moment.step == self._step and self._injecting is None:
-            self._injecting = asyncio.create_task(self._inject(moment))
+    def _observe(self, reached_step: steps.ReachedStep) -> None:
+        """Injects the faults when the step is reached for the first time."""
+        if reached_step.step == self._step and self._injection is None:
+            self._injection = asyncio.create_task(self._inject(reached_step))
 
-    async def _inject(self, moment: steps.Moment) -> None:
-        """Brings the faults about, and ends them after a while."""
-        place = changes.Place(self._deployment, moment)
-        until_s = asyncio.get_running_loop().time() + FAULT_S
+    async def _inject(self, reached_step: steps.ReachedStep) -> None:
+        """Begins the faults, and ends them `FAULT_DURATION_S` later."""
+        target = changes.FaultTarget(self._deployment, reached_step)
+        end_s = asyncio.get_running_loop().time() + FAULT_DURATION_S
         for fault in self._faults:
-            await fault.begin(place)
-        left_s = until_s - asyncio.get_running_loop().time()
-        await asyncio.sleep(max(0.0, left_s))
-        # The last one first: what an operator must undo may need what the
-        # other fault took away.
+            await fault.begin(target)
+        remaining_s = end_s - asyncio.get_running_loop().time()
+        await asyncio.sleep(max(0.0, remaining_s))
+        # In reverse order: ending a fault through an operator's change may
+        # need what the later fault took away.
         for fault in reversed(self._faults):
-            await fault.end(place)
+            await fault.end(target)
 
-    async def _change(self) -> None:
-        """Changes a resource that changes no answer."""
+    async def _change_policy(self) -> None:
+        """Changes a resource that has no effect on answers."""
         await self._deployment.change(
             self._choose_vm(),
             resources.Policy(name="default", queue_ms=900),
         )
 
     async def _replace_vm(self) -> None:
-        """Stops a VM gracefully, if it runs, and starts it again."""
+        """Stops a VM gracefully if it runs, and starts it again."""
         name = list(self._deployment.vms)[-1]
-        self._watcher.restarted = name
+        self._detector.restarted_vm = name
         vm = self._deployment.vms[name]
         if vm.daemon is not None and not vm.stopping:
             await self._deployment.stop_vm(name)
         if vm.daemon is None and not vm.stopping:
             await self._deployment.start_vm(name)
 
-    async def _recover(self) -> float | None:
-        """Waits until every VM answers in full; tells how long it took."""
+    async def _wait_until_recovered(self) -> float | None:
+        """Waits until every VM answers completely.
+
+        Returns:
+            The time that it took, in seconds; None if it exceeds
+            `MAX_RECOVERY_S`.
+        """
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
-        place = changes.Place(self._deployment, steps.Moment(self._step))
-        while loop.time() - began_s < RECOVERY_S:
-            await changes.start_all(place)
-            got = [
+        start_s = loop.time()
+        target = changes.FaultTarget(
+            self._deployment, steps.ReachedStep(self._step)
+        )
+        while loop.time() - start_s < MAX_RECOVERY_S:
+            await changes.start_all(target)
+            answers = [
                 await traffic.query(self._deployment, vm, f"after-{vm}")
                 for vm in self._deployment.vms
             ]
-            if all(answer.complete for answer in got):
-                return loop.time() - began_s
+            if all(answer.complete for answer in answers):
+                return loop.time() - start_s
             await asyncio.sleep(0.1)
         return None
 
     def _choose_vm(self) -> str:
-        """Chooses a VM that runs."""
+        """Chooses a running VM at random."""
         return self._random.choice(
             [
                 name
@@ -202,8 +213,8 @@
             ]
         )
 
-    async def _query(self, stopping: asyncio.Event) -> None:
-        """Sends queries until told to stop, some of them by real HTTP."""
+    async def _send_queries(self, stopping: asyncio.Event) -> None:
+        """Sends queries until `stopping` is set, every second one over HTTP."""
         sending: list[asyncio.Task[history.Received]] = []
         number = 0
         while not stopping.is_set():
@@ -218,11 +229,11 @@
                     )
                 )
             )
-            await asyncio.sleep(QUERY_GAP_S)
+            await asyncio.sleep(QUERY_INTERVAL_S)
         await asyncio.gather(*sending)
 
-    async def _grant(self, stopping: asyncio.Event) -> None:
-        """Sends grants, each one twice through two VMs."""
+    async def _send_grants(self, stopping: asyncio.Event) -> None:
+        """Sends each grant twice, through VMs chosen at random."""
         sending: list[asyncio.Task[history.Received]] = []
         number = 0
         while not stopping.is_set():
@@ -240,7 +251,7 @@
                         )
                     )
                 )
-                await asyncio.sleep(GRANT_GAP_S)
+                await asyncio.sleep(GRANT_INTERVAL_S)
         await asyncio.gather(*sending)
 
 
@@ -248,29 +259,32 @@
     """Runs one cell in virtual time.
 
     Args:
-        names: The faults, one or a pair.
-        step: The step.
-        seed: Of everything drawn.
+        names: Names of the faults, one or two.
+        step: Name of the step at which they begin.
+        seed: Seed of all random draws.
+
+    Returns:
+        The cell's result.
     """
     joined = "+".join(names)
     for name in names:
         if (name, step) in CANNOT_OCCUR:
-            why = CANNOT_OCCUR[(name, step)]
-            return Result(joined, step, Verdict.CANNOT_OCCUR, (why,))
+            reason = CANNOT_OCCUR[(name, step)]
+            return Result(joined, step, Verdict.CANNOT_OCCUR, (reason,))
     past, recovery_s, reached = virtual.run(Cell(names, step, seed).run())
     if not reached:
-        words = ("the step was not reached",)
-        return Result(joined, step, Verdict.NOT_RUN, words)
-    found = [f"{v.invariant}: {v.words}" for v in checker.check(past)]
+        reasons = ("the step was not reached",)
+        return Result(joined, step, Verdict.NOT_RUN, reasons)
+    violations = [f"{v.invariant}: {v.words}" for v in checker.check(past)]
     if recovery_s is None:
-        found.append(f"recovery: not within {RECOVERY_S} s")
+        violations.append(f"recovery: not within {MAX_RECOVERY_S} s")
     queries = [got for got in past.received if not got.idempotency_key]
     answered = sum(got.complete for got in queries) / max(1, len(queries))
     return Result(
         joined,
         step,
-        Verdict.BROKEN if found else Verdict.HELD,
-        tuple(found[:5]),
+        Verdict.BROKEN if violations else Verdict.HELD,
+        tuple(violations[:5]),
         round(recovery_s or 0.0, 3),
         round(answered, 4),
     )
--- a/src/azureramp_standins/matrix/faults.py
+++ b/src/azureramp_standins/matrix/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the matrix, as a table."""
+"""Table of the faults of the matrix."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from azureramp_standins.matrix import changes
 
-Change = Callable[[changes.Place], Awaitable[None]]
+Action = Callable[[changes.FaultTarget], Awaitable[None]]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -15,16 +15,16 @@
     """One fault.
 
     Attributes:
-        name: Its name.
-        words: What happens.
-        begin: Brings it about.
-        end: Ends it; what it can't undo, the system must.
+        name: The fault's name.
+        description: The fault in one phrase.
+        begin: Begins the fault.
+        end: Ends the fault; the system must recover from its consequences.
     """
 
     name: str
-    words: str
-    begin: Change
-    end: Change
+    description: str
+    begin: Action
+    end: Action
 
 
 FAULTS: dict[str, Fault] = {
@@ -50,7 +50,7 @@
         ),
         Fault(
             "cold",
-            "a backend server turns cold without a word",
+            "a backend server turns cold without a restart or a notice",
             changes.begin_cold,
             changes.do_nothing,
         ),
@@ -68,7 +68,7 @@
         ),
         Fault(
             "reply_lost",
-            "a write takes effect, its reply is lost",
+            "a write takes effect, but its reply is lost",
             changes.begin_reply_lost,
             changes.end_store,
         ),
@@ -80,25 +80,25 @@
         ),
         Fault(
             "past_reads",
-            "the key-value service answers from the past",
+            "the key-value service answers reads with older revisions",
             changes.begin_past_reads,
             changes.end_store,
         ),
         Fault(
             "operators_race",
-            "two operators change one resource",
+            "two operators change one resource concurrently",
             changes.begin_operators_race,
             changes.do_nothing,
         ),
         Fault(
             "poison",
-            "a query crashes what runs it",
+            "a query crashes each searcher that runs it",
             changes.begin_poison,
             changes.do_nothing,
         ),
         Fault(
             "half_open",
-            "open connections go silent for good",
+            "open connections become silent permanently",
             changes.begin_half_open,
             changes.do_nothing,
         ),
@@ -110,19 +110,19 @@
         ),
         Fault(
             "vm_frozen",
-            "a VM hears nothing for a while, then all at once",
+            "a VM receives no messages for a while, then all at once",
             changes.begin_vm_frozen,
             changes.end_network,
         ),
         Fault(
             "lying_reports",
-            "a searcher says that it is warm, but is cold",
+            "a cold searcher reports that it is warm",
             changes.begin_lying_reports,
             changes.end_lying_reports,
         ),
         Fault(
             "list_lag",
-            "the VM list does not show that a VM is gone",
+            "the VM list is unavailable while a VM is killed",
             changes.begin_list_lag,
             changes.end_list_lag,
         ),
@@ -134,7 +134,7 @@
         ),
         Fault(
             "zone_out",
-            "a zone is taken out and brought back",
+            "a zone is drained and restored",
             changes.begin_zone_out,
             changes.end_zone_out,
         ),
--- a/src/azureramp_standins/matrix/main.py
+++ b/src/azureramp_standins/matrix/main.py
@@ -1,4 +1,4 @@
-"""The command behind `scripts/matrix`."""
+"""Command-line program of `scripts/matrix`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from azureramp_standins.matrix import cells, faults, steps
 
-SIGNS = {
+VERDICT_LABELS = {
     cells.Verdict.HELD: "held",
     cells.Verdict.BROKEN: "BROKEN",
     cells.Verdict.NOT_RUN: "not run",
@@ -22,11 +22,14 @@
 
 
 def choose_pairs(count: int, seed: int) -> list[tuple[tuple[str, str], str]]:
-    """Chooses pairs of faults, and a step for each.
+    """Chooses pairs of faults and a step for each pair at random.
 
     Args:
-        count: How many.
-        seed: Of the choice.
+        count: Number of pairs.
+        seed: Seed of the random choice.
+
+    Returns:
+        The pairs of fault names, each with the name of its step.
     """
     rng = random.Random(seed)
     reachable = [step for step in steps.STEPS if step != "query.pin"]
@@ -38,29 +41,33 @@
 
 
 def run_cell(cell: tuple[tuple[str, ...], str, int]) -> cells.Result:
-    """Runs one cell; what it raises counts as broken."""
+    """Runs one cell; an exception makes its verdict broken."""
     names, step, seed = cell
     try:
         return cells.run(names, step, seed)
     except Exception as error:
-        words = (f"{type(error).__name__}: {error}",)
-        return cells.Result("+".join(names), step, cells.Verdict.BROKEN, words)
+        messages = (f"{type(error).__name__}: {error}",)
+        return cells.Result(
+            "+".join(names), step, cells.Verdict.BROKEN, messages
+        )
 
 
 def format_grid(results: list[cells.Result]) -> str:
-    """Makes a Markdown table, a row a fault and a column a step."""
+    """Makes a Markdown table with a row per fault and a column per step."""
     rows = list(dict.fromkeys(result.fault for result in results))
     columns = [
         step for step in steps.STEPS if any(r.step == step for r in results)
     ]
-    found = {(r.fault, r.step): SIGNS[r.verdict] for r in results}
+    label_by_cell = {
+        (r.fault, r.step): VERDICT_LABELS[r.verdict] for r in results
+    }
     lines = [
         "| fault | " + " | ".join(columns) + " |",
         "|---|" + "---|" * len(columns),
     ]
     for row in rows:
-        signs = [found.get((row, column), "") for column in columns]
-        lines.append(f"| {row} | " + " | ".join(signs) + " |")
+        labels = [label_by_cell.get((row, column), "") for column in columns]
+        lines.append(f"| {row} | " + " | ".join(labels) + " |")
     return "\n".join(lines)
 
 
@@ -70,21 +77,21 @@
     "chosen_faults",
     multiple=True,
     type=click.Choice(list(faults.FAULTS)),
-    help="Faults; all by default.",
+    help="Faults to inject; all by default.",
 )
 @click.option(
     "--step",
     "chosen_steps",
     multiple=True,
     type=click.Choice(list(steps.STEPS)),
-    help="Steps; all by default.",
+    help="Steps at which to inject them; all by default.",
 )
 @click.option(
     "--pairs",
     type=int,
     default=0,
     show_default=True,
-    help="Run so many seeded pairs of faults instead.",
+    help="Run this number of random pairs of faults instead.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
@@ -92,12 +99,12 @@
     type=int,
     default=6,
     show_default=True,
-    help="Cells that run side by side.",
+    help="Number of cells that run in parallel.",
 )
 @click.option(
     "--output",
     type=click.Path(path_type=pathlib.Path),
-    help="File for the results, as JSON.",
+    help="File for the results as JSON.",
 )
 def main(
     chosen_faults: tuple[str, ...],
@@ -107,9 +114,9 @@
     jobs: int,
     output: pathlib.Path | None,
 ) -> None:
-    """Runs every fault at every step and prints the grid.
+    """Runs the faults at the steps and prints the grid of verdicts.
 
-    Exit codes: 0 if all held, 1 if any is broken.
+    The exit code is 1 if a cell is broken, otherwise 0.
     """
     chosen: list[tuple[tuple[str, ...], str, int]] = (
         [(names, step, seed) for names, step in choose_pairs(pairs, seed)]
@@ -127,8 +134,8 @@
     broken = [r for r in results if r.verdict is cells.Verdict.BROKEN]
     for result in broken:
         click.echo(f"\n{result.fault} at {result.step}:")
-        for words in result.words:
-            click.echo(f"  {words}")
+        for line in result.words:
+            click.echo(f"  {line}")
     counts = {
         verdict.value: sum(r.verdict is verdict for r in results)
         for verdict in cells.Verdict
--- a/src/azureramp_standins/matrix/steps.py
+++ b/src/azureramp_standins/matrix/steps.py
@@ -1,4 +1,4 @@
-"""The steps at which a fault is brought about, and how each is seen."""
+"""Steps at which faults are injected, and how they are detected."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 from azureramp.ports.store import state as store_state
 
 STEPS: dict[str, str] = {
-    "query.admit": "a coordinator has taken a query",
+    "query.admit": "a coordinator has admitted a query",
     "query.pin": "the index version is pinned",
     "query.record_key": "an idempotency record is written",
-    "query.dispatch": "an owner is about to write to a searcher",
-    "query.part_arrives": "the first result of a query is there",
-    "query.merge": "the last result of a query is there",
-    "query.reply": "the answer goes out",
-    "query.record": "the outcome is recorded",
+    "query.dispatch": "an owner is about to send a call to a searcher",
+    "query.part_arrives": "the first partial result of a query has arrived",
+    "query.merge": "the last partial result of a query has arrived",
+    "query.reply": "the answer is sent",
+    "query.record": "the outcome of a request is recorded",
     "configuration.validate": "an operator's change has arrived",
     "configuration.write": "the change is written",
-    "configuration.watch": "a watcher has seen the change",
-    "configuration.relay": "the change goes to a peer",
-    "configuration.apply": "the change is in force on a second VM",
+    "configuration.watch": "the first VM has applied the change",
+    "configuration.relay": "the change is relayed to a peer",
+    "configuration.apply": "a second VM has applied the change",
     "configuration.confirm": "a peer acknowledges the revision",
-    "lifecycle.start": "a process begins",
-    "lifecycle.advertise": "a started process has its configuration",
+    "lifecycle.start": "the replaced VM's process has started",
+    "lifecycle.advertise": "the started process has applied its configuration",
     "lifecycle.drain": "a leaving VM is no longer advertised",
-    "lifecycle.hand_off": "a leaving VM hands its searchers off",
-    "lifecycle.exit": "a leaving VM has nothing left to do",
+    "lifecycle.hand_off": "a leaving VM hands its searchers over",
+    "lifecycle.exit": "a leaving VM begins to drain its requests",
 }
-"""The steps and what has just happened at each."""
+"""Descriptions of what has just happened, by step."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Moment:
+class ReachedStep:
     """A step that has just been reached.
 
     Attributes:
         step: The step's name.
-        vm: The VM at which it was reached; empty if at none.
-        searcher: The searcher that it is about; empty if about none.
+        vm: The VM that reached it; empty if unknown.
+        searcher: The searcher concerned; empty if none is.
     """
 
     step: str
@@ -51,17 +51,17 @@
     searcher: str = ""
 
 
-Observer = Callable[[Moment], None]
+Observer = Callable[[ReachedStep], None]
 
 
-class Watcher:
-    """Turns what the daemons do into steps.
+class StepDetector:
+    """Detects steps from the daemons' events, writes and messages.
 
     Attributes:
-        observer: Told of each step, as it is reached.
-        base_revision: The revision before the operator's change.
-        restarted: The VM whose start counts as a step.
-        shards: How many parts a query has.
+        observer: Called at each step.
+        base_revision: The store's revision before the operator's change.
+        restarted_vm: Name of the VM whose start is a step.
+        shard_count: Number of sub-requests of a query.
     """
 
     __slots__ = (
@@ -69,116 +69,116 @@
         "_parts",
         "base_revision",
         "observer",
-        "restarted",
-        "shards",
+        "restarted_vm",
+        "shard_count",
     )
 
-    def __init__(self, shards: int) -> None:
-        """Makes a watcher without an observer."""
+    def __init__(self, shard_count: int) -> None:
+        """Initializes a detector without an observer."""
         self.observer: Observer | None = None
-        self.restarted = ""
+        self.restarted_vm = ""
         self.base_revision = 2**62
-        self.shards = shards
+        self.shard_count = shard_count
         self._parts: dict[str, int] = {}
         self._applied: dict[int, int] = {}
 
-    def tell(self, step: str, vm: str = "", searcher: str = "") -> None:
-        """Tells the observer of a step."""
+    def report(self, step: str, vm: str = "", searcher: str = "") -> None:
+        """Reports a step to the observer."""
         if self.observer is not None:
-            self.observer(Moment(step, vm, searcher))
+            self.observer(ReachedStep(step, vm, searcher))
 
     def observe_event(self, record: timelines.Record) -> None:
-        """Takes an event from a timeline."""
+        """Handles a record of a VM's timeline."""
         vm = record.vm
         match record.event:
             case events.RequestAdmitted():
-                self.tell("query.admit", vm)
+                self.report("query.admit", vm)
             case events.PartDispatched(searcher=searcher):
-                self.tell("query.dispatch", vm, searcher)
+                self.report("query.dispatch", vm, searcher)
             case events.PartEnded(request_id=request_id, searcher=searcher):
                 count = self._parts.get(request_id, 0) + 1
                 self._parts[request_id] = count
                 if count == 1:
-                    self.tell("query.part_arrives", vm, searcher)
-                if count == self.shards:
-                    self.tell("query.merge", vm, searcher)
+                    self.report("query.part_arrives", vm, searcher)
+                if count == self.shard_count:
+                    self.report("query.merge", vm, searcher)
             case events.RequestAnswered():
-                self.tell("query.reply", vm)
+                self.report("query.reply", vm)
             case events.IdempotencyChanged(state="finished"):
-                self.tell("query.record", vm)
+                self.report("query.record", vm)
             case events.ConfigurationApplied(revision=revision):
                 self._observe_applied(vm, revision)
-            case events.ProcessStarted() if vm == self.restarted:
-                self.tell("lifecycle.start", vm)
+            case events.ProcessStarted() if vm == self.restarted_vm:
+                self.report("lifecycle.start", vm)
             case events.StopChanged(step="unadvertised"):
-                self.tell("lifecycle.drain", vm)
+                self.report("lifecycle.drain", vm)
             case events.StopChanged(step="handing_off"):
-                self.tell("lifecycle.hand_off", vm)
+                self.report("lifecycle.hand_off", vm)
             case events.StopChanged(step="draining"):
-                self.tell("lifecycle.exit", vm)
+                self.report("lifecycle.exit", vm)
 
     def _observe_applied(self, vm: str, revision: int) -> None:
-        """Counts on how many VMs a revision is in force."""
+        """Counts the VMs that have applied a revision."""
         count = self._applied.get(revision, 0) + 1
         self._applied[revision] = count
-        if vm == self.restarted:
-            self.tell("lifecycle.advertise", vm)
+        if vm == self.restarted_vm:
+            self.report("lifecycle.advertise", vm)
         elif count == 1:
-            self.tell("configuration.watch", vm)
+            self.report("configuration.watch", vm)
         elif count == 2:
-            self.tell("configuration.apply", vm)
+            self.report("configuration.apply", vm)
 
     def observe_write(self, key: str) -> None:
-        """Takes a write that took effect in the store."""
+        """Handles a write that took effect in the store."""
         if key.startswith("/azureramp/idempotency"):
-            self.tell("query.record_key")
+            self.report("query.record_key")
         elif key.startswith("/azureramp/resources"):
-            self.tell("configuration.write")
+            self.report("configuration.write")
 
     def observe_message(self, message: messages.PeerMessage) -> None:
-        """Takes a peer message as it arrives."""
+        """Handles a peer message that was sent."""
         match message:
             case messages.ConfigurationUpdate():
-                self.tell("configuration.relay")
+                self.report("configuration.relay")
             case messages.HeartbeatAck(revision=revision) if (
                 revision > self.base_revision
             ):
-                self.tell("configuration.confirm")
+                self.report("configuration.confirm")
 
 
 class ObservedState(store_state.State):
-    """A key-value service whose writes are observed."""
+    """State of a key-value service that reports its writes to a detector."""
 
-    __slots__ = ("watcher",)
+    __slots__ = ("detector",)
 
-    def __init__(self, watcher: Watcher) -> None:
-        """Makes an empty service."""
+    def __init__(self, detector: StepDetector) -> None:
+        """Initializes an empty state."""
         super().__init__()
-        self.watcher = watcher
+        self.detector = detector
 
     def write(
         self, key: str, value: bytes | None, expected: int, lease: str = ""
     ) -> store_api.Write | None:
-        """Writes, and tells the watcher if it took effect."""
+        """Writes a value, and reports it to the detector if it took effect."""
         outcome = super().write(key, value, expected, lease)
         if isinstance(outcome, store_api.Written):
-            self.watcher.observe_write(key)
+            self.detector.observe_write(key)
         return outcome
 
 
 class ObservedNetwork(peers_memory.Network):
-    """A network whose messages are observed."""
+    """A network that reports peer messages to a detector."""
 
-    __slots__ = ("_codec", "watcher")
+    __slots__ = ("_decoder", "detector")
 
-    def __init__(self, seed: int, watcher: Watcher) -> None:
-        """Makes a network without faults."""
+    def __init__(self, seed: int, detector: StepDetector) -> None:
+        """Initializes a network without faults."""
         super().__init__(seed)
-        self.watcher = watcher
-        self._codec = msgspec.msgpack.Decoder(messages.Envelope)
+        self.detector = detector
+        self._decoder = msgspec.msgpack.Decoder(messages.Envelope)
 
     def carry(self, source: str, target: str, data: bytes) -> None:
-        """Takes an envelope on its way, and shows its messages."""
+        """Carries an envelope, and reports its messages to the detector."""
         super().carry(source, target, data)
-        for message in self._codec.decode(data).messages:
-            self.watcher.observe_message(message)
+        for message in self._decoder.decode(data).messages:
+            self.detector.observe_message(message)
