--- a/src/azureramp_standins/measuring/ablation.py
+++ b/src/azureramp_standins/measuring/ablation.py
@@ -1,7 +1,7 @@
-"""Plays variants of the code side by side by the users' bench.
+"""Compares variants of the code with the users' benchmark program.
 
-Each variant is a clone of the repository with some constants set anew. All play
-the same days with the same seeds.
+Each variant is a clone of the repository in which some constants have other
+values. All variants run the same days with the same seeds.
 """
 
 from __future__ import annotations
@@ -20,23 +20,32 @@
 
 from azureramp_standins.measuring import tables
 
-SOURCES = pathlib.Path("src/azureramp")
-JOURNAL = "journal"
+SOURCE_DIRECTORY = pathlib.Path("src/azureramp")
+JOURNAL_DIRECTORY = "journal"
 
-AUTHOR = ("-c", "user.name=ablate", "-c", "user.email=ablate@localhost")
+GIT_AUTHOR_OPTIONS = (
+    "-c",
+    "user.name=ablate",
+    "-c",
+    "user.email=ablate@localhost",
+)
 
-_WORTH = re.compile(r"^worth (-?[\d.]+) = whole day (-?[\d.]+)", re.MULTILINE)
-_SHORT = re.compile(r"(\d+) of (\d+) gathered answers left parts out")
+_WORTH_PATTERN = re.compile(
+    r"^worth (-?[\d.]+) = whole day (-?[\d.]+)", re.MULTILINE
+)
+_SHORT_ANSWERS_PATTERN = re.compile(
+    r"(\d+) of (\d+) gathered answers left parts out"
+)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Setting:
-    """A constant's new value.
+    """New value of a constant.
 
     Attributes:
-        module: The module's path below `src/azureramp`, without its suffix.
+        module: Path of the module below `src/azureramp`, without its suffix.
         name: The constant's name.
-        value: The value as Python writes it.
+        value: The value as a Python expression.
     """
 
     module: str
@@ -46,25 +55,25 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Variant:
-    """Constants that are set together; none for the code as it is."""
+    """Constants that are set together; none for the unchanged code."""
 
     settings: tuple[Setting, ...]
 
     def get_title(self) -> str:
-        """Returns its title in the table."""
+        """Returns the variant's title in the table."""
         names = (f"{each.name}={each.value}" for each in self.settings)
         return " ".join(names) or "as it is"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Terms:
-    """What all variants have in common.
+class Options:
+    """Options that all variants share.
 
     Attributes:
-        bench: The bench's program.
-        site: The site file.
-        why: The hypothesis.
-        counts_cpu: True if processor time counts.
+        bench: Path of the benchmark program.
+        site: Path of the site file.
+        why: The hypothesis, which is written to the journal.
+        counts_cpu: True if processor time affects the result.
     """
 
     bench: pathlib.Path
@@ -75,13 +84,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Result:
-    """What a day came to.
+    """The benchmark's result of a day.
 
     Attributes:
-        worth: What it is worth.
-        whole_day: The callers' part of that, before prices.
-        short: Gathered answers that left shards out; None if not told.
-        gathered: All gathered answers.
+        worth: The day's worth, after prices.
+        whole_day: The callers' part of the worth, before prices.
+        short: Number of gathered answers that omitted shards; None if the
+            report doesn't state it.
+        gathered: Number of gathered answers.
     """
 
     worth: float
@@ -91,23 +101,23 @@
 
 
 class DayBody(msgspec.Struct):
-    """A day in an entry of the bench's journal.
+    """A day in an entry of the benchmark's journal.
 
     Attributes:
-        rules: The rules that were broken, with how often.
+        rules: Number of violations by broken rule.
     """
 
     rules: dict[str, Any] = {}
 
 
 class EntryBody(msgspec.Struct):
-    """An entry of the bench's journal."""
+    """An entry of the benchmark's journal."""
 
     days: list[DayBody] = []
 
 
-class SettingType(click.ParamType[Variant]):
-    """Reads `MODULE:NAME=VALUE`, several with commas between."""
+class VariantType(click.ParamType[Variant]):
+    """Parses a comma-separated list of `MODULE:NAME=VALUE`."""
 
     name = "module:name=value"
 
@@ -117,15 +127,15 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> Variant:
-        """Reads a variant."""
+        """Parses a variant."""
         if isinstance(value, Variant):
             return value
         settings: list[Setting] = []
         for text in value.split(","):
-            found = re.fullmatch(r"([\w/]+):([A-Z_0-9]+)=(.+)", text)
-            if not found:
+            match = re.fullmatch(r"([\w/]+):([A-Z_0-9]+)=(.+)", text)
+            if not match:
                 self.fail(f"{text!r} is not MODULE:NAME=VALUE", param, ctx)
-            settings.append(Setting(*found.groups()))
+            settings.append(Setting(*match.groups()))
         return Variant(tuple(settings))
 
 
@@ -134,7 +144,7 @@
     "--bench",
     required=True,
     type=click.Path(exists=True, dir_okay=False, path_type=pathlib.Path),
-    help="The bench's program.",
+    help="The benchmark program.",
 )
 @click.option(
     "--site",
@@ -150,22 +160,27 @@
     "--set",
     "variants",
     multiple=True,
-    type=SettingType(),
-    help="A variant; the code as it is is played too.",
+    type=VariantType(),
+    help="A variant; the unchanged code is always run too.",
 )
 @click.option(
     "--scratch",
     required=True,
     type=click.Path(file_okay=False, path_type=pathlib.Path),
-    help="Where the clones go; the bench can't see the temporary folder.",
+    help="Directory for the clones, outside of the system's temporary "
+    "directory, which the benchmark can't read.",
+)
+@click.option(
+    "--why",
+    required=True,
+    help="The hypothesis, which is written to the journal.",
 )
-@click.option("--why", required=True, help="The hypothesis, for the journal.")
 @click.option(
     "--cpu/--no-cpu",
     "counts_cpu",
     default=False,
     show_default=True,
-    help="Count processor time; runs then repeat less well.",
+    help="Count processor time, which makes runs less repeatable.",
 )
 def main(
     bench: pathlib.Path,
@@ -177,53 +192,55 @@
     why: str,
     counts_cpu: bool,
 ) -> None:
-    """Plays the code as it is and variants, and shows worth and spread."""
+    """Runs the unchanged code and variants, and prints worth and spread."""
     repository = pathlib.Path.cwd()
     clones = scratch.resolve() / "ablate"
-    terms = Terms(bench.resolve(), site.resolve(), why, counts_cpu)
+    options = Options(bench.resolve(), site.resolve(), why, counts_cpu)
 
-    def play_all() -> Iterator[dict[str, str]]:
-        """Plays the variants one after the other."""
+    def run_variants() -> Iterator[dict[str, str]]:
+        """Runs the variants one after another."""
         for number, variant in enumerate((Variant(()), *variants)):
             clone = make_clone(repository, clones / str(number), variant)
             for day in days:
                 results = [
-                    play(clone, variant, day, seed, terms)
+                    run_day(clone, variant, day, seed, options)
                     for seed in range(1, seeds + 1)
                 ]
                 title = {"variant": variant.get_title(), "day": day}
                 yield title | summarize(results)
             collect_journal(clone, repository)
 
-    tables.print_rows(play_all(), None)
+    tables.print_rows(run_variants(), None)
 
 
 def make_clone(
     repository: pathlib.Path, clone: pathlib.Path, variant: Variant
 ) -> pathlib.Path:
-    """Makes a clone of what is committed, with a variant's constants.
+    """Clones the last commit and commits a variant's constants to the clone.
 
     Raises:
-        UsageError: A constant is not found.
+        click.UsageError: A constant is not found.
     """
     shutil.rmtree(clone, ignore_errors=True)
     clone.parent.mkdir(parents=True, exist_ok=True)
     _run("git", "clone", "-q", str(repository), str(clone))
     for setting in variant.settings:
-        change(clone, setting)
+        set_constant(clone, setting)
     if variant.settings:
         message = f"trial: {variant.get_title()}"
-        _run("git", *AUTHOR, "commit", "-qam", message, folder=clone)
+        _run(
+            "git", *GIT_AUTHOR_OPTIONS, "commit", "-qam", message, folder=clone
+        )
     return clone
 
 
-def change(clone: pathlib.Path, setting: Setting) -> None:
+def set_constant(clone: pathlib.Path, setting: Setting) -> None:
     """Sets a constant in a clone.
 
     Raises:
-        UsageError: It is not found, or found more than once.
+        click.UsageError: It is not found, or is found more than once.
     """
-    path = clone / SOURCES / f"{setting.module}.py"
+    path = clone / SOURCE_DIRECTORY / f"{setting.module}.py"
     if not path.is_file():
         raise click.UsageError(f"--set: no module {setting.module}")
     pattern = re.compile(rf"^{setting.name} = .*$", re.MULTILINE)
@@ -232,45 +249,45 @@
     )
     if count != 1:
         raise click.UsageError(
-            f"--set: {setting.name} stands {count} times in {setting.module}"
+            f"--set: {setting.name} is set {count} times in {setting.module}"
         )
     path.write_text(text, "utf-8")
 
 
-def play(
-    clone: pathlib.Path, variant: Variant, day: str, seed: int, terms: Terms
+def run_day(
+    clone: pathlib.Path, variant: Variant, day: str, seed: int, options: Options
 ) -> Result | None:
-    """Plays a day; None if it broke a rule or was not played to its end."""
-    words = [str(terms.bench), "run", str(terms.site), day]
-    words += ["--seed", str(seed)]
+    """Runs a day; returns None if it broke a rule or did not complete."""
+    command = [str(options.bench), "run", str(options.site), day]
+    command += ["--seed", str(seed)]
     title = variant.get_title()
-    words += ["--why", f"trial: {terms.why}; {title}, seed {seed}"]
-    if not terms.counts_cpu:
-        words.append("--no-cpu")
-    before = set(list_entries(clone))
-    output = _run(*words, folder=clone, checked=False)
-    entries = set(list_entries(clone)) - before
-    if any(has_broken_rule(entry.read_bytes()) for entry in entries):
+    command += ["--why", f"trial: {options.why}; {title}, seed {seed}"]
+    if not options.counts_cpu:
+        command.append("--no-cpu")
+    old_entries = set(list_entries(clone))
+    output = _run(*command, folder=clone, checked=False)
+    new_entries = set(list_entries(clone)) - old_entries
+    if any(has_broken_rule(entry.read_bytes()) for entry in new_entries):
         return None
-    return read(output)
+    return parse_report(output)
 
 
 def has_broken_rule(entry: bytes) -> bool:
-    """Tells whether an entry of the journal is of a day that broke a rule."""
+    """Returns True if a journal entry holds a day that broke a rule."""
     try:
         days = msgspec.json.decode(entry, type=EntryBody).days
     except msgspec.DecodeError:
-        # Other files of the journal are no entries.
+        # The journal contains other files too.
         return False
     return any(day.rules for day in days)
 
 
-def read(output: str) -> Result | None:
-    """Reads the bench's report of a day; None if it was given up."""
-    worth = _WORTH.search(output)
+def parse_report(output: str) -> Result | None:
+    """Parses the benchmark's report of a day; None if it has no worth."""
+    worth = _WORTH_PATTERN.search(output)
     if worth is None:
         return None
-    short = _SHORT.search(output)
+    short = _SHORT_ANSWERS_PATTERN.search(output)
     return Result(
         float(worth[1]),
         float(worth[2]),
@@ -280,16 +297,16 @@
 
 
 def summarize(results: Sequence[Result | None]) -> dict[str, str]:
-    """Summarizes the days of a variant; those that don't count are left out."""
-    played = [result for result in results if result is not None]
-    counted = {"counted": f"{len(played)}/{len(results)}"}
-    if not played:
+    """Summarizes the days of a variant, without those that don't count."""
+    completed = [result for result in results if result is not None]
+    counted = {"counted": f"{len(completed)}/{len(results)}"}
+    if not completed:
         return counted
-    worths = [result.worth for result in played]
+    worths = [result.worth for result in completed]
     spread = statistics.stdev(worths) if len(worths) > 1 else 0.0
-    whole = statistics.fmean(result.whole_day for result in played)
-    short = sum(result.short or 0 for result in played)
-    gathered = sum(result.gathered for result in played)
+    whole = statistics.fmean(result.whole_day for result in completed)
+    short = sum(result.short or 0 for result in completed)
+    gathered = sum(result.gathered for result in completed)
     return {
         "worth": f"{statistics.fmean(worths):.3f}",
         "spread": f"{spread:.3f}",
@@ -299,28 +316,32 @@
 
 
 def collect_journal(clone: pathlib.Path, repository: pathlib.Path) -> None:
-    """Copies the bench's entries of a clone into the repository."""
+    """Copies new journal entries of a clone into the repository."""
     for entry in list_entries(clone):
-        wanted = repository / entry.relative_to(clone)
-        if not wanted.exists():
-            wanted.parent.mkdir(parents=True, exist_ok=True)
-            shutil.copyfile(entry, wanted)
+        target = repository / entry.relative_to(clone)
+        if not target.exists():
+            target.parent.mkdir(parents=True, exist_ok=True)
+            shutil.copyfile(entry, target)
 
 
 def list_entries(clone: pathlib.Path) -> list[pathlib.Path]:
-    """Lists the files of a clone's journal."""
-    found = sorted((clone / JOURNAL).rglob("*"))
-    return [path for path in found if path.is_file()]
+    """Lists all files of a clone's journal."""
+    paths = sorted((clone / JOURNAL_DIRECTORY).rglob("*"))
+    return [path for path in paths if path.is_file()]
 
 
 def _run(
-    *words: str, folder: pathlib.Path | None = None, checked: bool = True
+    *command: str, folder: pathlib.Path | None = None, checked: bool = True
 ) -> str:
-    """Runs a program and returns what it prints."""
-    done = subprocess.run(
-        words, cwd=folder, check=checked, capture_output=True, text=True
+    """Runs a program.
+
+    Returns:
+        Its standard output, followed by its standard error.
+    """
+    completed = subprocess.run(
+        command, cwd=folder, check=checked, capture_output=True, text=True
     )
-    return done.stdout + done.stderr
+    return completed.stdout + completed.stderr
 
 
 if __name__ == "__main__":
--- a/tests/standins/test_ablation.py
+++ b/tests/standins/test_ablation.py
@@ -1,4 +1,4 @@
-"""Playing variants by the users' bench, here by a program that plays none."""
+"""Tests of comparing variants, with a fake of the users' benchmark program."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
     module = folder / "src/azureramp/policy/limits.py"
     module.parent.mkdir(parents=True)
     module.write_text("LIMIT = 5\n", "utf-8")
-    for words in (
+    for arguments in (
         ("init", "-q"),
         ("add", "."),
-        (*ablation.AUTHOR, "commit", "-qm", "x"),
+        (*ablation.GIT_AUTHOR_OPTIONS, "commit", "-qm", "x"),
     ):
-        subprocess.run(("git", *words), cwd=folder, check=True)
+        subprocess.run(("git", *arguments), cwd=folder, check=True)
     bench = tmp_path / "bench"
     bench.write_text(BENCH, "utf-8")
     bench.chmod(0o755)
@@ -49,12 +49,17 @@
 
 def run(repository: pathlib.Path, *options: str) -> testing.Result:
     folder = repository.parent
-    words = ["--bench", str(folder / "bench"), "--site", str(folder / "site")]
-    words += ["--scratch", str(folder), "--why", "x", "--day", "quiet-1"]
-    return testing.CliRunner().invoke(ablation.main, [*words, *options])
+    arguments = [
+        "--bench",
+        str(folder / "bench"),
+        "--site",
+        str(folder / "site"),
+    ]
+    arguments += ["--scratch", str(folder), "--why", "x", "--day", "quiet-1"]
+    return testing.CliRunner().invoke(ablation.main, [*arguments, *options])
 
 
-def test_variants_are_played_beside_the_code_as_it_is(
+def test_variants_are_run_with_the_unchanged_code(
     repository: pathlib.Path,
 ) -> None:
     result = run(repository, "--seeds", "2", "--set", "policy/limits:LIMIT=7")
@@ -67,7 +72,7 @@
     assert entries == ["5-1.json", "5-2.json", "7-1.json", "7-2.json"]
 
 
-def test_a_day_that_broke_a_rule_does_not_count(
+def test_day_that_broke_a_rule_does_not_count(
     repository: pathlib.Path,
 ) -> None:
     result = run(repository, "--seeds", "3")
@@ -77,7 +82,7 @@
 @pytest.mark.parametrize(
     "setting", ["policy/limits:OTHER=1", "policy/none:LIMIT=1", "LIMIT=1"]
 )
-def test_a_constant_that_is_not_there_is_said_so(
+def test_missing_constant_is_reported(
     repository: pathlib.Path, setting: str
 ) -> None:
     result = run(repository, "--seeds", "1", "--set", setting)
@@ -85,5 +90,5 @@
     assert "--set" in result.output
 
 
-def test_a_report_without_its_worth_does_not_count() -> None:
-    assert ablation.read("given up after 60 s") is None
+def test_report_without_worth_does_not_count() -> None:
+    assert ablation.parse_report("given up after 60 s") is None
