--- a/src/azureramp_standins/measuring/control_state.py
+++ b/src/azureramp_standins/measuring/control_state.py
@@ -1,8 +1,9 @@
-"""What the state of the control plane costs in one process.
+"""Measures the cost of the control plane's state in one process.
 
-`python -m azureramp_standins.measuring.control_state` builds the configuration
-of a cell and of the whole fleet, and measures memory, the time to decode it,
-to choose the owners and to build what a query looks at.
+`python -m azureramp_standins.measuring.control_state` builds configurations of
+the size of a cell and of the whole fleet. It measures their memory and the
+processor time to decode them, to choose the owners and to build the topology
+that queries use.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
 from azureramp.policy import ownership, topology
 from azureramp_standins import layout as layouts
 
-SEARCHERS_A_SERVER = 2
-SIZES = (400, 4_000, 40_000)
-"""Searchers of one cell, of ten, and of the fleet in two years."""
+SEARCHERS_PER_SERVER = 2
+SEARCHER_COUNTS = (400, 4_000, 40_000)
+"""Searchers of one cell, of ten cells, and of the fleet in two years."""
 
 VMS = 68
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """What one size gave; bytes as tracemalloc counts them."""
+    """Result of one size; `state_bytes` is measured by tracemalloc."""
 
     searchers: int
     encoded_bytes: int
@@ -42,9 +43,12 @@
     """Measures one size.
 
     Args:
-        searchers: How many searchers there are, two a backend server.
+        searchers: Number of searchers, two per backend server.
+
+    Returns:
+        The result.
     """
-    servers = searchers // SEARCHERS_A_SERVER
+    servers = searchers // SEARCHERS_PER_SERVER
     service = layouts.Service(servers=servers, shards=searchers, replicas=1)
     layout = layouts.Layout(vms=VMS, services=(service,))
     encoded = [
@@ -53,11 +57,11 @@
     ]
     gc.collect()
     tracemalloc.start()
-    kept = _decode(encoded)
+    decoded = _decode(encoded)
     gc.collect()
     state_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del decoded
     configuration, decode_ms = _time(lambda: _decode(encoded))
     zones = {
         searcher.name: server.zone
@@ -83,7 +87,7 @@
 
 
 def _decode(encoded: list[bytes]) -> resources.Configuration:
-    """Decodes a configuration as it comes from the store."""
+    """Decodes a configuration from its encoded resources."""
     decoder = msgspec.json.Decoder(resources.AnyResource)
     configuration = resources.Configuration()
     for revision, data in enumerate(encoded, 1):
@@ -96,17 +100,20 @@
     return configuration
 
 
-def _time(work: Callable[[], Any]) -> tuple[Any, float]:
-    """Runs something; returns its result and its processor time in ms."""
-    began_s = time.process_time()
-    result = work()
-    return result, (time.process_time() - began_s) * 1000
+def _time(function: Callable[[], Any]) -> tuple[Any, float]:
+    """Calls a function; returns its result and processor time in ms."""
+    start_s = time.process_time()
+    result = function()
+    return result, (time.process_time() - start_s) * 1000
 
 
 @click.command()
 def main() -> None:
-    """Measures the control plane's state at several sizes."""
-    for size in SIZES:
+    """Measures the control plane's state at several sizes.
+
+    Each result is printed as a line of JSON.
+    """
+    for size in SEARCHER_COUNTS:
         click.echo(msgspec.json.encode(measure(size)).decode())
 
 
