--- a/src/azureramp_standins/measuring/grouped_trial.py
+++ b/src/azureramp_standins/measuring/grouped_trial.py
@@ -1,9 +1,10 @@
-"""A trial: idempotency records in shared log segments, for measuring only.
+"""Rejected design: idempotency records in shared log segments.
 
-Each bucket is a log. A VM appends its waiting changes as one segment, by
-create-if-absent on the log's next number; a change counts only if the key's
-version is the expected one when the log is read in order. So the safety rests
-on compare-and-swap alone. docs/design/idempotency.md tells why it lost.
+It is kept for measurements only. Each bucket is a log. A VM appends its pending
+changes as one segment, by create-if-absent on the log's next number. A change
+takes effect only if the key has the expected version when the log is read in
+order, so safety depends on compare-and-swap alone. docs/design/idempotency.md
+explains why this design was rejected.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """One compare-and-swap of one key, within a segment."""
+    """Compare-and-swap of one key within a segment."""
 
     key: str
     value: bytes
@@ -30,7 +31,7 @@
 
 
 class Segment(msgspec.Struct, frozen=True, array_like=True):
-    """What one VM appended at once."""
+    """Changes that one VM appended together."""
 
     nonce: str
     changes: tuple[Change, ...]
@@ -43,19 +44,19 @@
     tail: int = 1
     revision: int = 0
     entries: dict[str, api.Entry] = dataclasses.field(default_factory=dict)
-    waiting: list[tuple[Change, asyncio.Future[api.Write]]] = dataclasses.field(
+    pending: list[tuple[Change, asyncio.Future[api.Write]]] = dataclasses.field(
         default_factory=list
     )
     flusher: asyncio.Task[None] | None = None
 
 
 class GroupedStore:
-    """Offers `write` per key over segment logs."""
+    """Store that implements writes per key over segment logs."""
 
     def __init__(
         self, store: api.Store, vm: str, buckets: int, linger_s: float
     ) -> None:
-        """Makes a view of empty logs."""
+        """Initializes the view of empty logs."""
         self._store = store
         self._vm = vm
         self._buckets = [Bucket() for _ in range(buckets)]
@@ -66,19 +67,19 @@
     async def grant_lease(
         self, ttl_s: float
     ) -> expression.Result[str, errors.Failure]:
-        """Passes on."""
+        """Grants a lease of the underlying store."""
         return await self._store.grant_lease(ttl_s)
 
     async def write(
         self, key: str, value: bytes, expected: int, lease: str = ""
     ) -> expression.Result[api.Write, errors.Failure]:
-        """Appends a change and returns what became of it."""
+        """Appends a change to its log and returns the outcome."""
         number = zlib.crc32(key.encode()) % len(self._buckets)
         bucket = self._buckets[number]
         done: asyncio.Future[api.Write] = (
             asyncio.get_running_loop().create_future()
         )
-        bucket.waiting.append((Change(key, value, expected), done))
+        bucket.pending.append((Change(key, value, expected), done))
         if bucket.flusher is None or bucket.flusher.done():
             bucket.flusher = asyncio.ensure_future(
                 self._flush(number, bucket, lease)
@@ -86,7 +87,7 @@
         return expression.Ok(await done)
 
     def count_claims(self) -> int:
-        """Returns how many claims this VM keeps in memory."""
+        """Returns the number of claims that this VM holds in memory."""
         return sum(
             key.startswith("/")
             for bucket in self._buckets
@@ -94,11 +95,11 @@
         )
 
     async def _flush(self, number: int, bucket: Bucket, lease: str) -> None:
-        """Appends what waits, until nothing does."""
+        """Appends pending changes to a log until there are none."""
         prefix = f"{PREFIX}{number:03d}/"
-        while bucket.waiting:
+        while bucket.pending:
             await asyncio.sleep(self._linger_s)
-            batch, bucket.waiting = bucket.waiting, []
+            batch, bucket.pending = bucket.pending, []
             self._number += 1
             segment = Segment(
                 f"{self._vm}.{self._number}",
@@ -106,8 +107,8 @@
             )
             data = msgspec.msgpack.encode(segment)
             while True:
-                # Read first: most segments are other VMs', so an append at
-                # the cached tail would mostly be a wasted write.
+                # Reads first: most segments are from other VMs, so most
+                # appends at the cached tail would be wasted writes.
                 listing = (
                     await self._store.watch(prefix, bucket.revision, 0.0)
                 ).ok
@@ -130,16 +131,16 @@
                     done.set_result(outcome)
 
     def _apply(self, bucket: Bucket, data: bytes) -> list[api.Write]:
-        """Applies the segment at the tail, in order."""
+        """Applies the changes of the segment at the tail, in order."""
         segment = msgspec.msgpack.decode(data, type=Segment)
         outcomes: list[api.Write] = []
-        for place, change in enumerate(segment.changes):
-            present = bucket.entries.get(change.key)
-            version = present.revision if present else api.CREATE
+        for position, change in enumerate(segment.changes):
+            current = bucket.entries.get(change.key)
+            version = current.revision if current else api.CREATE
             if version != change.expected:
-                outcomes.append(api.Conflicted(present))
+                outcomes.append(api.Conflicted(current))
                 continue
-            version = bucket.tail << 16 | place
+            version = bucket.tail << 16 | position
             bucket.entries[change.key] = api.Entry(
                 change.key, change.value, version
             )
