--- a/src/azureramp_standins/measuring/propagation.py
+++ b/src/azureramp_standins/measuring/propagation.py
@@ -1,10 +1,11 @@
-"""Measures how fast a change is in force, in virtual time.
-
-A zone is taken out through each VM in turn, and back. Counted from the
-request: when the operator has the answer, when the last VM has the change,
-when it is accepted, and when status says `in force`. Links take 1 ms one
-way, the store 4 ms a call. With `--cut`, one VM is cut off from its peers
-and the store before each change, and joined again after it.
+"""Measures in virtual time how fast a configuration change propagates.
+
+A zone is drained and restored through each VM in turn. Measured from the
+request are the times until the operator receives the answer, until the last VM
+has applied the change, until the change is accepted, and until the status is
+`in force`. The one-way network delay is 1 ms, a store call takes 4 ms. With
+`--cut`, one VM is disconnected from its peers and the store before each change
+and reconnected after it.
 """
 
 from __future__ import annotations
@@ -21,15 +22,23 @@
 from azureramp.ports.web import api as web_api
 from azureramp_standins import cluster, layout, virtual
 
-STORE_S = 0.004
-SAMPLE_S = 0.002
-LIMIT_S = 10.0
+STORE_DELAY_S = 0.004
+SAMPLE_INTERVAL_S = 0.002
+TIMEOUT_S = 10.0
 ZONE = "c"
 
 
 @dataclasses.dataclass(slots=True)
-class Times:
-    """Times of many changes from the request on, in seconds."""
+class PropagationTimes:
+    """PropagationTimes of all changes, measured from the request, in seconds.
+
+    Attributes:
+        answered: Time until the operator received the answer.
+        everywhere: Time until all connected VMs applied the change.
+        accepted: Time until the change was accepted.
+        in_force: Time until the status was `in force`.
+        last_work: Time until which the disconnected VM could begin work.
+    """
 
     answered: list[float] = dataclasses.field(default_factory=list)
     everywhere: list[float] = dataclasses.field(default_factory=list)
@@ -38,63 +47,72 @@
     last_work: list[float] = dataclasses.field(default_factory=list)
 
 
-async def measure(vms: int, changes: int, cuts: bool) -> Times:
-    """Makes changes one after another."""
+async def measure(vms: int, changes: int, cuts: bool) -> PropagationTimes:
+    """Makes changes one after another and measures each.
+
+    Args:
+        vms: Number of VMs.
+        changes: Number of changes.
+        cuts: True disconnects one VM during each change.
+
+    Returns:
+        The times of the changes.
+    """
     deployment = cluster.make(layout.Layout(vms=vms))
     await deployment.start()
-    times = Times()
+    times = PropagationTimes()
     names = sorted(deployment.vms)
     for vm in deployment.vms.values():
         if vm.store is not None:
-            vm.store.faults.delay_s = STORE_S
+            vm.store.faults.delay_s = STORE_DELAY_S
     for number in range(changes):
-        asked = names[number % vms]
-        lonely = names[(number + 1) % vms] if cuts else ""
-        if lonely:
-            _cut(deployment, lonely)
+        asked_vm = names[number % vms]
+        cut_vm = names[(number + 1) % vms] if cuts else ""
+        if cut_vm:
+            _disconnect(deployment, cut_vm)
         state = list(resources.ZoneState)[(number + 1) % 2]
         zone = resources.Zone(name=ZONE, state=state)
-        await _measure_one(deployment, asked, lonely, zone, times)
-        if lonely:
-            _join(deployment, lonely)
+        await _measure_one(deployment, asked_vm, cut_vm, zone, times)
+        if cut_vm:
+            _reconnect(deployment, cut_vm)
         await asyncio.sleep(3.0 + number * 0.0137)
     await deployment.close()
     return times
 
 
-def _cut(deployment: cluster.Cluster, lonely: str) -> None:
-    """Cuts a VM off from all others and from the store."""
-    address = deployment.vms[lonely].entry.peer_address
+def _disconnect(deployment: cluster.Cluster, cut_vm: str) -> None:
+    """Disconnects a VM from all other VMs and from the store."""
+    address = deployment.vms[cut_vm].entry.peer_address
     for name, vm in deployment.vms.items():
-        if name != lonely:
+        if name != cut_vm:
             pair = (address, vm.entry.peer_address)
             deployment.network.faults.cut |= {pair, pair[::-1]}
-    store = deployment.vms[lonely].store
+    store = deployment.vms[cut_vm].store
     assert store is not None
     store.faults.down = True
 
 
-def _join(deployment: cluster.Cluster, lonely: str) -> None:
-    """Ends what `_cut` did."""
+def _reconnect(deployment: cluster.Cluster, cut_vm: str) -> None:
+    """Reverts `_disconnect`."""
     deployment.network.faults.cut.clear()
-    store = deployment.vms[lonely].store
+    store = deployment.vms[cut_vm].store
     assert store is not None
     store.faults.down = False
 
 
 async def _measure_one(
     deployment: cluster.Cluster,
-    asked: str,
-    lonely: str,
+    asked_vm: str,
+    cut_vm: str,
     zone: resources.Zone,
-    times: Times,
+    times: PropagationTimes,
 ) -> None:
-    """Makes one change and notes when each step was reached."""
+    """Makes one change and records when each step is reached."""
     loop = asyncio.get_running_loop()
-    began_s = loop.time()
-    response = await deployment.change(asked, zone)
+    start_s = loop.time()
+    response = await deployment.change(asked_vm, zone)
     assert response.status == 200, response.body
-    times.answered.append(loop.time() - began_s)
+    times.answered.append(loop.time() - start_s)
     answer = msgspec.json.decode(
         response.body, type=resource_answers.ChangeAnswer
     )
@@ -105,32 +123,36 @@
         if vm.daemon is not None
     }
     seen: set[str] = set()
-    last_s = began_s
-    while "in_force" not in seen or (lonely and "stopped" not in seen):
+    last_s = start_s
+    while "in_force" not in seen or (cut_vm and "stopped" not in seen):
         now_s = loop.time()
-        assert now_s - began_s < LIMIT_S
-        others = [board for name, board in boards.items() if name != lonely]
-        if all(_has(board, answer.entry) for board in others):
-            _note(seen, "everywhere", times.everywhere, now_s - began_s)
-        if boards[asked].accepted_revision >= revision:
-            _note(seen, "accepted", times.accepted, now_s - began_s)
-        if await _is_in_force(deployment, asked, revision):
-            _note(seen, "in_force", times.in_force, now_s - began_s)
-        if lonely and now_s < boards[lonely].work_until_s:
+        assert now_s - start_s < TIMEOUT_S
+        others = [board for name, board in boards.items() if name != cut_vm]
+        if all(_has_applied(board, answer.entry) for board in others):
+            _record_first(seen, "everywhere", times.everywhere, now_s - start_s)
+        if boards[asked_vm].accepted_revision >= revision:
+            _record_first(seen, "accepted", times.accepted, now_s - start_s)
+        if await _is_in_force(deployment, asked_vm, revision):
+            _record_first(seen, "in_force", times.in_force, now_s - start_s)
+        if cut_vm and now_s < boards[cut_vm].work_until_s:
             last_s = now_s
-        elif lonely:
-            _note(seen, "stopped", times.last_work, last_s - began_s)
-        await asyncio.sleep(SAMPLE_S)
+        elif cut_vm:
+            _record_first(seen, "stopped", times.last_work, last_s - start_s)
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
 
 
-def _has(board: blackboard.Blackboard, entry: resources.Versioned) -> bool:
-    """Tells whether a VM has an entry, or a newer one, in force."""
-    known = board.configuration.entries.get((entry.kind, entry.name))
-    return known is not None and known.revision >= entry.revision
+def _has_applied(
+    board: blackboard.Blackboard, entry: resources.Versioned
+) -> bool:
+    """Returns True if a VM has applied an entry or a newer one."""
+    current = board.configuration.entries.get((entry.kind, entry.name))
+    return current is not None and current.revision >= entry.revision
 
 
-def _note(seen: set[str], step: str, times: list[float], at_s: float) -> None:
-    """Notes the first time of a step."""
+def _record_first(
+    seen: set[str], step: str, times: list[float], at_s: float
+) -> None:
+    """Records the time at which a step is first reached."""
     if step not in seen:
         seen.add(step)
         times.append(at_s)
@@ -139,7 +161,7 @@
 async def _is_in_force(
     deployment: cluster.Cluster, vm: str, revision: int
 ) -> bool:
-    """Asks a VM for the state of a revision."""
+    """Returns True if a VM reports that a revision is in force."""
     token = {"authorization": f"Bearer {cluster.OPERATOR_TOKEN}"}
     query = {"revision": str(revision)}
     response = await deployment.ask(
@@ -151,8 +173,8 @@
     return status.state is resource_answers.ChangeState.IN_FORCE
 
 
-def _show(name: str, times: list[float]) -> str:
-    """Makes a row: how many, median and worst, in milliseconds."""
+def _format_row(name: str, times: list[float]) -> str:
+    """Formats a row with count, median and maximum, in milliseconds."""
     if not times:
         return f"| {name} | 0 | | |"
     median_ms = statistics.median(times) * 1000
@@ -162,19 +184,31 @@
 
 
 @click.command()
-@click.option("--vms", default=8, show_default=True, help="How many VMs.")
-@click.option("--changes", default=40, show_default=True, help="How many.")
-@click.option("--cut", is_flag=True, help="Cut one VM off at each change.")
+@click.option("--vms", default=8, show_default=True, help="Number of VMs.")
+@click.option(
+    "--changes", default=40, show_default=True, help="Number of changes."
+)
+@click.option(
+    "--cut", is_flag=True, help="Disconnect one VM during each change."
+)
 def main(vms: int, changes: int, cut: bool) -> None:
-    """Prints the times of many changes as a table, in milliseconds."""
+    """Measures changes and prints their times in milliseconds."""
     times = virtual.run(measure(vms, changes, cut))
     click.echo("| step | changes | median ms | worst ms |\n|---|---|---|---|")
-    click.echo(_show("the operator has the answer", times.answered))
-    click.echo(_show("the last VM in contact has it", times.everywhere))
-    click.echo(_show("accepted", times.accepted))
-    click.echo(_show("status says in force", times.in_force))
+    click.echo(
+        _format_row("the operator has received the answer", times.answered)
+    )
+    click.echo(
+        _format_row("the last connected VM has applied it", times.everywhere)
+    )
+    click.echo(_format_row("accepted", times.accepted))
+    click.echo(_format_row("status is in force", times.in_force))
     if cut:
-        click.echo(_show("the VM cut off may begin work", times.last_work))
+        click.echo(
+            _format_row(
+                "the disconnected VM may no longer begin work", times.last_work
+            )
+        )
 
 
 if __name__ == "__main__":
