--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -1,4 +1,7 @@
-"""Measures what idempotency records cost the platform, in virtual time."""
+"""Measures in virtual time the platform calls that idempotency records need.
+
+Latency of claims, stored bytes and memory are measured too.
+"""
 
 from __future__ import annotations
 
@@ -29,25 +32,26 @@
 VMS = 8
 RATES = (1, 10, 100, 500)
 RECORDS = 3000
-"""Records at the higher rates; at the lower ones, `LONGEST_S` ends it."""
+"""Number of records; at the lower rates, `MAX_DURATION_S` ends a run."""
 
-LONGEST_S = 120.0
+MAX_DURATION_S = 120.0
 ROUND_TRIP_S = 0.004
 RESULT = b'[{"grant":1234567}]'
-RUN_S = 0.05
+EXECUTION_S = 0.05
 """Time from a claim to its outcome, in seconds."""
 
 
 @dataclasses.dataclass(slots=True)
 class Way:
-    """One way to keep the records.
+    """One way to store the records.
 
     Attributes:
-        name: Its name in the table.
-        group: Most outcomes that share a write.
-        flush_s: Shortest time between two writes of outcomes, in seconds.
-        buckets: How many logs; 0 keeps one record a key.
-        linger_s: How long a log's segment waits for company, in seconds.
+        name: Name in the table.
+        group: Maximum number of outcomes that share a write.
+        flush_s: Minimum time between two writes of outcomes, in seconds.
+        buckets: Number of logs; 0 stores one record per key.
+        linger_s: Time for which a log's segment waits for further changes, in
+            seconds.
     """
 
     name: str
@@ -70,13 +74,13 @@
 )
 
 
-class Vm:
-    """One VM's records."""
+class VmRecords:
+    """The idempotency records of one VM."""
 
     def __init__(
         self, number: int, state: store_state.State, way: Way, seed: int
     ) -> None:
-        """Makes it."""
+        """Initializes the records and starts their task."""
         daemon = settings.Settings(
             vm=f"vm-{number}",
             zone="a",
@@ -100,7 +104,8 @@
         )
         self.records = idempotency.make(
             board,
-            # The trial has only what records need of a store.
+            # GroupedStore implements only those methods of a store that the
+            # records use.
             cast("api.Store", self.grouped or store),
             random.Random(f"{seed}.{number}"),
         )
@@ -108,14 +113,18 @@
 
 
 async def measure(way: Way, rate: int, seed: int) -> dict[str, float | str]:
-    """Measures one way at one rate."""
+    """Measures one way at one rate of claims per second.
+
+    Returns:
+        The row of the table.
+    """
     rng = random.Random(seed)
     state = store_state.State()
-    # The bound on the pace of claims is lifted, to see what each would take.
+    # The rate limit of claims is lifted to measure the ways without it.
     record_bounds.RECORDS_PER_S = math.inf
     idempotency_policy.MAX_GROUP = way.group
     record_outcomes.FLUSH_S = way.flush_s
-    vms = [Vm(number, state, way, seed) for number in range(VMS)]
+    vms = [VmRecords(number, state, way, seed) for number in range(VMS)]
     loop = asyncio.get_running_loop()
     took_ms: list[float] = []
     tasks: set[asyncio.Task[None]] = set()
@@ -124,29 +133,29 @@
     async def request(number: int) -> None:
         nonlocal failures
         vm = vms[rng.randrange(VMS)]
-        began_s = loop.time()
+        start_s = loop.time()
         result = await vm.records.claim("office", f"{number}", 1, f"{number}")
         if result.is_error():
             failures += 1
             return
         assert isinstance(result.ok, idempotency.Claimed)
-        took_ms.append((loop.time() - began_s) * 1000)
-        await asyncio.sleep(RUN_S)
+        took_ms.append((loop.time() - start_s) * 1000)
+        await asyncio.sleep(EXECUTION_S)
         if vm.grouped is None:
             await vm.records.finish(result.ok, RESULT)
             return
-        # A log has no groups: its outcomes share segments with the claims.
+        # A log has no groups: outcomes share segments with claims.
         outcome = idempotency_policy.make_finished(RESULT)
         nonce = result.ok.record.nonce
         data = idempotency_policy.encode_group({nonce: outcome})
         await vm.grouped.write(f"outcome/{nonce}", data, 0)
 
     number = 0
-    while number < RECORDS and loop.time() < LONGEST_S:
+    while number < RECORDS and loop.time() < MAX_DURATION_S:
         await asyncio.sleep(rng.expovariate(rate))
         tasks.add(asyncio.ensure_future(request(number)))
         number += 1
-    lasted_s = loop.time()
+    duration_s = loop.time()
     await asyncio.gather(*tasks)
     await asyncio.sleep(5.0)
     counts: dict[str, int] = {}
@@ -159,7 +168,9 @@
         len(entry.value or b"") + len(entry.key)
         for entry in state.list("/").entries
     )
-    kept = max(vm.grouped.count_claims() if vm.grouped else 0 for vm in vms)
+    max_in_memory = max(
+        vm.grouped.count_claims() if vm.grouped else 0 for vm in vms
+    )
     return {
         "way": way.name,
         "claims_per_s": rate,
@@ -167,25 +178,25 @@
         "refused": failures,
         "writes_per_record": counts["store.writes"] / len(took_ms),
         "reads_per_record": reads / len(took_ms),
-        "writes_per_s": counts["store.writes"] / lasted_s,
-        "reads_per_s": reads / lasted_s,
+        "writes_per_s": counts["store.writes"] / duration_s,
+        "reads_per_s": reads / duration_s,
         "claim_p50_ms": statistics.median(took_ms),
         "claim_p99_ms": took_ms[int(len(took_ms) * 0.99)],
         "stored_bytes_per_record": stored / len(took_ms),
-        "records_in_memory": kept,
+        "records_in_memory": max_in_memory,
     }
 
 
 @click.command()
-@click.option("--seed", default=1, help="Of the arrivals.")
+@click.option("--seed", default=1, help="Seed of the arrivals.")
 @click.option(
     "--json",
     "json_path",
     type=click.Path(path_type=pathlib.Path),
-    help="Also write the rows here.",
+    help="File to which the rows are written as JSON too.",
 )
 def main(seed: int, json_path: pathlib.Path | None) -> None:
-    """Measures every way at every rate, and prints a table."""
+    """Measures all ways at all rates and prints a table."""
     tables.print_rows(
         (
             virtual.run(measure(way, rate, seed))
