--- a/src/azureramp_standins/measuring/__init__.py
+++ b/src/azureramp_standins/measuring/__init__.py
@@ -1,6 +1,6 @@
-"""The measuring tool: real policies and controllers in virtual time.
+"""Measuring tools, most of which run the real controllers in virtual time.
 
-It offers a seeded load to a deployment in memory and tells what callers and
-searchers saw. It is no cluster simulator: it has no model of networks or
-hosts beyond the ports' faults.
+The main tool offers a seeded load to an in-memory deployment and reports what
+callers and searchers observed. It is not a cluster simulator: networks and
+hosts are modelled only as far as the faults of the ports go.
 """
--- a/src/azureramp_standins/measuring/main.py
+++ b/src/azureramp_standins/measuring/main.py
@@ -1,4 +1,4 @@
-"""The command behind `scripts/measure`."""
+"""Command-line program of `scripts/measure`."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
     "--layout",
     type=click.Choice(list(scenarios.LAYOUTS)),
     multiple=True,
-    help="Deployments; all by default.",
+    help="Deployments to measure; all by default.",
 )
 @click.option(
     "--variant",
     "variants",
     multiple=True,
     type=click.Choice([v.value for v in scenarios.Variant]),
-    help="Variants; all by default.",
+    help="Variants to measure; all by default.",
 )
 @click.option(
     "--load",
     "loads",
     type=float,
     multiple=True,
-    help="Loads, such as 0.8; all by default.",
+    help="Loads to measure, such as 0.8; all by default.",
 )
 @click.option(
     "--seconds",
     type=float,
     default=10.0,
     show_default=True,
-    help="Length of each load, in virtual seconds.",
+    help="Duration of each load, in virtual seconds.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
@@ -45,12 +45,12 @@
     type=int,
     default=4,
     show_default=True,
-    help="Rows that run side by side.",
+    help="Number of rows that run in parallel.",
 )
 @click.option(
     "--output",
     type=click.Path(path_type=pathlib.Path),
-    help="Folder for JSON, table and picture.",
+    help="Directory for the JSON file, the table and the chart.",
 )
 def main(
     layout: tuple[str, ...],
@@ -61,7 +61,7 @@
     jobs: int,
     output: pathlib.Path | None,
 ) -> None:
-    """Measures the query path over the in-memory ports, in virtual time."""
+    """Measures the query path over in-memory ports, in virtual time."""
     chosen = [
         scenario
         for name in layout or scenarios.LAYOUTS
--- a/src/azureramp_standins/measuring/report.py
+++ b/src/azureramp_standins/measuring/report.py
@@ -1,4 +1,4 @@
-"""The table, the JSON and the picture of a measurement."""
+"""Writes a measurement as a table, as JSON and as a chart."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def format_table(rows: list[running.Row]) -> str:
-    """Makes a Markdown table."""
+    """Makes a Markdown table of the rows."""
     lines = [
         "| " + " | ".join(title for _, title in COLUMNS) + " |",
         "|" + "---|" * len(COLUMNS),
@@ -47,7 +47,7 @@
 
 
 def _format(value: object) -> str:
-    """Makes one cell."""
+    """Formats a cell."""
     match value:
         case None:
             return "-"
@@ -60,16 +60,25 @@
 
 
 def write(rows: list[running.Row], folder: pathlib.Path, name: str) -> None:
-    """Writes the JSON, the table and the picture."""
+    """Writes the JSON file, the table and the chart into a directory.
+
+    Args:
+        rows: The rows.
+        folder: The directory, which is created if missing.
+        name: Name of the files, without suffix.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     data = msgspec.json.format(msgspec.json.encode(rows), indent=1)
     (folder / f"{name}.json").write_bytes(data + b"\n")
     (folder / f"{name}.md").write_text(format_table(rows))
-    draw(rows, folder / f"{name}.png")
+    draw_chart(rows, folder / f"{name}.png")
+
 
+def draw_chart(rows: list[running.Row], path: pathlib.Path) -> None:
+    """Draws tail latency and calls per needed call against the load.
 
-def draw(rows: list[running.Row], path: pathlib.Path) -> None:
-    """Draws tail latency and extra calls by load, a line for each variant."""
+    There is a line per variant and a row of charts per layout.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
@@ -81,16 +90,16 @@
         len(layouts), 2, figsize=(11, 4 * len(layouts)), squeeze=False
     )
     for (left, right), layout in zip(axes, layouts, strict=True):
-        own = [row for row in chosen if row.layout == layout]
-        _draw_lines(left, own, "p99_urgent_ms")
-        _draw_lines(right, own, "calls_per_needed")
+        layout_rows = [row for row in chosen if row.layout == layout]
+        _draw_lines(left, layout_rows, "p99_urgent_ms")
+        _draw_lines(right, layout_rows, "calls_per_needed")
         left.set(
             ylabel="p99 of urgent answers (ms)",
             yscale="log",
             title=f"{layout}: tail with 1 % stragglers",
         )
         right.set(
-            ylabel="calls for each needed call",
+            ylabel="calls per needed call",
             title=f"{layout}: extra load on searchers",
         )
     figure.tight_layout()
@@ -99,7 +108,7 @@
 
 
 def _draw_lines(axes: Any, rows: list[running.Row], field: str) -> None:
-    """Draws one figure by load, a line for each variant."""
+    """Draws a field against the load, with a line per variant."""
     for variant in dict.fromkeys(row.variant for row in rows):
         points = sorted(
             (100 * row.load, getattr(row, field))
--- a/src/azureramp_standins/measuring/running.py
+++ b/src/azureramp_standins/measuring/running.py
@@ -1,4 +1,4 @@
-"""Running one scenario, and what was seen."""
+"""Runs a scenario and summarizes what callers and searchers observed."""
 
 from __future__ import annotations
 
@@ -16,31 +16,33 @@
 from azureramp_standins import layout as layouts
 from azureramp_standins.measuring import scenarios, variants
 
-WARM_S = 2.0
-"""Load before the measured time, in virtual seconds."""
+WARMUP_S = 2.0
+"""Duration of the load before the measurement, in virtual seconds."""
 
-OTHER_LOAD = 0.1
-"""Load of the services that are not measured."""
+BACKGROUND_LOAD = 0.1
+"""Load of the services that are not measured, as a share of capacity."""
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """What one scenario gave; times in milliseconds.
+    """Result of one scenario; times are in milliseconds if not stated.
 
     Attributes:
-        p99_urgent_ms: As `p99_ms`, of the highest priority alone.
+        p99_urgent_ms: As `p99_ms`, for the highest priority only.
         complete_urgent: Share of the highest priority's requests that were
-            answered in full within their deadline.
-        calls_per_needed: Calls that reached searchers for each shard of the
-            requests admitted.
-        cold_most: The most that a cold searcher had at once.
-        cold_exceeded: How often that was above its bound.
-        refused: Share refused as not run, by caller.
-        last_work_s: Last new work in the zone that went out, after its
-            acceptance, in seconds; None without such an incident.
-        cut: Requests that got no answer.
-        violations: Promises that the checker found broken, by name.
-        cpu_ms_per_call: Processor time of the whole run for each searcher
-            call, stand-ins included.
+            answered completely within their deadline.
+        calls_per_needed: Number of calls that reached searchers per shard of
+            the admitted requests.
+        cold_most: Maximum number of concurrent calls at a cold searcher.
+        cold_exceeded: Number of arrivals that exceeded the limit of a cold
+            searcher.
+        refused: Share of the requests refused without running them, by
+            caller.
+        last_work_s: Time of the last new work in the drained zone after the
+            change was accepted, in seconds; None without such an incident.
+        cut: Number of requests without an answer.
+        violations: Number of violations by invariant.
+        cpu_ms_per_call: Processor time of the whole run per searcher call,
+            including that of the test doubles.
     """
 
     layout: str
@@ -68,72 +70,74 @@
 
 @dataclasses.dataclass(slots=True)
 class Sample:
-    """One request's answer, with who sent it."""
+    """The result of one request and its caller."""
 
     caller: str
-    got: history.Received
+    received: history.Received
 
 
 def run(scenario: scenarios.Scenario) -> Row:
-    """Runs a scenario in virtual time."""
-    began_s = time.process_time()
+    """Runs a scenario in virtual time and returns its row."""
+    start_s = time.process_time()
     samples, past = virtual.run(_run(scenario))
-    used_s = time.process_time() - began_s
-    return _summarize(scenario, samples, past, used_s)
+    cpu_s = time.process_time() - start_s
+    return _summarize(scenario, samples, past, cpu_s)
 
 
 async def _run(
     scenario: scenarios.Scenario,
 ) -> tuple[list[Sample], history.History]:
-    """Offers the load and brings about the incident."""
+    """Generates the load and injects the incident."""
     layout = scenarios.LAYOUTS[scenario.layout]
     deployment = cluster.make(
         layout, seed=scenario.seed, service_ms=scenarios.SERVICE_MS
     )
-    variants.prepare(deployment, scenario.variant)
+    variants.configure(deployment, scenario.variant)
     await deployment.start()
     if scenario.stragglers:
         for searcher in deployment.fleet.searchers.values():
             searcher.faults.straggles = scenarios.STRAGGLER_SHARE
             searcher.faults.straggler_factor = scenarios.STRAGGLER_FACTOR
     samples: list[Sample] = []
-    loads = [
-        asyncio.create_task(_offer(scenario, deployment, service, samples))
+    load_tasks = [
+        asyncio.create_task(_send_load(scenario, deployment, service, samples))
         for service in layout.services
     ]
-    await _bring_about(scenario, deployment)
-    await asyncio.gather(*loads)
+    await _inject(scenario, deployment)
+    await asyncio.gather(*load_tasks)
     return samples, await deployment.close()
 
 
-async def _offer(
+async def _send_load(
     scenario: scenarios.Scenario,
     deployment: cluster.Cluster,
     service: layouts.Service,
     samples: list[Sample],
 ) -> None:
-    """Sends requests at random times, at the scenario's rate."""
+    """Sends requests to a service at random times, at the scenario's rate."""
     rng = random.Random(f"{scenario.seed}/{service.name}")
     measured = service.name == scenario.service
     slots = service.servers * service.searchers * service.slots
     calls_per_s = slots * 1000 / scenarios.SERVICE_MS
-    load = scenario.load if measured else OTHER_LOAD
+    load = scenario.load if measured else BACKGROUND_LOAD
     rate = calls_per_s * load / service.shards
     loop = asyncio.get_running_loop()
-    begin_s = loop.time()
+    load_start_s = loop.time()
     sending: set[asyncio.Task[None]] = set()
     vms = list(deployment.vms)
     number = 0
-    while loop.time() - begin_s < WARM_S + scenario.seconds:
+    while loop.time() - load_start_s < WARMUP_S + scenario.seconds:
         await asyncio.sleep(rng.expovariate(rate))
-        kept = measured and loop.time() - begin_s >= WARM_S
+        is_measured = measured and loop.time() - load_start_s >= WARMUP_S
         number += 1
         caller = rng.choices(
             list(scenarios.PRIORITIES), list(scenarios.PRIORITIES.values())
         )[0]
 
-        async def send(caller: str, vm: str, text: str, kept: bool) -> None:
-            got = await traffic.query(
+        async def send(
+            caller: str, vm: str, text: str, is_measured: bool
+        ) -> None:
+            received = await traffic.query(
                 deployment,
                 vm,
                 text,
@@ -141,48 +145,54 @@
                 service=service.name,
                 deadline_ms=scenarios.DEADLINES_MS[caller],
             )
-            if kept:
-                samples.append(Sample(caller, got))
+            if is_measured:
+                samples.append(Sample(caller, received))
 
-        vm = rng.choice([v for v in vms if _takes_work(deployment, v)] or vms)
+        vm = rng.choice([v for v in vms if _is_ready(deployment, v)] or vms)
         text = f"{service.name}-{number}"
-        task = asyncio.create_task(send(caller, vm, text, kept))
+        task = asyncio.create_task(send(caller, vm, text, is_measured))
         sending.add(task)
         task.add_done_callback(sending.discard)
     await asyncio.gather(*sending)
 
 
-def _takes_work(deployment: cluster.Cluster, vm: str) -> bool:
-    """Tells whether callers would be sent to a VM."""
+def _is_ready(deployment: cluster.Cluster, vm: str) -> bool:
+    """Returns True if a VM is ready for requests."""
     daemon = deployment.vms[vm].daemon
     return daemon is not None and daemon.board.serving.value == "ready"
 
 
-async def _bring_about(
+async def _inject(
     scenario: scenarios.Scenario, deployment: cluster.Cluster
 ) -> None:
-    """Brings about the scenario's incident."""
+    """Injects the scenario's incident."""
     zone = deployment.layout.zones[1]
     vm = next(iter(deployment.vms))
-    await asyncio.sleep(WARM_S + scenario.seconds / 4)
+    await asyncio.sleep(WARMUP_S + scenario.seconds / 4)
     match scenario.incident:
         case scenarios.Incident.NONE:
             return
         case scenarios.Incident.ZONE_CYCLE:
-            out = resources.Zone(name=zone, state=resources.ZoneState.OUT)
-            await deployment.change(vm, out)
+            drained = resources.Zone(name=zone, state=resources.ZoneState.OUT)
+            await deployment.change(vm, drained)
             await asyncio.sleep(scenario.seconds / 4)
-            _turn_cold(deployment, zone, restart=True)
+            _make_cold(deployment, zone, restart=True)
             await asyncio.sleep(scenario.seconds / 8)
             await deployment.change(vm, resources.Zone(name=zone))
         case scenarios.Incident.COLD_ZONE:
-            _turn_cold(deployment, zone, restart=False)
+            _make_cold(deployment, zone, restart=False)
 
 
-def _turn_cold(
+def _make_cold(
     deployment: cluster.Cluster, zone: str, *, restart: bool
 ) -> None:
-    """Turns all searchers of a zone cold, with or without a restart."""
+    """Puts all searchers of a zone into cold start.
+
+    Args:
+        deployment: The deployment.
+        zone: The zone.
+        restart: True restarts the searchers too.
+    """
     for server in layouts.make_servers(deployment.layout):
         if server.zone != zone:
             continue
@@ -198,16 +208,18 @@
     scenario: scenarios.Scenario,
     samples: list[Sample],
     past: history.History,
-    used_s: float,
+    cpu_s: float,
 ) -> Row:
-    """Makes the table's row."""
-    done = [s for s in samples if s.got.code == "ok"]
-    urgent = [s for s in done if s.caller == "desk"]
+    """Computes the row of a scenario."""
+    answered = [s for s in samples if s.received.code == "ok"]
+    urgent = [s for s in answered if s.caller == "desk"]
     sent_urgent = sum(s.caller == "desk" for s in samples)
     cold = [a for a in past.arrivals if a.cold_limit is not None]
-    found: dict[str, int] = {}
+    violations: dict[str, int] = {}
     for violation in checker.check(past):
-        found[violation.invariant] = found.get(violation.invariant, 0) + 1
+        violations[violation.invariant] = (
+            violations.get(violation.invariant, 0) + 1
+        )
     return Row(
         layout=scenario.layout,
         load=scenario.load,
@@ -215,17 +227,17 @@
         incident=scenario.incident.value,
         variant=scenario.variant.value,
         requests=len(samples),
-        p50_ms=_get_quantile(done, 0.5),
-        p99_ms=_get_quantile(done, 0.99),
-        p999_ms=_get_quantile(done, 0.999),
+        p50_ms=_get_quantile(answered, 0.5),
+        p99_ms=_get_quantile(answered, 0.99),
+        p999_ms=_get_quantile(answered, 0.999),
         p99_urgent_ms=_get_quantile(urgent, 0.99),
         complete_urgent=_round(
-            sum(s.got.complete for s in urgent) / max(1, sent_urgent)
+            sum(s.received.complete for s in urgent) / max(1, sent_urgent)
         ),
         coverage_mean=_round(
-            sum(s.got.coverage for s in done) / max(1, len(done))
+            sum(s.received.coverage for s in answered) / max(1, len(answered))
         ),
-        coverage_min=min((s.got.coverage for s in done), default=0.0),
+        coverage_min=min((s.received.coverage for s in answered), default=0.0),
         calls_per_needed=_round(_count_calls_per_needed(past)),
         cold_most=max((a.in_use for a in cold), default=0),
         cold_exceeded=sum(a.in_use > (a.cold_limit or 0) for a in cold),
@@ -234,33 +246,37 @@
             for caller in scenarios.PRIORITIES
         },
         last_work_s=_find_last_work(scenario, past),
-        cut=sum(not s.got.answered for s in samples),
-        violations=found,
-        cpu_ms_per_call=_round(used_s * 1000 / max(1, len(past.arrivals))),
+        cut=sum(not s.received.answered for s in samples),
+        violations=violations,
+        cpu_ms_per_call=_round(cpu_s * 1000 / max(1, len(past.arrivals))),
     )
 
 
 def _round(value: float) -> float:
-    """Rounds for the table."""
+    """Rounds a value for the table."""
     return round(value, 5)
 
 
 def _get_quantile(samples: list[Sample], share: float) -> float:
-    """Returns a quantile of the answers' times, in milliseconds."""
-    times = sorted((s.got.got_s - s.got.sent_s) * 1000 for s in samples)
+    """Returns a quantile of the response times, in milliseconds."""
+    times = sorted(
+        (s.received.got_s - s.received.sent_s) * 1000 for s in samples
+    )
     if not times:
         return math.nan
     return round(times[min(len(times) - 1, int(len(times) * share))], 2)
 
 
 def _get_refused_share(samples: list[Sample], caller: str) -> float:
-    """Returns the share of a caller's requests refused as not run."""
-    own = [s for s in samples if s.caller == caller]
-    return sum(s.got.ran == "not_run" for s in own) / max(1, len(own))
+    """Returns the share of a caller's requests refused without running."""
+    caller_samples = [s for s in samples if s.caller == caller]
+    return sum(s.received.ran == "not_run" for s in caller_samples) / max(
+        1, len(caller_samples)
+    )
 
 
 def _count_calls_per_needed(past: history.History) -> float:
-    """Returns calls that reached searchers, for each part needed."""
+    """Returns the number of calls at searchers per needed sub-request."""
     needed = sum(
         isinstance(record.event, events.PartChosen)
         and record.event.reason == "first"
@@ -272,23 +288,26 @@
 def _find_last_work(
     scenario: scenarios.Scenario, past: history.History
 ) -> float | None:
-    """Returns the last new work in the zone while it was out."""
+    """Returns the time of the last new work in the zone while drained.
+
+    The time is in seconds after the change was accepted.
+    """
     if scenario.incident is not scenarios.Incident.ZONE_CYCLE:
         return None
     zone = scenarios.LAYOUTS[scenario.layout].zones[1]
-    out_s = next(
+    drained_s = next(
         record.monotonic_s
         for record in past.records
         if isinstance(record.event, events.ConfigurationAccepted)
     )
-    back_s = next(
+    restored_s = next(
         record.monotonic_s
         for record in past.records
         if isinstance(record.event, events.ConfigurationApplied)
-        and record.monotonic_s > out_s
+        and record.monotonic_s > drained_s
         and zone not in record.event.zones_out
     )
     worked = [
-        a.at_s for a in past.arrivals if a.zone == zone and a.at_s < back_s
+        a.at_s for a in past.arrivals if a.zone == zone and a.at_s < restored_s
     ]
-    return round(max(worked) - out_s, 3)
+    return round(max(worked) - drained_s, 3)
--- a/src/azureramp_standins/measuring/scenarios.py
+++ b/src/azureramp_standins/measuring/scenarios.py
@@ -1,4 +1,4 @@
-"""What is measured: sizes, loads, events and the variants to compare."""
+"""Scenarios to measure: layouts, loads, incidents and variants."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Variant(enum.Enum):
-    """This design, or a baseline that lacks one part of it."""
+    """The full design, or a baseline that lacks one part of it."""
 
     DESIGN = "design"
     DIRECT = "direct"
@@ -18,7 +18,7 @@
 
 
 class Incident(enum.Enum):
-    """What happens in the middle of the run."""
+    """Event that is injected during the run."""
 
     NONE = "none"
     ZONE_CYCLE = "zone_cycle"
@@ -33,13 +33,13 @@
 """Median service time of a searcher, in milliseconds."""
 
 COLD_CALLS = 50
-"""Calls until a searcher in cold start is warm."""
+"""Number of calls after which a searcher in cold start is warm."""
 
 PRIORITIES = {"desk": 0.5, "ledger": 0.3, "statements": 0.2}
-"""Share of each caller among the requests."""
+"""Share of the requests by caller."""
 
 DEADLINES_MS = {"desk": 500, "ledger": 1000, "statements": 3000}
-"""How long each caller waits, in milliseconds."""
+"""Deadline of the requests by caller, in milliseconds."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -48,14 +48,14 @@
 
     Attributes:
         layout: The deployment, a key of `LAYOUTS`.
-        service: The service that gets the load; the others get a tenth of
-            their capacity.
-        load: Offered searcher calls as a share of what the slots can do.
-        stragglers: True if 1 % of calls take ten times as long.
-        incident: What happens in the middle.
-        variant: This design or a baseline.
-        seconds: Length of the load, in virtual seconds.
-        seed: Of everything drawn.
+        service: The service under load; the others get a tenth of their
+            capacity.
+        load: Offered searcher calls as a share of the slots' capacity.
+        stragglers: True if 1 % of the calls take ten times as long.
+        incident: The event that is injected.
+        variant: The full design or a baseline.
+        seconds: Duration of the load, in virtual seconds.
+        seed: Seed of all random draws.
     """
 
     layout: str
@@ -72,9 +72,12 @@
     """Makes the rows of the table for one deployment.
 
     Args:
-        seconds: Length of each load, in virtual seconds.
-        seed: Of everything drawn.
+        seconds: Duration of each load, in virtual seconds.
+        seed: Seed of all random draws.
         layout: The deployment, a key of `LAYOUTS`.
+
+    Returns:
+        The scenarios.
     """
     service = LAYOUTS[layout].services[0].name
 
--- a/src/azureramp_standins/measuring/tables.py
+++ b/src/azureramp_standins/measuring/tables.py
@@ -1,4 +1,4 @@
-"""Rows of a measurement, printed as they come."""
+"""Prints the rows of a measurement as soon as they are available."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 def print_rows(
     rows: Iterable[Mapping[str, float | str]], json_path: pathlib.Path | None
 ) -> None:
-    """Prints rows with tabs between the cells, and may write them as JSON.
+    """Prints rows as tab-separated values, and optionally writes JSON.
 
     Args:
-        rows: The rows; each is printed as soon as it is there.
-        json_path: Where the rows are written too; None for nowhere.
+        rows: The rows; each is printed as soon as it is available.
+        json_path: File for the rows as JSON; None writes no file.
     """
     printed: list[Mapping[str, float | str]] = []
     for row in rows:
--- a/src/azureramp_standins/measuring/variants.py
+++ b/src/azureramp_standins/measuring/variants.py
@@ -1,4 +1,4 @@
-"""The baselines: this design without one of its parts."""
+"""Prepares the baselines, each of which lacks a part of the design."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from azureramp_standins import cluster
 from azureramp_standins.measuring import scenarios
 
-HUGE = 1_000_000
-"""A bound that is never reached."""
+UNREACHABLE_LIMIT = 1_000_000
+"""A limit that is never reached."""
 
 
-def prepare(deployment: cluster.Cluster, variant: scenarios.Variant) -> None:
-    """Declares what a variant needs before the start."""
+def configure(deployment: cluster.Cluster, variant: scenarios.Variant) -> None:
+    """Configures a deployment for a variant, before the deployment starts."""
     match variant:
         case scenarios.Variant.DIRECT:
             deployment.isolated = True
@@ -20,6 +20,8 @@
         case scenarios.Variant.NO_ADMISSION:
             deployment.declare(
                 resources.Policy(
-                    name="default", queue_limit=HUGE, queue_ms=HUGE
+                    name="default",
+                    queue_limit=UNREACHABLE_LIMIT,
+                    queue_ms=UNREACHABLE_LIMIT,
                 )
             )
