--- a/src/azureramp_standins/__init__.py
+++ b/src/azureramp_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the searchers, for demo and tests."""
+"""Test doubles of the platform and the searchers, and tools built on them."""
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests mirror the source tree."""
+"""Tests of the test doubles and their tools."""
--- a/tests/standins/test_reference.py
+++ b/tests/standins/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference pages say what the code holds."""
+"""Tests of the reference pages that are generated from the code."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("name", reference.PAGES)
-def test_a_reference_page_has_not_drifted_from_the_code(name: str) -> None:
+def test_reference_page_matches_the_code(name: str) -> None:
     written = (reference.DIRECTORY / name).read_text(encoding="utf-8")
 
     assert written == reference.PAGES[name](), "run scripts/reference"
--- a/tests/standins/test_searcher.py
+++ b/tests/standins/test_searcher.py
@@ -1,4 +1,4 @@
-"""The searcher's stand-in, as a process of its own."""
+"""Tests of the searcher's test double, run as a process."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from azureramp import errors
 from azureramp.ports.searchers import http
 from azureramp.ports.web import connection as web_connection
-from azureramp_standins import searcher as standin
+from azureramp_standins import searcher as searcher_double
 from tests.ports.searchers import harness
 
 VERSIONS = ("--version", "arrears.1", "--version", "arrears.2")
 
 
 def start_process(address: str, *flags: str) -> subprocess.Popen[bytes]:
-    """Starts the process."""
+    """Starts the searcher's process."""
     command = [sys.executable, "-m", "azureramp_standins.searcher"]
     command += ["--address", address, "--name", "s1", *VERSIONS, *flags]
     return subprocess.Popen(command)
@@ -31,7 +31,7 @@
 async def start(
     address: str, *flags: str
 ) -> AsyncIterator[subprocess.Popen[bytes]]:
-    """Starts the process, waits until it answers, and ends it."""
+    """Starts the process, waits until it accepts connections, and stops it."""
     process = start_process(address, *flags)
     try:
         for _ in range(500):
@@ -46,15 +46,17 @@
         await asyncio.to_thread(process.wait)
 
 
-async def ask(address: str, method: str, path: str, body: bytes = b"") -> Any:
-    """Sends a request and decodes its answer."""
+async def send_request(
+    address: str, method: str, path: str, body: bytes = b""
+) -> Any:
+    """Sends a request and decodes the response's JSON body."""
     opened = await web_connection.connect(address, 1.0)
     response = await opened.ok.exchange(method, path, (), body)
     opened.ok.abort()
     return msgspec.json.decode(response.body)
 
 
-def test_it_serves_a_range_of_one_version_and_keeps_effects() -> None:
+def test_searcher_serves_a_range_of_a_version_and_records_effects() -> None:
     async def scenario() -> None:
         address = harness.find_free_address()
         async with start(address, "--incarnation", "4") as process:
@@ -71,36 +73,40 @@
                 address, body=b'{"grant":"BF-1"}', repeatable=False
             )
             await port.call(grant, lambda: True)
-            effects = await ask(address, "GET", "/v1/effects")
+            effects = await send_request(address, "GET", "/v1/effects")
             health = await port.read_health(address)
             await port.close()
             process.terminate()
-            code = await asyncio.to_thread(process.wait)
+            exit_code = await asyncio.to_thread(process.wait)
 
-        old, new = (msgspec.json.decode(reply.ok.items) for reply in replies)
-        assert len(old) < len(new)
-        assert all(0 <= item["key"] < 1200 for item in new)
+        items_1, items_2 = (
+            msgspec.json.decode(reply.ok.items) for reply in replies
+        )
+        assert len(items_1) < len(items_2)
+        assert all(0 <= item["key"] < 1200 for item in items_2)
         assert effects == [{"call_id": "r1/1", "query": {"grant": "BF-1"}}]
         assert health.ok.incarnation == 4
-        assert code == 0
+        assert exit_code == 0
 
     asyncio.run(scenario())
 
 
-def test_it_crashes_when_told_to() -> None:
+def test_searcher_crashes_on_a_configured_query() -> None:
     async def scenario() -> None:
         address = harness.find_free_address()
         async with start(address) as process:
-            await ask(address, "POST", "/v1/faults", b'{"crash":"poison"}')
+            await send_request(
+                address, "POST", "/v1/faults", b'{"crash":"poison"}'
+            )
             port = http.make()
             result = await port.call(
                 harness.make_call(address, body=b'{"text":"poison"}'),
                 lambda: True,
             )
-            code = await asyncio.to_thread(process.wait)
+            exit_code = await asyncio.to_thread(process.wait)
             await port.close()
 
         assert result.error.failure.kind is errors.Kind.CONNECTION_LOST
-        assert code == standin.CRASH_STATUS
+        assert exit_code == searcher_double.CRASH_STATUS
 
     asyncio.run(scenario())
