--- a/src/azureramp/controllers/caller_api.py
+++ b/src/azureramp/controllers/caller_api.py
@@ -42,7 +42,7 @@
     ) -> None:
         """Creates the interface; see `make`."""
         self._board = board
-        self._orders = addresses.Orders()
+        self._orders = addresses.OrderCache()
         self._coordinator = coordinator
         self._query_decoder = msgspec.json.Decoder(caller_input.QueryBody)
         self._execute_decoder = msgspec.json.Decoder(caller_input.ExecuteBody)
--- a/src/azureramp/policy/addresses.py
+++ b/src/azureramp/policy/addresses.py
@@ -116,17 +116,17 @@
 ) -> tuple[str, ...]:
     """Orders the VMs for one caller, the preferred one first.
 
-    Assigns all callers on each call; use an `Orders` for repeated calls.
+    Assigns all callers on each call; use an `OrderCache` for repeated calls.
 
     Args:
         caller: The caller's name.
         weights: The declared weight of each caller, by name.
         vms: The names of the eligible VMs.
     """
-    return Orders().get(caller, weights, vms)
+    return OrderCache().get(caller, weights, vms)
 
 
-class Orders:
+class OrderCache:
     """Caches the assignment of the current callers to the current VMs."""
 
     __slots__ = ("_assigned", "_vms", "_weights")
--- a/tests/policy/test_addresses.py
+++ b/tests/policy/test_addresses.py
@@ -24,7 +24,7 @@
 def measure_loads(
     weights: dict[str, float], vms: tuple[str, ...]
 ) -> collections.Counter[str]:
-    orders = addresses.Orders()
+    orders = addresses.OrderCache()
     loads: collections.Counter[str] = collections.Counter()
     for caller, weight in weights.items():
         loads[orders.get(caller, weights, vms)[0]] += weight  # type: ignore[assignment]
