--- a/src/azureramp/controllers/caller_api.py
+++ b/src/azureramp/controllers/caller_api.py
@@ -207,7 +207,7 @@
         members = self._board.members
         eligible = addresses.choose_eligible(
             (
-                addresses.Entry(
+                addresses.EntryVm(
                     name=name,
                     zone=member.vm.zone,
                     ready=member.ready,
--- a/src/azureramp/policy/addresses.py
+++ b/src/azureramp/policy/addresses.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Entry:
+class EntryVm:
     """An entry VM that may be advertised to callers.
 
     Attributes:
@@ -31,7 +31,7 @@
 
 
 def choose_eligible(
-    entries: Iterable[Entry], zones_out: Collection[str]
+    entries: Iterable[EntryVm], zones_out: Collection[str]
 ) -> tuple[str, ...]:
     """Selects the VMs that may be advertised.
 
--- a/tests/policy/test_addresses.py
+++ b/tests/policy/test_addresses.py
@@ -86,7 +86,7 @@
         "live": True,
         "leaving": False,
     }
-    entry = addresses.Entry(**(values | change))  # type: ignore[arg-type]
+    entry = addresses.EntryVm(**(values | change))  # type: ignore[arg-type]
 
     assert bool(addresses.choose_eligible([entry], {"out"})) is eligible
 
