--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -29,7 +29,7 @@
         exposure: Limit on requests to a version that is not proven yet.
     """
 
-    extra: allowances.Terms
+    extra: allowances.Limit
     cold_overage: float
     cold_slack: float
     grace_s: float
--- a/src/azureramp/platform/settings.py
+++ b/src/azureramp/platform/settings.py
@@ -291,7 +291,7 @@
     serves_callers = CALLERS_ROLE in body.serves
     serves_directory = DIRECTORY_ROLE in body.serves
     name = body.node if serves_callers else body.node + DIRECTORY_SUFFIX
-    extra = allowances.Terms(
+    extra = allowances.Limit(
         ratio=bounds.retry_budget_ratio,
         window_s=bounds.budget_window_s,
         fixed=bounds.retry_budget_slack,
--- a/src/azureramp/policy/allowances.py
+++ b/src/azureramp/policy/allowances.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Terms:
+class Limit:
     """The operators' bound.
 
     Attributes:
@@ -38,7 +38,7 @@
 
     __slots__ = ("_extras_s", "_requests_s", "_terms")
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: Limit) -> None:
         """Creates an allowance of which nothing is used."""
         self._terms = terms
         self._requests_s: collections.deque[float] = collections.deque()
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -254,7 +254,7 @@
             first_start=first,
         ),
         bounds=board.Bounds(
-            extra=allowances.Terms(ratio=0.2, window_s=10.0, fixed=56.0),
+            extra=allowances.Limit(ratio=0.2, window_s=10.0, fixed=56.0),
             cold_overage=1.5,
             cold_slack=5.0,
             grace_s=6.0,
--- a/tests/policy/test_allowances.py
+++ b/tests/policy/test_allowances.py
@@ -7,7 +7,7 @@
 
 from azureramp.policy import allowances
 
-TERMS = allowances.Terms(ratio=0.2, window_s=10.0, fixed=56.0)
+TERMS = allowances.Limit(ratio=0.2, window_s=10.0, fixed=56.0)
 
 
 def test_requests_allow_extra_calls_only_within_the_window() -> None:
