--- a/src/azureramp/policy/allowances.py
+++ b/src/azureramp/policy/allowances.py
@@ -12,7 +12,7 @@
 import collections
 import dataclasses
 
-SAFETY = 0.85
+SAFETY_FACTOR = 0.85
 """Fraction of the bound that is used. A request and the extra call that
 follows it may fall on different sides of a window's edge, and VMs may join."""
 
@@ -58,7 +58,7 @@
         """
         self._expire(now_s)
         earned = self._terms.ratio * len(self._requests_s)
-        allowed = SAFETY * (earned + self._terms.fixed * part)
+        allowed = SAFETY_FACTOR * (earned + self._terms.fixed * part)
         return allowed - len(self._extras_s)
 
     def spend(self, now_s: float, part: float) -> bool:
--- a/tests/policy/test_allowances.py
+++ b/tests/policy/test_allowances.py
@@ -15,7 +15,7 @@
     for _ in range(100):
         allowance.add_request(0.0)
     spent = sum(allowance.spend(1.0, part=0.0) for _ in range(100))
-    assert spent == int(0.2 * 100 * allowances.SAFETY)
+    assert spent == int(0.2 * 100 * allowances.SAFETY_FACTOR)
     assert not allowance.spend(10.5, part=0.0)
 
 
--- a/tests/policy/test_shares.py
+++ b/tests/policy/test_shares.py
@@ -99,4 +99,4 @@
                 own[name].append((now_s, amount))
                 spent.append((now_s, amount))
         total = sum(amount for at, amount in spent if at > now_s - WINDOW_S)
-        assert total * allowances.SAFETY <= 1.0
+        assert total * allowances.SAFETY_FACTOR <= 1.0
