--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -40,7 +40,7 @@
         self.hedges = budgets.Budget()
         self.retries = budgets.Budget(budgets.BURST)
         self.level = admission.Level()
-        self.times = admission.Times()
+        self.times = admission.LatencyEstimates()
         self.running = 0
         self.rng = rng
 
--- a/src/azureramp/policy/admission.py
+++ b/src/azureramp/policy/admission.py
@@ -150,7 +150,7 @@
     at_s: float = 0.0
 
 
-class Times:
+class LatencyEstimates:
     """The recent service times and waits of each index."""
 
     __slots__ = ("_service_ms", "_waits")
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -134,7 +134,7 @@
     While all requests are rejected, no wait is measured, so an estimate that
     did not decay would keep rejecting them.
     """
-    times = admission.Times()
+    times = admission.LatencyEstimates()
     for _ in range(100):
         times.observe("cover", URGENT, 10.0, 400.0, 0.0)
 
