--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -137,7 +137,7 @@
         now_s = asyncio.get_running_loop().time()
         measured = self._dispatcher.measured
         priority = asked.caller.priority
-        demand = admission.Demand(
+        demand = admission.Request(
             priority=priority,
             left_ms=left_s * 1000,
             needed_ms=measured.times.estimate_ms(asked.index, priority, now_s),
--- a/src/azureramp/policy/admission.py
+++ b/src/azureramp/policy/admission.py
@@ -195,7 +195,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Demand:
+class Request:
     """A request to be accepted or rejected.
 
     Attributes:
@@ -213,7 +213,7 @@
     share: float
 
 
-def decide(demand: Demand, draw: float) -> errors.Kind | None:
+def decide(demand: Request, draw: float) -> errors.Kind | None:
     """Decides whether to accept a request.
 
     Args:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -45,7 +45,7 @@
     draw: float,
     kind: errors.Kind | None,
 ) -> None:
-    demand = admission.Demand(priority, left_ms, needed_ms, running, share)
+    demand = admission.Request(priority, left_ms, needed_ms, running, share)
 
     decided = admission.decide(demand, draw)
 
