--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -168,7 +168,9 @@
                 now_s,
             )
         queue_ms = self._dispatcher.get_topology().policy.queue_ms
-        ratio = admission.compute_ratio(wait_ms, admitted.allowed_ms, queue_ms)
+        ratio = admission.compute_wait_ratio(
+            wait_ms, admitted.allowed_ms, queue_ms
+        )
         parts = len(admitted.snapshot.shard_map.shards)
         ratio += admission.compute_refusal_ratio(tally.refused, parts)
         measured.level.observe(header.priority, ratio, now_s)
--- a/src/azureramp/policy/admission.py
+++ b/src/azureramp/policy/admission.py
@@ -245,7 +245,9 @@
     return int(min(MAX_RETRY_MS, max(MIN_RETRY_MS, jittered_ms)))
 
 
-def compute_ratio(wait_ms: float, allowed_ms: float, queue_ms: float) -> float:
+def compute_wait_ratio(
+    wait_ms: float, allowed_ms: float, queue_ms: float
+) -> float:
     """Computes a wait as a ratio of the longest wait without overload.
 
     Args:
