--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -297,7 +297,7 @@
         """Returns how many connections this VM may hold to a searcher."""
         service = self._board.get_service(name)
         connections = service.connections if service else DEFAULT_CONNECTIONS
-        return advertising.get_link_share(
+        return advertising.get_connections_per_vm(
             connections, len(self._board.advertised), self._is_advertised()
         )
 
--- a/src/azureramp/policy/advertising.py
+++ b/src/azureramp/policy/advertising.py
@@ -88,7 +88,7 @@
     return tuple(sorted(chosen, key=lambda member: member.vm))
 
 
-def get_link_share(
+def get_connections_per_vm(
     connections: int, advertised: int, is_advertised: bool
 ) -> int:
     """Returns how many connections a VM may hold to one searcher.
--- a/tests/policy/test_advertising.py
+++ b/tests/policy/test_advertising.py
@@ -134,7 +134,9 @@
             for member in make_members({"a": 30, "b": 30})
         ]
         advertised = advertising.choose(members, {}, connections)
-        share = advertising.get_link_share(connections, len(advertised), True)
+        share = advertising.get_connections_per_vm(
+            connections, len(advertised), True
+        )
         assert share >= 2
 
 
@@ -164,7 +166,9 @@
 def test_no_vm_holds_more_than_its_share_of_a_searchers_connections() -> None:
     for connections in (4, 26, 54, 440):
         for advertised in (1, 4, 13, 64):
-            share = advertising.get_link_share(connections, advertised, True)
+            share = advertising.get_connections_per_vm(
+                connections, advertised, True
+            )
             assert share >= 1
             assert share == 1 or share * advertised <= connections
-    assert advertising.get_link_share(26, 4, False) == 1
+    assert advertising.get_connections_per_vm(26, 4, False) == 1
