--- a/src/azureramp/controllers/forwarding/advertised.py
+++ b/src/azureramp/controllers/forwarding/advertised.py
@@ -20,7 +20,7 @@
         board: The state whose `advertised` is updated.
     """
     services = find_used_services(board.configuration)
-    selected = advertising.choose(
+    selected = advertising.choose_members(
         board.members.values(),
         measure_nearness(board, services),
         find_fewest_connections(board.configuration, services),
--- a/src/azureramp/policy/advertising.py
+++ b/src/azureramp/policy/advertising.py
@@ -44,7 +44,7 @@
 least this fraction of the largest zone's share."""
 
 
-def choose(
+def choose_members(
     members: Iterable[catalog.Member],
     nearness: Mapping[str, float],
     connections: int,
--- a/tests/policy/test_advertising.py
+++ b/tests/policy/test_advertising.py
@@ -31,7 +31,9 @@
         dataclasses.replace(member, cores=2.0 if index % 4 == 0 else 0.5)
         for index, member in enumerate(make_members(zones))
     ]
-    advertised = advertising.choose(members, dict.fromkeys(zones, 0.25), 54)
+    advertised = advertising.choose_members(
+        members, dict.fromkeys(zones, 0.25), 54
+    )
     assert len(advertised) == 54 // advertising.USUAL_CONNECTIONS_PER_VM
     assert all(member.cores == 2.0 for member in advertised)
     assert len({member.zone for member in advertised}) == 4
@@ -52,7 +54,9 @@
         )
         for member in make_members(zones)
     ]
-    advertised = advertising.choose(members, dict.fromkeys(zones, 0.33), 59)
+    advertised = advertising.choose_members(
+        members, dict.fromkeys(zones, 0.33), 59
+    )
     assert len(advertised) == 6
     assert all(member.cores > 2.0 for member in advertised)
 
@@ -60,17 +64,17 @@
 def test_advertised_vms_remain_after_the_loss_of_a_zone() -> None:
     zones = {"a": 3, "b": 2, "c": 2, "d": 1}
     nearness = {"a": 1.0}
-    advertised = advertising.choose(make_members(zones), nearness, 26)
+    advertised = advertising.choose_members(make_members(zones), nearness, 26)
     assert len({member.zone for member in advertised}) >= 2
     left = [m for m in make_members(zones) if m.zone != "a"]
-    assert len(advertising.choose(left, {}, 26)) >= 3
+    assert len(advertising.choose_members(left, {}, 26)) >= 3
 
 
 def test_leaving_vms_are_never_advertised() -> None:
     members = make_members({"a": 2})
     members[0] = dataclasses.replace(members[0], leaving=True)
-    assert advertising.choose(members, {}, 26) == (members[1],)
-    assert advertising.choose([], {}, 26) == ()
+    assert advertising.choose_members(members, {}, 26) == (members[1],)
+    assert advertising.choose_members([], {}, 26) == ()
 
 
 def test_a_vm_is_busy_during_and_some_time_after_late_timers() -> None:
@@ -93,7 +97,7 @@
     each busy VM one more is advertised, until all available VMs are.
     """
     members = make_members({"a": 4, "b": 4})
-    usual = advertising.choose(members, {}, 26)
+    usual = advertising.choose_members(members, {}, 26)
     assert len(usual) == 4
     for busy in (1, 2, 4):
         loaded = {member.vm for member in usual[:busy]}
@@ -101,7 +105,7 @@
             dataclasses.replace(member, busy=member.vm in loaded)
             for member in members
         ]
-        advertised = advertising.choose(current, {}, 26)
+        advertised = advertising.choose_members(current, {}, 26)
         fresh = [member for member in advertised if not member.busy]
         assert len(fresh) == min(4 + busy, len(members) - busy)
     assert len(advertised) == 8
@@ -116,7 +120,7 @@
     busy, and callers got half of their answers.
     """
     members = make_members({"a": 16, "b": 16, "c": 16, "d": 16})
-    usual = advertising.choose(members, {}, 54)
+    usual = advertising.choose_members(members, {}, 54)
     advertised = {member.vm for member in usual}
     others = [member.vm for member in members if member.vm not in advertised]
     slow = set(others[:5])
@@ -124,7 +128,7 @@
         dataclasses.replace(member, busy=member.vm in slow)
         for member in members
     ]
-    assert advertising.choose(current, {}, 54) == usual
+    assert advertising.choose_members(current, {}, 54) == usual
 
 
 def test_each_advertised_vm_keeps_connections_if_all_are_busy() -> None:
@@ -133,7 +137,7 @@
             dataclasses.replace(member, busy=True)
             for member in make_members({"a": 30, "b": 30})
         ]
-        advertised = advertising.choose(members, {}, connections)
+        advertised = advertising.choose_members(members, {}, connections)
         share = advertising.get_connections_per_vm(
             connections, len(advertised), True
         )
@@ -142,12 +146,12 @@
 
 def test_a_busy_vm_is_replaced_by_others() -> None:
     members = make_members({"a": 4, "b": 4})
-    usual = advertising.choose(members, {}, 26)
+    usual = advertising.choose_members(members, {}, 26)
     current = [
         dataclasses.replace(member, busy=member == usual[0])
         for member in members
     ]
-    advertised = advertising.choose(current, {}, 26)
+    advertised = advertising.choose_members(current, {}, 26)
     assert len(advertised) == 5
     assert not any(member.busy for member in advertised)
 
@@ -159,7 +163,7 @@
     these are advertised, callers have no VM left once the zone loses power.
     """
     members = make_members({"a": 12, "b": 2})
-    advertised = advertising.choose(members, {"a": 1.0}, 54)
+    advertised = advertising.choose_members(members, {"a": 1.0}, 54)
     assert {member.zone for member in advertised} == {"a", "b"}
 
 
