--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -137,7 +137,7 @@
     def apply_result(self, result: messages.PartResult) -> assembly.Taken:
         """Applies a result and updates the searcher's measurements."""
         now_s = asyncio.get_running_loop().time()
-        taken = self.state.take(result)
+        taken = self.state.handle_result(result)
         match taken:
             case assembly.Unknown():
                 self._board.metrics.count("part.refused")
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -160,7 +160,7 @@
         self.progress[attempt.shard.name].running.pop(attempt.part, None)
         return True
 
-    def take(self, result: messages.PartResult) -> Taken:
+    def handle_result(self, result: messages.PartResult) -> Taken:
         """Handles the result of a sub-request."""
         attempt = self._running.get(result.part)
         if attempt is None:
--- a/tests/policy/test_coverage.py
+++ b/tests/policy/test_coverage.py
@@ -54,7 +54,7 @@
         if attempt is None:
             return
         done = query_parts.make_done(attempt.part, attempt.shard, 7)
-        handled = self.state.take(done)
+        handled = self.state.handle_result(done)
         if attempt.shard.name not in self.held:
             assert isinstance(handled, assembly.Merged)
         self.held.add(attempt.shard.name)
@@ -65,7 +65,7 @@
         if self.ended:
             attempt = data.draw(st.sampled_from(self.ended))
             done = query_parts.make_done(attempt.part, attempt.shard, 7)
-            assert isinstance(self.state.take(done), assembly.Unknown)
+            assert isinstance(self.state.handle_result(done), assembly.Unknown)
 
     @st_state.rule(
         data=st.data(),
@@ -82,7 +82,7 @@
             "truncated": query_parts.make_done(part, shard, 7, b"[[1,2],["),
             "object": query_parts.make_done(part, shard, 7, b'{"a":1}'),
         }[wrong]
-        handled = self.state.take(done)
+        handled = self.state.handle_result(done)
         assert isinstance(handled, assembly.Failed)
         assert handled.ran
         self.ended.append(attempt)
@@ -94,7 +94,7 @@
         other = data.draw(st.sampled_from(self.shard_map.shards))
         if attempt is None or other.name == attempt.shard.name:
             return
-        self.state.take(query_parts.make_done(attempt.part, other, 7))
+        self.state.handle_result(query_parts.make_done(attempt.part, other, 7))
         self.ended.append(attempt)
 
     @st_state.rule(data=st.data())
@@ -102,7 +102,7 @@
         attempt = self.pick_running(data)
         if attempt is not None:
             failed = messages.PartFailed(attempt.part, "no_such_kind", True)
-            self.state.take(failed)
+            self.state.handle_result(failed)
             self.ended.append(attempt)
 
     @st_state.rule(data=st.data())
