--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -236,14 +236,14 @@
     def _give_up(self, progress: assembly.Progress) -> None:
         """Gives up a shard; sends the next held-back part if none runs."""
         state = self._attempts.state
-        state.give_up(progress)
+        state.mark_lost(progress)
         while self._held_back and not state.get_running():
             following = self._held_back.pop(0)
             following.waiting = False
             if self.tally.crashes or not self._attempts.start(
                 (following,), "first"
             ):
-                state.give_up(following)
+                state.mark_lost(following)
 
     def _stop(self) -> None:
         """Ends a query that crashes backend servers."""
@@ -252,7 +252,7 @@
         self._held_back = []
         for progress in state.get_open():
             progress.waiting = False
-            state.give_up(progress)
+            state.mark_lost(progress)
 
     def _restart(self) -> bool:
         """Restarts the query on a newer version that is completely served.
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -190,7 +190,7 @@
             kind = errors.Kind.VERSION_GONE
         return Failed(attempt, kind, sent=True, ran=True)
 
-    def give_up(self, progress: Progress) -> None:
+    def mark_lost(self, progress: Progress) -> None:
         """Marks a shard as lost."""
         self.lost.add(progress.shard.name)
 
