--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -250,7 +250,7 @@
         state = self._attempts.state
         self._attempts.cancel(state.get_running())
         self._held_back = []
-        for progress in state.get_open():
+        for progress in state.get_pending():
             progress.waiting = False
             state.mark_lost(progress)
 
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -70,7 +70,7 @@
                 failed = self._attempts.fail_lost(attempt)
                 if failed is not None:
                     self._on_lost(failed)
-        for progress in self._attempts.state.get_open():
+        for progress in self._attempts.state.get_pending():
             if progress.running:
                 self._handle_late(progress)
         self.schedule()
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -202,7 +202,7 @@
         """Returns the attempts without a result."""
         return tuple(self._running.values())
 
-    def get_open(self) -> Iterable[Progress]:
+    def get_pending(self) -> Iterable[Progress]:
         """Returns the progress of the shards without a merged result."""
         held = self.ledger.is_held
         return [p for p in self.progress.values() if not held(p.shard)]
