--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -286,7 +286,7 @@
     def _check_finished(self) -> None:
         """Ends the query once no further result can change its answer."""
         state = self._attempts.state
-        if state.is_final() or (
+        if state.is_finished() or (
             state.lost and state.get_reachable() < self._minimum
         ):
             self._finish()
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -207,7 +207,7 @@
         held = self.ledger.is_held
         return [p for p in self.progress.values() if not held(p.shard)]
 
-    def is_final(self) -> bool:
+    def is_finished(self) -> bool:
         """Returns True if no further result can arrive."""
         return not self._running and not any(
             progress.waiting for progress in self.progress.values()
