--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -47,7 +47,7 @@
 
     def restart(self, state: assembly.Assembly) -> None:
         """Switches to another version; its parts get new numbers."""
-        self.cancel(self.state.get_running())
+        self.cancel(self.state.get_running_attempts())
         self.state = state
         version = state.ledger.shard_map.version
         self.header = dataclasses.replace(self.header, version=version)
--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -110,7 +110,7 @@
             timer.cancel()
             self._monitor.stop()
             self._dispatcher.unregister(header.request_id)
-            self._attempts.end(self._attempts.state.get_running())
+            self._attempts.end(self._attempts.state.get_running_attempts())
         return self._determine_answer()
 
     def receive(self, result: messages.PartResult) -> None:
@@ -237,7 +237,7 @@
         """Gives up a shard; sends the next held-back part if none runs."""
         state = self._attempts.state
         state.mark_lost(progress)
-        while self._held_back and not state.get_running():
+        while self._held_back and not state.get_running_attempts():
             following = self._held_back.pop(0)
             following.waiting = False
             if self.tally.crashes or not self._attempts.start(
@@ -248,7 +248,7 @@
     def _stop(self) -> None:
         """Ends a query that crashes backend servers."""
         state = self._attempts.state
-        self._attempts.cancel(state.get_running())
+        self._attempts.cancel(state.get_running_attempts())
         self._held_back = []
         for progress in state.get_pending():
             progress.waiting = False
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -46,7 +46,7 @@
         loop = asyncio.get_running_loop()
         now_s = loop.time()
         next_s = now_s + MAX_TICK_S
-        for attempt in self._attempts.state.get_running():
+        for attempt in self._attempts.state.get_running_attempts():
             delay_s = self._get_delay_ms(attempt) / 1000
             for due_s in (
                 attempt.sent_s + delay_s,
@@ -65,7 +65,7 @@
 
     def _check(self) -> None:
         """Checks every running attempt once."""
-        for attempt in self._attempts.state.get_running():
+        for attempt in self._attempts.state.get_running_attempts():
             if self._attempts.dispatcher.is_owner_lost(attempt):
                 failed = self._attempts.fail_lost(attempt)
                 if failed is not None:
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -132,7 +132,7 @@
     def _abandon(self) -> None:
         """Stops sending and cancels attempts that are only queued."""
         self._abandoned = True
-        running = self._attempts.state.get_running()
+        running = self._attempts.state.get_running_attempts()
         if running:
             # The attempt stays in the state: the owner replies whether it was
             # removed from the queue, and only that reply determines its
@@ -206,7 +206,7 @@
             async with asyncio.timeout_at(until_s):
                 result = await self._arrived
         except TimeoutError:
-            self._attempts.end(self._attempts.state.get_running())
+            self._attempts.end(self._attempts.state.get_running_attempts())
             return assembly.Unknown()
         taken = self._attempts.apply_result(result)
         if isinstance(taken, assembly.Failed):
@@ -233,7 +233,9 @@
 
     def receive(self, result: messages.PartResult) -> None:
         """Handles a result; drops duplicates and those of ended attempts."""
-        running = [one.part for one in self._attempts.state.get_running()]
+        running = [
+            one.part for one in self._attempts.state.get_running_attempts()
+        ]
         if result.part not in running or self._arrived is None:
             return
         if not self._arrived.done():
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -198,7 +198,7 @@
         """Returns a running attempt by its part number; None if not found."""
         return self._running.get(part)
 
-    def get_running(self) -> tuple[Attempt, ...]:
+    def get_running_attempts(self) -> tuple[Attempt, ...]:
         """Returns the attempts without a result."""
         return tuple(self._running.values())
 
--- a/tests/policy/test_coverage.py
+++ b/tests/policy/test_coverage.py
@@ -38,7 +38,7 @@
         self.ended: list[assembly.Attempt] = []
 
     def pick_running(self, data: st.DataObject) -> assembly.Attempt | None:
-        running = self.state.get_running()
+        running = self.state.get_running_attempts()
         return data.draw(st.sampled_from(running)) if running else None
 
     @st_state.rule(data=st.data())
