--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -134,7 +134,9 @@
         ]
         return self.dispatcher.choose(view, left, used)
 
-    def apply_result(self, result: messages.PartResult) -> assembly.Taken:
+    def apply_result(
+        self, result: messages.PartResult
+    ) -> assembly.HandledResult:
         """Applies a result and updates the searcher's measurements."""
         now_s = asyncio.get_running_loop().time()
         taken = self.state.handle_result(result)
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -174,7 +174,7 @@
         self._records.release(claimed)
         self.answer(outcomes.make_not_run(failure))
 
-    async def _attempt(self) -> assembly.Taken | None:
+    async def _attempt(self) -> assembly.HandledResult | None:
         """Makes one attempt.
 
         Returns:
@@ -194,7 +194,7 @@
 
     async def _wait_for_end(
         self, progress: assembly.Progress
-    ) -> assembly.Taken:
+    ) -> assembly.HandledResult:
         """Waits for an attempt's result until some time after the deadline.
 
         The caller has its answer by then, but a late result is still recorded
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -103,7 +103,7 @@
     """A result without a running attempt: a duplicate, late, or misrouted."""
 
 
-Taken = Merged | Failed | Unknown
+HandledResult = Merged | Failed | Unknown
 
 
 class Assembly:
@@ -160,7 +160,7 @@
         self.progress[attempt.shard.name].running.pop(attempt.part, None)
         return True
 
-    def handle_result(self, result: messages.PartResult) -> Taken:
+    def handle_result(self, result: messages.PartResult) -> HandledResult:
         """Handles the result of a sub-request."""
         attempt = self._running.get(result.part)
         if attempt is None:
