--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -141,7 +141,7 @@
         now_s = asyncio.get_running_loop().time()
         taken = self.state.handle_result(result)
         match taken:
-            case assembly.Unknown():
+            case assembly.UnmatchedResult():
                 self._board.metrics.count("part.refused")
             case assembly.Merged(attempt=attempt):
                 took_ms = (now_s - attempt.sent_s) * 1000
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -168,7 +168,7 @@
                 case assembly.Failed(ran=False):
                     wait_ms = taken.retry_after_ms or None
                     failure = errors.Failure(taken.kind, "", wait_ms)
-                case assembly.Failed() | assembly.Unknown():
+                case assembly.Failed() | assembly.UnmatchedResult():
                     await self._mark_unknown(claimed)
                     return
         self._records.release(claimed)
@@ -207,7 +207,7 @@
                 result = await self._arrived
         except TimeoutError:
             self._attempts.end(self._attempts.state.get_running_attempts())
-            return assembly.Unknown()
+            return assembly.UnmatchedResult()
         taken = self._attempts.apply_result(result)
         if isinstance(taken, assembly.Failed):
             self._dispatched = taken.ran
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -99,11 +99,11 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Unknown:
+class UnmatchedResult:
     """A result without a running attempt: a duplicate, late, or misrouted."""
 
 
-HandledResult = Merged | Failed | Unknown
+HandledResult = Merged | Failed | UnmatchedResult
 
 
 class Assembly:
@@ -164,7 +164,7 @@
         """Handles the result of a sub-request."""
         attempt = self._running.get(result.part)
         if attempt is None:
-            return Unknown()
+            return UnmatchedResult()
         self.remove(attempt)
         match result:
             case messages.PartFailed():
--- a/tests/policy/test_coverage.py
+++ b/tests/policy/test_coverage.py
@@ -65,7 +65,9 @@
         if self.ended:
             attempt = data.draw(st.sampled_from(self.ended))
             done = query_parts.make_done(attempt.part, attempt.shard, 7)
-            assert isinstance(self.state.handle_result(done), assembly.Unknown)
+            assert isinstance(
+                self.state.handle_result(done), assembly.UnmatchedResult
+            )
 
     @st_state.rule(
         data=st.data(),
