--- a/src/azureramp/controllers/record_releases.py
+++ b/src/azureramp/controllers/record_releases.py
@@ -88,7 +88,7 @@
         Releases are stored by nonce, not by key: two claims of this VM for
         one key may both be in flight, and either may take effect.
         """
-        release.overdue = not self._writer.backoff.is_open()
+        release.overdue = not self._writer.backoff.is_working()
         self.pending[release.record.nonce] = release
         while len(self.pending) > MAX_PENDING:
             _, dropped = self.pending.popitem(last=False)
@@ -161,7 +161,7 @@
     def _mark_overdue(self, failed: Release) -> None:
         """Marks a failed release as overdue; in an outage, all releases."""
         failed.overdue = True
-        if not self._writer.backoff.is_open():
+        if not self._writer.backoff.is_working():
             for release in self.pending.values():
                 release.overdue = True
 
--- a/src/azureramp/policy/backoff.py
+++ b/src/azureramp/policy/backoff.py
@@ -36,7 +36,7 @@
         self.until_s = 0.0
         self._probing_until_s = 0.0
 
-    def is_open(self) -> bool:
+    def is_working(self) -> bool:
         """Returns True if the service is treated as working."""
         return self.failures < TOLERATED
 
@@ -50,7 +50,7 @@
             now_s: The current time, in seconds.
             probe_s: The timeout of a probe, in seconds.
         """
-        if self.is_open():
+        if self.is_working():
             return True
         if self.get_wait_s(now_s) > 0:
             return False
@@ -59,7 +59,7 @@
 
     def get_wait_s(self, now_s: float) -> float:
         """Returns the time until a call may be made, in seconds."""
-        if self.is_open():
+        if self.is_working():
             return 0.0
         return max(self.until_s - now_s, self._probing_until_s - now_s, 0.0)
 
@@ -79,10 +79,10 @@
             now_s: The current time, in seconds.
             rng: Draws the delay from half its upper limit to the full limit.
         """
-        if not self.is_open() and now_s < self.until_s:
+        if not self.is_working() and now_s < self.until_s:
             return
         self.failures += 1
-        if self.is_open():
+        if self.is_working():
             return
         doublings = min(self.failures - TOLERATED, 16)
         ceiling_s = min(MAX_FIRST_DELAY_S * 2**doublings, MAX_DELAY_S)
