--- a/src/azureramp/policy/backoff.py
+++ b/src/azureramp/policy/backoff.py
@@ -25,15 +25,15 @@
 
     Attributes:
         failures: The number of failed calls since the last success.
-        until_s: The earliest time of the next call, on the caller's clock.
+        retry_at_s: The earliest time of the next call, on the caller's clock.
     """
 
-    __slots__ = ("_probing_until_s", "failures", "until_s")
+    __slots__ = ("_probing_until_s", "failures", "retry_at_s")
 
     def __init__(self) -> None:
         """Creates a backoff that allows calls."""
         self.failures = 0
-        self.until_s = 0.0
+        self.retry_at_s = 0.0
         self._probing_until_s = 0.0
 
     def is_working(self) -> bool:
@@ -61,12 +61,12 @@
         """Returns the time until a call may be made, in seconds."""
         if self.is_working():
             return 0.0
-        return max(self.until_s - now_s, self._probing_until_s - now_s, 0.0)
+        return max(self.retry_at_s - now_s, self._probing_until_s - now_s, 0.0)
 
     def record_success(self) -> None:
         """Ends the backoff after a successful call."""
         self.failures = 0
-        self.until_s = 0.0
+        self.retry_at_s = 0.0
         self._probing_until_s = 0.0
 
     def record_failure(self, now_s: float, rng: random.Random) -> None:
@@ -79,12 +79,12 @@
             now_s: The current time, in seconds.
             rng: Draws the delay from half its upper limit to the full limit.
         """
-        if not self.is_working() and now_s < self.until_s:
+        if not self.is_working() and now_s < self.retry_at_s:
             return
         self.failures += 1
         if self.is_working():
             return
         doublings = min(self.failures - TOLERATED, 16)
         ceiling_s = min(MAX_FIRST_DELAY_S * 2**doublings, MAX_DELAY_S)
-        self.until_s = now_s + ceiling_s * rng.uniform(0.5, 1.0)
+        self.retry_at_s = now_s + ceiling_s * rng.uniform(0.5, 1.0)
         self._probing_until_s = 0.0
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -21,7 +21,7 @@
     rng = random.Random(seed)
     now_s = 0.0
     for _ in range(failures):
-        now_s = max(now_s, made.until_s)
+        now_s = max(now_s, made.retry_at_s)
         made.record_failure(now_s, rng)
     return made, now_s
 
@@ -51,7 +51,7 @@
 
 def test_one_call_probes_while_the_others_wait() -> None:
     made, _ = make_failed(5)
-    now_s = made.until_s
+    now_s = made.retry_at_s
 
     assert made.may_call(now_s, PROBE_S)
     assert not made.may_call(now_s, PROBE_S)
@@ -66,9 +66,9 @@
 def test_calls_that_fail_together_count_as_one_failure() -> None:
     """Guards against a long delay after one outage with 100 calls in flight."""
     made, now_s = make_failed(backoff.TOLERATED)
-    until_s = made.until_s
+    until_s = made.retry_at_s
 
     for _ in range(100):
         made.record_failure(now_s, random.Random(1))
 
-    assert made.until_s == until_s
+    assert made.retry_at_s == until_s
