--- a/src/azureramp/controllers/record_writer.py
+++ b/src/azureramp/controllers/record_writer.py
@@ -55,7 +55,7 @@
 
     def get_wait_s(self) -> float:
         """Returns the time until the store may be called, in seconds."""
-        return self.backoff.get_wait_s(self._get_now_s())
+        return self.backoff.get_delay_s(self._get_now_s())
 
     async def write(
         self,
--- a/src/azureramp/policy/backoff.py
+++ b/src/azureramp/policy/backoff.py
@@ -52,12 +52,12 @@
         """
         if self.is_working():
             return True
-        if self.get_wait_s(now_s) > 0:
+        if self.get_delay_s(now_s) > 0:
             return False
         self._probing_until_s = now_s + probe_s
         return True
 
-    def get_wait_s(self, now_s: float) -> float:
+    def get_delay_s(self, now_s: float) -> float:
         """Returns the time until a call may be made, in seconds."""
         if self.is_working():
             return 0.0
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -30,7 +30,7 @@
     made, now_s = make_failed(backoff.TOLERATED - 1)
 
     assert made.may_call(now_s, PROBE_S)
-    assert made.get_wait_s(now_s) == 0.0
+    assert made.get_delay_s(now_s) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -43,7 +43,7 @@
     delays = set()
     for seed in range(20):
         made, now_s = make_failed(failures, seed)
-        delays.add(made.get_wait_s(now_s))
+        delays.add(made.get_delay_s(now_s))
 
     assert ceiling_s / 2 <= min(delays) < max(delays) <= ceiling_s
     assert len(delays) == 20
