--- a/src/azureramp/policy/backoff.py
+++ b/src/azureramp/policy/backoff.py
@@ -10,7 +10,7 @@
 
 import random
 
-TOLERATED = 3
+MIN_FAILURES = 3
 """Consecutive failures that start the backoff; fewer are isolated losses."""
 
 MAX_FIRST_DELAY_S = 0.2
@@ -38,7 +38,7 @@
 
     def is_working(self) -> bool:
         """Returns True if the service is treated as working."""
-        return self.failures < TOLERATED
+        return self.failures < MIN_FAILURES
 
     def may_call(self, now_s: float, probe_s: float) -> bool:
         """Returns True if a call may be made now.
@@ -84,7 +84,7 @@
         self.failures += 1
         if self.is_working():
             return
-        doublings = min(self.failures - TOLERATED, 16)
+        doublings = min(self.failures - MIN_FAILURES, 16)
         ceiling_s = min(MAX_FIRST_DELAY_S * 2**doublings, MAX_DELAY_S)
         self.retry_at_s = now_s + ceiling_s * rng.uniform(0.5, 1.0)
         self._probing_until_s = 0.0
--- a/tests/policy/test_backoff.py
+++ b/tests/policy/test_backoff.py
@@ -27,7 +27,7 @@
 
 
 def test_isolated_failures_do_not_stop_calls() -> None:
-    made, now_s = make_failed(backoff.TOLERATED - 1)
+    made, now_s = make_failed(backoff.MIN_FAILURES - 1)
 
     assert made.may_call(now_s, PROBE_S)
     assert made.get_delay_s(now_s) == 0.0
@@ -65,7 +65,7 @@
 
 def test_calls_that_fail_together_count_as_one_failure() -> None:
     """Guards against a long delay after one outage with 100 calls in flight."""
-    made, now_s = make_failed(backoff.TOLERATED)
+    made, now_s = make_failed(backoff.MIN_FAILURES)
     until_s = made.retry_at_s
 
     for _ in range(100):
