--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -119,7 +119,7 @@
         """Attributes a crash to a request."""
         fingerprint = blame.make_fingerprint(message)
         now_s = asyncio.get_running_loop().time()
-        crashes = self._crash_counts.add(fingerprint, now_s)
+        crashes = self._crash_counts.record_crash(fingerprint, now_s)
         self._board.metrics.count("crash.blamed")
         _logger.warning(
             "request {} was running on searcher {} when it crashed; crashes"
--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -38,7 +38,7 @@
             str, dict[str, tuple[int, float]]
         ] = collections.OrderedDict()
 
-    def add(self, fingerprint: str, now_s: float) -> int:
+    def record_crash(self, fingerprint: str, now_s: float) -> int:
         """Records a crash that this VM observed.
 
         Returns:
