--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -150,7 +150,7 @@
                     self.get_place(attempt), attempt, now_s
                 )
                 self._record_ended(attempt, "ok", True)
-                self.cancel(taken.losers)
+                self.cancel(taken.redundant)
             case assembly.Failed():
                 self._record_failed(taken)
         return taken
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -69,12 +69,13 @@
 
     Attributes:
         attempt: The attempt.
-        losers: The shard's other attempts, whose results are no longer needed.
+        redundant: The shard's other attempts, whose results are no longer
+            needed.
         service_ms: The searcher's service time, in milliseconds.
     """
 
     attempt: Attempt
-    losers: tuple[Attempt, ...]
+    redundant: tuple[Attempt, ...]
     service_ms: float
 
 
