--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -92,7 +92,7 @@
         if report.vm == self._board.identity.vm:
             return
         now_s = asyncio.get_running_loop().time()
-        self._crash_counts.adopt(
+        self._crash_counts.set_remote_count(
             report.fingerprint, report.vm, report.crashes, now_s
         )
 
--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -50,7 +50,7 @@
         self._set_crashes(fingerprint, OWN_KEY, observed + 1, now_s)
         return observed + 1
 
-    def adopt(
+    def set_remote_count(
         self, fingerprint: str, vm: str, crashes: int, now_s: float
     ) -> None:
         """Records the number of crashes that another VM observed."""
