--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -61,7 +61,7 @@
     def record_answer(self, message: api.Message) -> None:
         """Clears a request's crash counts, since a searcher answered it."""
         fingerprint = blame.make_fingerprint(message)
-        if self._crash_counts.knows(fingerprint):
+        if self._crash_counts.has_crashes(fingerprint):
             self._crash_counts.clear(fingerprint)
 
     def check_for_crash(
--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -70,7 +70,7 @@
         """Clears a request that got an answer, so it crashes no searchers."""
         self._by_request.pop(fingerprint, None)
 
-    def knows(self, fingerprint: str) -> bool:
+    def has_crashes(self, fingerprint: str) -> bool:
         """Returns True if any crash is attributed to the request."""
         return fingerprint in self._by_request
 
