--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -56,7 +56,7 @@
         """Returns the rest of a request's quarantine, in seconds; 0 if none."""
         fingerprint = blame.make_fingerprint(message)
         now_s = asyncio.get_running_loop().time()
-        return self._crash_counts.get_refused_s(fingerprint, now_s)
+        return self._crash_counts.get_quarantine_s(fingerprint, now_s)
 
     def record_answer(self, message: api.Message) -> None:
         """Clears a request's crash counts, since a searcher answered it."""
--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -56,7 +56,7 @@
         """Records the number of crashes that another VM observed."""
         self._set_crashes(fingerprint, vm, crashes, now_s)
 
-    def get_refused_s(self, fingerprint: str, now_s: float) -> float:
+    def get_quarantine_s(self, fingerprint: str, now_s: float) -> float:
         """Returns for how much longer a request is refused, in seconds."""
         by_vm = self._by_request.get(fingerprint)
         if by_vm is None:
