--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -47,7 +47,7 @@
         self._board = board
         self._store = store
         self._encode = encode
-        self._crash_counts = blame.Blames()
+        self._crash_counts = blame.CrashCounts()
         self._reports: asyncio.Queue[catalog.RequestBlamed] = asyncio.Queue(
             MAX_PENDING_REPORTS
         )
--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -27,7 +27,7 @@
 """The key under which a VM keeps the crashes that it observed itself."""
 
 
-class Blames:
+class CrashCounts:
     """The crashes attributed to each request."""
 
     __slots__ = ("_by_request",)
