--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -133,7 +133,7 @@
         # retry crashes a second one.
         min_crashes = 2 if repeatable else 1
         if (
-            min_crashes <= crashes <= blame.TOLERATED
+            min_crashes <= crashes <= blame.MIN_CRASHES
             and not self._reports.full()
         ):
             self._reports.put_nowait(
--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -13,7 +13,7 @@
 
 from azureramp.ports.forwarding import api
 
-TOLERATED = 3
+MIN_CRASHES = 3
 """Number of crashes from which a request is refused. A crash is also attributed
 to unrelated requests on the same searcher, but hardly ever three times."""
 
@@ -61,7 +61,7 @@
         by_vm = self._by_request.get(fingerprint)
         if by_vm is None:
             return 0.0
-        if sum(crashes for crashes, _ in by_vm.values()) < TOLERATED:
+        if sum(crashes for crashes, _ in by_vm.values()) < MIN_CRASHES:
             return 0.0
         last_s = max(at_s for _, at_s in by_vm.values())
         return max(0.0, last_s + QUARANTINE_S - now_s)
