--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -38,7 +38,7 @@
         self.scoreboard = replicas.Scoreboard()
         self.delays = hedging.Delays()
         self.hedges = budgets.Budget()
-        self.retries = budgets.Budget(budgets.BURST)
+        self.retries = budgets.Budget(budgets.MAX_TOKENS)
         self.level = admission.Level()
         self.times = admission.LatencyEstimates()
         self.running = 0
--- a/src/azureramp/policy/budgets.py
+++ b/src/azureramp/policy/budgets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-BURST = 10.0
+MAX_TOKENS = 10.0
 """Maximum number of saved tokens, so that a long time without extra calls does
 not allow an unlimited burst of them."""
 
@@ -11,8 +11,8 @@
     """A token budget that limits extra calls to a share of the needed calls.
 
     At any time, spent <= share * needed + initial tokens; and in any time
-    window, at most `BURST` calls more than the share of that window. When a
-    backend server fails, all callers send more calls; the budget limits their
+    window, at most `MAX_TOKENS` calls more than the share of that window. When
+    a backend server fails, all callers send more calls; the budget limits their
     sum, so that it does not overload the remaining servers.
 
     Attributes:
@@ -37,7 +37,7 @@
             needed: The number of needed calls.
             share: The budget's share, 0 to 1; 0 also discards saved tokens.
         """
-        self._tokens = min(BURST, self._tokens + needed * share)
+        self._tokens = min(MAX_TOKENS, self._tokens + needed * share)
         if share <= 0:
             self._tokens = 0.0
 
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -123,11 +123,11 @@
         for _ in range(wanted):
             budget.spend()
         assert budget.spent <= needed * share * (1 + 1e-9) + 1e-9
-        assert budget.spent - before <= budgets.BURST
+        assert budget.spent - before <= budgets.MAX_TOKENS
 
 
 def test_a_share_of_zero_discards_saved_tokens() -> None:
-    budget = budgets.Budget(budgets.BURST)
+    budget = budgets.Budget(budgets.MAX_TOKENS)
 
     budget.earn(1000, 0.0)
 
