--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -156,7 +156,7 @@
         request = self._request
         spent_s = CONNECTION_ROUND_TRIPS * request.connection_setup_s
         if request.deadline_s is not None:
-            estimated_s = self._timings.caller_delay.estimate_s(
+            estimated_s = self._timings.caller_delay.estimate_wait_s(
                 request.deadline_s, MAX_SPENT_SHARE * target_s
             )
             spent_s = max(spent_s, estimated_s)
--- a/src/azureramp/policy/caller_delay.py
+++ b/src/azureramp/policy/caller_delay.py
@@ -56,7 +56,7 @@
             self._initial_s = ranked[int(INITIAL_QUANTILE * (len(ranked) - 1))]
             self._since_refresh = 0
 
-    def estimate_s(self, stated_s: float, max_wait_s: float) -> float:
+    def estimate_wait_s(self, stated_s: float, max_wait_s: float) -> float:
         """Estimates how long a caller had waited, in seconds.
 
         Args:
--- a/tests/policy/test_caller_delay.py
+++ b/tests/policy/test_caller_delay.py
@@ -22,15 +22,15 @@
     Its deadline shows this: most callers start with 300 ms, it has 285 left.
     """
     estimator = make([300, 285, 284, 300, 300] * 10)
-    assert estimator.estimate_s(0.285, 0.05) == pytest.approx(0.015)
-    assert estimator.estimate_s(0.300, 0.05) == 0.0
+    assert estimator.estimate_wait_s(0.285, 0.05) == pytest.approx(0.015)
+    assert estimator.estimate_wait_s(0.300, 0.05) == 0.0
 
 
 def test_implausible_waits_and_outliers_are_ignored() -> None:
-    assert make([300] * 5).estimate_s(0.2, 0.05) == 0.0
-    assert make([300] * 50).estimate_s(0.15, 0.05) == 0.0
+    assert make([300] * 5).estimate_wait_s(0.2, 0.05) == 0.0
+    assert make([300] * 50).estimate_wait_s(0.15, 0.05) == 0.0
     with_outlier = make([300] * 60 + [900])
-    assert with_outlier.estimate_s(0.3, 0.05) == 0.0
+    assert with_outlier.estimate_wait_s(0.3, 0.05) == 0.0
 
 
 def test_few_requests_suffice_for_an_estimate() -> None:
@@ -43,9 +43,9 @@
     """
     for stated_ms in ([259], [253, 259], [259, 248, 253, 259, 259]):
         estimator = make(stated_ms)
-        assert estimator.estimate_s(0.248, 0.027) == pytest.approx(0.011)
+        assert estimator.estimate_wait_s(0.248, 0.027) == pytest.approx(0.011)
     with_outlier = make([259, 248, 900, 253, 259])
-    assert with_outlier.estimate_s(0.259, 0.027) == 0.0
+    assert with_outlier.estimate_wait_s(0.259, 0.027) == 0.0
 
 
 @pytest.mark.parametrize(
