--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -114,7 +114,7 @@
         """Creates the request's execution for its route's destination."""
         timings = self._timings.get(route)
         if request.deadline_s is not None:
-            timings.caller_delay.add(request.deadline_s)
+            timings.caller_delay.record_timeout(request.deadline_s)
         match route.destination:
             case catalog.AllOf() as destination:
                 return gather.FanOutRequest(
--- a/src/azureramp/policy/caller_delay.py
+++ b/src/azureramp/policy/caller_delay.py
@@ -42,7 +42,7 @@
         self._since_refresh = 0
         self._initial_s: float | None = None
 
-    def add(self, stated_s: float) -> None:
+    def record_timeout(self, stated_s: float) -> None:
         """Records a caller's remaining timeout, in seconds."""
         self._stated_s.append(stated_s)
         self._since_refresh += 1
--- a/tests/policy/test_caller_delay.py
+++ b/tests/policy/test_caller_delay.py
@@ -11,7 +11,7 @@
 def make(stated_ms: list[int]) -> caller_delay.CallerDelay:
     estimator = caller_delay.CallerDelay()
     for each in stated_ms:
-        estimator.add(each / 1000)
+        estimator.record_timeout(each / 1000)
     return estimator
 
 
