--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -111,7 +111,9 @@
 
     def _open(self, owned: OwnedSearcher) -> None:
         """Allows connections to a searcher: half of those it accepts."""
-        share = connections.get_share(owned.place.searcher.connections)
+        share = connections.get_connection_limit(
+            owned.place.searcher.connections
+        )
         self._port.set_limit(owned.get_address(), share)
         owned.confirmed_lost = self._port.get_links(owned.get_address()).lost
 
--- a/src/azureramp/policy/connections.py
+++ b/src/azureramp/policy/connections.py
@@ -73,7 +73,7 @@
     return get_overdue_ms(usual_ms) * ABANDON_FACTOR
 
 
-def get_share(connections: int) -> int:
+def get_connection_limit(connections: int) -> int:
     """Returns how many connections an owner may hold open.
 
     This is half of the searcher's limit, so that an old and a new owner
