--- a/src/azureramp/policy/connections.py
+++ b/src/azureramp/policy/connections.py
@@ -85,7 +85,7 @@
     return max(1, connections // 2)
 
 
-def split_share(share: int) -> tuple[int, int]:
+def split_connections(share: int) -> tuple[int, int]:
     """Splits an owner's connections into those for calls and health checks.
 
     Args:
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -96,7 +96,7 @@
 
     def set_limit(self, address: str, limit: int) -> None:
         """Sets the maximum number of connections; see `api.Searchers`."""
-        for_calls, for_health = connections.split_share(limit)
+        for_calls, for_health = connections.split_connections(limit)
         self._health.set_limit(address, for_health)
         self._pools.get(address).set_limit(for_calls)
 
