--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -72,5 +72,5 @@
             body=batch.body,
             repeatable=batch.repeatable,
             overdue_ms=connections.get_overdue_ms(expected_ms),
-            give_up_ms=connections.get_give_up_ms(expected_ms, cold),
+            give_up_ms=connections.get_abandon_ms(expected_ms, cold),
         )
--- a/src/azureramp/policy/connections.py
+++ b/src/azureramp/policy/connections.py
@@ -55,7 +55,7 @@
     return max(MIN_OVERDUE_MS, usual_ms * OVERDUE_FACTOR)
 
 
-def get_give_up_ms(usual_ms: float, cold: bool) -> float:
+def get_abandon_ms(usual_ms: float, cold: bool) -> float:
     """Returns after how long a call is abandoned, in milliseconds.
 
     The service time of a searcher in cold start, or without measurements, has
