--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -50,7 +50,7 @@
         """
         board = self._board
         view = self.make_view()
-        self.contact_s = self._contacts.update(view)
+        self.contact_s = self._contacts.compute_contact_s(view)
         self.acceptance.update(view)
         board.accepted_revision = self.acceptance.revision
         if view.revision > 0:
--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -82,7 +82,7 @@
         """Creates a record without any contact."""
         self._contact_s: dict[str, float] = {}
 
-    def update(self, view: View) -> float:
+    def compute_contact_s(self, view: View) -> float:
         """Processes the acknowledgements.
 
         An acknowledgement with a higher revision than this VM's proves nothing
@@ -247,7 +247,8 @@
     """Computes until when this VM may start new work.
 
     Args:
-        contact_s: The time of contact with a majority; see `Contacts.update`.
+        contact_s: The time of contact with a majority; see
+            `Contacts.compute_contact_s`.
         confirmed_s: The time of the platform's confirmation.
         window_s: How long either of them stays valid, in seconds.
     """
--- a/tests/policy/test_contact.py
+++ b/tests/policy/test_contact.py
@@ -69,7 +69,7 @@
 def test_contact_is_the_latest_time_proven_by_a_majority(
     view: contact.View, contact_s: float
 ) -> None:
-    assert contact.Contacts().update(view) == contact_s
+    assert contact.Contacts().compute_contact_s(view) == contact_s
 
 
 def test_contact_with_a_vm_of_a_higher_revision_is_not_renewed() -> None:
@@ -80,12 +80,12 @@
     this VM would keep using the old configuration.
     """
     contacts = contact.Contacts()
-    contacts.update(make_view(1, 5, b=(1, 5), c=(1, 5)))
+    contacts.compute_contact_s(make_view(1, 5, b=(1, 5), c=(1, 5)))
 
     later = make_view(9, 5, b=(9, 5), c=(9, 6), d=(9, 6), e=(9, 6))
-    assert contacts.update(later) == 1
+    assert contacts.compute_contact_s(later) == 1
     caught_up = make_view(9, 6, b=(9, 5), c=(9, 6), d=(9, 6), e=(9, 6))
-    assert contacts.update(caught_up) == 9
+    assert contacts.compute_contact_s(caught_up) == 9
 
 
 def test_a_change_is_accepted_after_two_rounds_of_a_majority() -> None:
