--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -92,7 +92,7 @@
         own = self._board.settings.vm
         return contact.View(
             now_s=asyncio.get_running_loop().time(),
-            own=own,
+            vm=own,
             revision=self._board.configuration.revision,
             listed=members.keys(),
             acknowledgements={
--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -41,7 +41,7 @@
 
     Attributes:
         now_s: The current time, in seconds.
-        own: The name of this VM.
+        vm: The name of this VM.
         revision: Its configuration revision; 0 if it has none.
         listed: The names of the listed VMs.
         acknowledgements: The newest acknowledgements by VM; only those of
@@ -49,7 +49,7 @@
     """
 
     now_s: float
-    own: str
+    vm: str
     revision: int
     listed: Collection[str]
     acknowledgements: Acknowledgements
@@ -68,7 +68,7 @@
             vm: acknowledgement
             for vm, acknowledgement in self.acknowledgements.items()
             if vm in self.listed
-            and vm != self.own
+            and vm != self.vm
             and acknowledgement.revision > 0
         }
 
@@ -100,7 +100,7 @@
                 )
         for vm in [vm for vm in self._contact_s if vm not in view.listed]:
             del self._contact_s[vm]
-        if view.own not in view.listed or view.revision == 0:
+        if view.vm not in view.listed or view.revision == 0:
             return -math.inf
         times = sorted((*self._contact_s.values(), view.now_s), reverse=True)
         majority = view.count_majority()
@@ -138,7 +138,7 @@
 
     def update(self, view: View) -> None:
         """Processes the acknowledgements; may raise `revision`."""
-        if view.own not in view.listed:
+        if view.vm not in view.listed:
             return
         others = view.get_configured_peers()
         majority = view.count_majority()
