--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -94,7 +94,7 @@
             now_s=asyncio.get_running_loop().time(),
             vm=own,
             revision=self._board.configuration.revision,
-            listed=members.keys(),
+            vms=members.keys(),
             acknowledgements={
                 name: contact.Acknowledgement(
                     member.acknowledged_s,
--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -43,7 +43,7 @@
         now_s: The current time, in seconds.
         vm: The name of this VM.
         revision: Its configuration revision; 0 if it has none.
-        listed: The names of the listed VMs.
+        vms: The names of the listed VMs.
         acknowledgements: The newest acknowledgements by VM; only those of
             listed VMs count.
     """
@@ -51,12 +51,12 @@
     now_s: float
     vm: str
     revision: int
-    listed: Collection[str]
+    vms: Collection[str]
     acknowledgements: Acknowledgements
 
     def count_majority(self) -> int:
         """Returns how many VMs form a majority."""
-        return len(self.listed) // 2 + 1
+        return len(self.vms) // 2 + 1
 
     def get_configured_peers(self) -> dict[str, Acknowledgement]:
         """Returns the acknowledgements of listed VMs with a configuration.
@@ -67,9 +67,7 @@
         return {
             vm: acknowledgement
             for vm, acknowledgement in self.acknowledgements.items()
-            if vm in self.listed
-            and vm != self.vm
-            and acknowledgement.revision > 0
+            if vm in self.vms and vm != self.vm and acknowledgement.revision > 0
         }
 
 
@@ -98,9 +96,9 @@
                 self._contact_s[vm] = max(
                     self._contact_s.get(vm, -math.inf), acknowledgement.sent_s
                 )
-        for vm in [vm for vm in self._contact_s if vm not in view.listed]:
+        for vm in [vm for vm in self._contact_s if vm not in view.vms]:
             del self._contact_s[vm]
-        if view.vm not in view.listed or view.revision == 0:
+        if view.vm not in view.vms or view.revision == 0:
             return -math.inf
         times = sorted((*self._contact_s.values(), view.now_s), reverse=True)
         majority = view.count_majority()
@@ -138,7 +136,7 @@
 
     def update(self, view: View) -> None:
         """Processes the acknowledgements; may raise `revision`."""
-        if view.vm not in view.listed:
+        if view.vm not in view.vms:
             return
         others = view.get_configured_peers()
         majority = view.count_majority()
