--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -36,7 +36,7 @@
     def __init__(self, board: blackboard.Blackboard) -> None:
         """Creates the state of a VM that has no contact yet."""
         self._board = board
-        self._contacts = contact.Contacts()
+        self._contacts = contact.ContactTimes()
         self._unaccepted: list[events.ConfigurationAccepted] = []
         self.acceptance = contact.Acceptance()
         self.contact_s = -math.inf
--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -71,7 +71,7 @@
         }
 
 
-class Contacts:
+class ContactTimes:
     """When each VM last proved that it has no newer revision than this VM."""
 
     __slots__ = ("_contact_s",)
--- a/tests/policy/test_contact.py
+++ b/tests/policy/test_contact.py
@@ -69,7 +69,7 @@
 def test_contact_is_the_latest_time_proven_by_a_majority(
     view: contact.View, contact_s: float
 ) -> None:
-    assert contact.Contacts().compute_contact_s(view) == contact_s
+    assert contact.ContactTimes().compute_contact_s(view) == contact_s
 
 
 def test_contact_with_a_vm_of_a_higher_revision_is_not_renewed() -> None:
@@ -79,7 +79,7 @@
     heartbeats continue with the higher revision. If they counted as contact,
     this VM would keep using the old configuration.
     """
-    contacts = contact.Contacts()
+    contacts = contact.ContactTimes()
     contacts.compute_contact_s(make_view(1, 5, b=(1, 5), c=(1, 5)))
 
     later = make_view(9, 5, b=(9, 5), c=(9, 6), d=(9, 6), e=(9, 6))
