--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -86,11 +86,11 @@
         """Queues an event that is recorded once its change is accepted."""
         self._unaccepted.append(event)
 
-    def make_view(self) -> contact.View:
+    def make_view(self) -> contact.ClusterView:
         """Creates the input of the policies from the blackboard."""
         members = self._board.members
         own = self._board.settings.vm
-        return contact.View(
+        return contact.ClusterView(
             now_s=asyncio.get_running_loop().time(),
             vm=own,
             revision=self._board.configuration.revision,
--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class View:
+class ClusterView:
     """The state that one VM knows at one moment.
 
     Attributes:
@@ -80,7 +80,7 @@
         """Creates a record without any contact."""
         self._contact_s: dict[str, float] = {}
 
-    def compute_contact_s(self, view: View) -> float:
+    def compute_contact_s(self, view: ClusterView) -> float:
         """Processes the acknowledgements.
 
         An acknowledgement with a higher revision than this VM's proves nothing
@@ -134,7 +134,7 @@
         self._holders: dict[str, int] = {}
         self._history: list[tuple[int, float]] = []
 
-    def update(self, view: View) -> None:
+    def update(self, view: ClusterView) -> None:
         """Processes the acknowledgements; may raise `revision`."""
         if view.vm not in view.vms:
             return
@@ -151,7 +151,10 @@
         return min(times, default=math.inf)
 
     def _process_first_round(
-        self, view: View, others: dict[str, Acknowledgement], majority: int
+        self,
+        view: ClusterView,
+        others: dict[str, Acknowledgement],
+        majority: int,
     ) -> None:
         """Starts the second round once a majority holds a newer revision."""
         held = [view.revision, *(other.revision for other in others.values())]
@@ -172,7 +175,10 @@
             self._accept(view.now_s)
 
     def _process_second_round(
-        self, view: View, others: dict[str, Acknowledgement], majority: int
+        self,
+        view: ClusterView,
+        others: dict[str, Acknowledgement],
+        majority: int,
     ) -> None:
         """Accepts once a majority has acknowledged again, or starts over."""
         confirming = 1
@@ -201,7 +207,7 @@
 """Number of accepted revisions that are kept with their times."""
 
 
-def may_recover(view: View, revision: int) -> bool:
+def may_recover(view: ClusterView, revision: int) -> bool:
     """Returns True if a starting VM may take its configuration from peers.
 
     Its previous process may have been part of the majority that held an
@@ -220,7 +226,7 @@
     )
 
 
-def compute_confirmed_s(view: View, confirmed_s: float) -> float:
+def compute_confirmed_s(view: ClusterView, confirmed_s: float) -> float:
     """Computes a lower bound of when the platform confirmed this VM's revision.
 
     A peer's confirmation also applies to this VM if the peer's revision is not
--- a/tests/policy/test_contact.py
+++ b/tests/policy/test_contact.py
@@ -19,9 +19,9 @@
     own: str = "a",
     listed: tuple[str, ...] = FIVE,
     **acknowledged: tuple[float, int] | tuple[float, int, int],
-) -> contact.View:
+) -> contact.ClusterView:
     """Creates a view from (sent_s, revision[, incarnation]) of each VM."""
-    return contact.View(
+    return contact.ClusterView(
         now_s,
         own,
         revision,
@@ -67,7 +67,7 @@
     ],
 )
 def test_contact_is_the_latest_time_proven_by_a_majority(
-    view: contact.View, contact_s: float
+    view: contact.ClusterView, contact_s: float
 ) -> None:
     assert contact.ContactTimes().compute_contact_s(view) == contact_s
 
@@ -155,6 +155,6 @@
     revision: int, confirmed_s: float
 ) -> None:
     acknowledgement = contact.Acknowledgement(5, 5, 1, confirmed_s=4.0)
-    view = contact.View(9, "a", revision, FIVE, {"b": acknowledgement})
+    view = contact.ClusterView(9, "a", revision, FIVE, {"b": acknowledgement})
 
     assert contact.compute_confirmed_s(view, 1.0) == confirmed_s
