--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -181,7 +181,7 @@
     ) -> Merged | Failed:
         """Merges a result, or returns why it can't be merged."""
         items = coverage.read_items(done.items)
-        if items is not None and self.ledger.hold(attempt.shard, done, items):
+        if items is not None and self.ledger.add(attempt.shard, done, items):
             progress = self.progress[attempt.shard.name]
             self.merged.append(attempt)
             losers = tuple(progress.running.values())
--- a/src/azureramp/policy/coverage.py
+++ b/src/azureramp/policy/coverage.py
@@ -35,7 +35,7 @@
         """Returns True if the ledger has the shard's result."""
         return shard.name in self._held
 
-    def hold(
+    def add(
         self, shard: resources.Shard, done: messages.PartDone, items: bytes
     ) -> bool:
         """Adds a result if it is of the requested version and range.
--- a/tests/policy/test_coverage.py
+++ b/tests/policy/test_coverage.py
@@ -187,7 +187,7 @@
     ledger = coverage.Ledger(shard_map)
     first = shard_map.shards[0]
 
-    ledger.hold(first, query_parts.make_done(1, first), b"")
+    ledger.add(first, query_parts.make_done(1, first), b"")
 
     assert ledger.get_coverage() < 1.0
     assert ledger.get_missing() == (responses.KeyRange(100, 200),)
