--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -205,7 +205,7 @@
 
     def get_pending(self) -> Iterable[Progress]:
         """Returns the progress of the shards without a merged result."""
-        held = self.ledger.is_held
+        held = self.ledger.has_result
         return [p for p in self.progress.values() if not held(p.shard)]
 
     def is_finished(self) -> bool:
--- a/src/azureramp/policy/coverage.py
+++ b/src/azureramp/policy/coverage.py
@@ -31,7 +31,7 @@
         self._held: dict[str, bytes] = {}
         self._total = sum(shard.size for shard in shard_map.shards)
 
-    def is_held(self, shard: resources.Shard) -> bool:
+    def has_result(self, shard: resources.Shard) -> bool:
         """Returns True if the ledger has the shard's result."""
         return shard.name in self._held
 
@@ -54,7 +54,7 @@
             False if the result was not added, because its version or range
             differs or the ledger already has a result of the shard.
         """
-        if self.is_held(shard) or not self.matches(shard, done):
+        if self.has_result(shard) or not self.matches(shard, done):
             return False
         self._held[shard.name] = items
         return True
