--- a/src/azureramp/policy/coverage.py
+++ b/src/azureramp/policy/coverage.py
@@ -73,9 +73,9 @@
 
     def get_coverage(self) -> float:
         """Returns the share of documents covered; see `round_down`."""
-        return round_down(self.get_share(), self.is_complete())
+        return round_down(self.get_exact_coverage(), self.is_complete())
 
-    def get_share(self) -> fractions.Fraction:
+    def get_exact_coverage(self) -> fractions.Fraction:
         """Returns the exact share of documents covered."""
         return self._measure(self._held)
 
--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -98,7 +98,10 @@
     """
     if previous is None:
         return current
-    if current.ledger.get_share() >= previous.ledger.get_share():
+    if (
+        current.ledger.get_exact_coverage()
+        >= previous.ledger.get_exact_coverage()
+    ):
         return current
     return previous
 
@@ -122,7 +125,7 @@
     """
     if not permitted:
         return errors.Failure(errors.Kind.FORBIDDEN)
-    held = ledger.get_share()
+    held = ledger.get_exact_coverage()
     if held >= minimum and (held > 0 or ledger.is_complete()):
         return None
     if not tally.ran:
