--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -216,7 +216,7 @@
 
     def get_reachable(self) -> fractions.Fraction:
         """Returns the coverage if every shard that is not lost answers."""
-        return self.ledger.get_reachable(self.lost)
+        return self.ledger.get_reachable_coverage(self.lost)
 
 
 def parse_kind(code: str) -> errors.Kind:
--- a/src/azureramp/policy/coverage.py
+++ b/src/azureramp/policy/coverage.py
@@ -79,7 +79,9 @@
         """Returns the exact share of documents covered."""
         return self._measure(self._held)
 
-    def get_reachable(self, lost: Collection[str]) -> fractions.Fraction:
+    def get_reachable_coverage(
+        self, lost: Collection[str]
+    ) -> fractions.Fraction:
         """Returns the share that is covered if all other shards answer.
 
         Args:
