--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -90,7 +90,7 @@
         self._finished = asyncio.get_running_loop().create_future()
         self.tally = self._attempts.tally
 
-    async def run(self) -> coverage.Ledger | errors.Failure:
+    async def run(self) -> coverage.ResultLedger | errors.Failure:
         """Sends the sub-requests and waits until the answer is final.
 
         Cancelling this coroutine cancels the attempts at the owners.
@@ -296,7 +296,7 @@
         if not self._finished.done():
             self._finished.set_result(None)
 
-    def _determine_answer(self) -> coverage.Ledger | errors.Failure:
+    def _determine_answer(self) -> coverage.ResultLedger | errors.Failure:
         """Determines the answer from the better version's results."""
         chosen = outcomes.choose(self._previous, self._attempts.state)
         if chosen is not self._attempts.state:
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -131,7 +131,7 @@
             permits: Returns True if a shard may be queried. The others are
                 lost from the start, so the answer reports them as missing.
         """
-        self.ledger = coverage.Ledger(shard_map)
+        self.ledger = coverage.ResultLedger(shard_map)
         self.progress = {
             shard.name: Progress(shard)
             for shard in shard_map.shards
--- a/src/azureramp/policy/coverage.py
+++ b/src/azureramp/policy/coverage.py
@@ -16,7 +16,7 @@
 from azureramp import messages, resources, responses
 
 
-class Ledger:
+class ResultLedger:
     """The merged results of one pinned version, at most one for each shard.
 
     Attributes:
--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -107,7 +107,7 @@
 
 
 def judge(
-    ledger: coverage.Ledger,
+    ledger: coverage.ResultLedger,
     minimum: fractions.Fraction,
     tally: Tally,
     permitted: bool,
--- a/tests/policy/test_coverage.py
+++ b/tests/policy/test_coverage.py
@@ -184,7 +184,7 @@
 
 def test_a_missing_shard_without_documents_is_still_missing() -> None:
     shard_map = query_parts.make_map([10, 0])
-    ledger = coverage.Ledger(shard_map)
+    ledger = coverage.ResultLedger(shard_map)
     first = shard_map.shards[0]
 
     ledger.add(first, query_parts.make_done(1, first), b"")
