--- a/src/azureramp/controllers/forwarding/rollout_grants.py
+++ b/src/azureramp/controllers/forwarding/rollout_grants.py
@@ -92,7 +92,9 @@
             return expression.Error(
                 errors.Failure(errors.Kind.NOT_OWNER, detail)
             )
-        drive.ledger.take(report.process, report.requests, report.spent, now_s)
+        drive.ledger.record_report(
+            report.process, report.requests, report.spent, now_s
+        )
         drive.apply_counts(report, now_s)
         if report.requests:
             drive.senders.add(report.vm)
--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -112,7 +112,7 @@
         self._accounts: dict[str, Account] = {}
         self.requests = requests
 
-    def take(
+    def record_report(
         self, process: str, requests: int, spent: int, now_s: float
     ) -> None:
         """Records the cumulative totals that a process reported."""
--- a/tests/policy/test_exposure.py
+++ b/tests/policy/test_exposure.py
@@ -24,8 +24,8 @@
 def test_a_vm_without_requests_gets_at_most_one_call() -> None:
     ledger = exposure.Ledger(TERMS, 0, 0)
     for number in range(10):
-        ledger.take("busy", 20 * number, 0, number * 0.2)
-        ledger.take("idle", 0, 0, number * 0.2)
+        ledger.record_report("busy", 20 * number, 0, number * 0.2)
+        ledger.record_report("idle", 0, 0, number * 0.2)
     assert exposure.divide(ledger, "idle", 20, 1.0) <= 1
     assert exposure.divide(ledger, "busy", 20, 1.0) == 20
 
@@ -33,10 +33,10 @@
 def test_a_new_driver_counts_what_earlier_ones_may_have_granted() -> None:
     """Guards against a driver's crash that resets the count of requests."""
     ledger = exposure.Ledger(TERMS, 30, 400)
-    ledger.take("vm", 390, 25, 0.0)
+    ledger.record_report("vm", 390, 25, 0.0)
     assert ledger.count_used() == 30
     assert ledger.requests == 400
-    ledger.take("vm", 400, 27, 0.2)
+    ledger.record_report("vm", 400, 27, 0.2)
     assert ledger.count_used() == 32
     assert ledger.requests == 410
 
@@ -88,7 +88,7 @@
     @stateful.rule(which=st.integers(0, 2), lost=st.booleans())
     def report(self, which: int, lost: bool) -> None:
         process = self.processes[which]
-        self.ledger.take(
+        self.ledger.record_report(
             process.name, process.requests, process.spent, self.now_s
         )
         allowed = exposure.count_allowed(TERMS, self.ledger.requests)
