--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -34,7 +34,7 @@
     cold_slack: float
     grace_s: float
     address_lifetime_s: float
-    exposure: exposure.Terms
+    exposure: exposure.ExposureLimit
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp/controllers/forwarding/rollout_drive.py
+++ b/src/azureramp/controllers/forwarding/rollout_drive.py
@@ -51,7 +51,7 @@
         self,
         record: rollout_types.Record,
         revision: int,
-        terms: exposure.Terms,
+        terms: exposure.ExposureLimit,
         now_s: float,
     ) -> None:
         """Makes the state of a roll-out without any reports.
--- a/src/azureramp/platform/settings.py
+++ b/src/azureramp/platform/settings.py
@@ -312,7 +312,7 @@
             cold_slack=bounds.cold_slack,
             grace_s=bounds.grace_s,
             address_lifetime_s=bounds.ttl_max_s,
-            exposure=exposure.Terms(
+            exposure=exposure.ExposureLimit(
                 share=bounds.exposure_share,
                 fixed=bounds.exposure_slack,
                 stop_s=bounds.rollback_ms / 1000,
--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Terms:
+class ExposureLimit:
     """The operators' bound.
 
     Attributes:
@@ -56,7 +56,7 @@
         return min(GRANT_VALIDITY_S, self.stop_s / 5)
 
 
-def count_allowed(terms: Terms, requests: float) -> int:
+def count_allowed(terms: ExposureLimit, requests: float) -> int:
     """Returns how many requests the new version may have received so far.
 
     Args:
@@ -98,7 +98,9 @@
 
     __slots__ = ("_accounts", "_is_first", "_reserved", "_terms", "requests")
 
-    def __init__(self, terms: Terms, reserved: int, requests: int) -> None:
+    def __init__(
+        self, terms: ExposureLimit, reserved: int, requests: int
+    ) -> None:
         """Creates a ledger.
 
         Args:
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -171,7 +171,7 @@
 
 
 def count_allowed(
-    terms: exposure.Terms, requests: float, rate: float, left_s: float
+    terms: exposure.ExposureLimit, requests: float, rate: float, left_s: float
 ) -> int:
     """Returns the total number of calls that the new version may get.
 
@@ -186,7 +186,7 @@
 
 
 def count_trial_calls(
-    terms: exposure.Terms, requests: int, age_s: float, move_s: float
+    terms: exposure.ExposureLimit, requests: int, age_s: float, move_s: float
 ) -> int:
     """Returns the number of calls that the canary phase may have made so far.
 
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -259,7 +259,7 @@
             cold_slack=5.0,
             grace_s=6.0,
             address_lifetime_s=5.0,
-            exposure=exposure.Terms(share=0.1, fixed=50.0, stop_s=5.0),
+            exposure=exposure.ExposureLimit(share=0.1, fixed=50.0, stop_s=5.0),
         ),
         front_address=f"127.0.0.1:{base}",
         ready_address=f"127.0.0.1:{base + 1}",
--- a/tests/policy/test_exposure.py
+++ b/tests/policy/test_exposure.py
@@ -8,7 +8,7 @@
 
 from azureramp.policy import exposure
 
-TERMS = exposure.Terms(share=0.1, fixed=50.0, stop_s=5.0)
+TERMS = exposure.ExposureLimit(share=0.1, fixed=50.0, stop_s=5.0)
 
 
 def test_the_bound_grows_with_the_requests() -> None:
@@ -17,7 +17,7 @@
 
 
 def test_a_grant_expires_within_the_time_to_stop() -> None:
-    assert exposure.Terms(0.1, 50, 1.0).get_grant_s() == 0.2
+    assert exposure.ExposureLimit(0.1, 50, 1.0).get_grant_s() == 0.2
     assert TERMS.get_grant_s() == exposure.GRANT_VALIDITY_S
 
 
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -123,7 +123,9 @@
 def test_all_phases_fit_into_the_duration(
     duration_s: float, rate: float
 ) -> None:
-    allowed = exposure.count_allowed(exposure.Terms(0.1, 50), rate * duration_s)
+    allowed = exposure.count_allowed(
+        exposure.ExposureLimit(0.1, 50), rate * duration_s
+    )
     complete_s = rollouts.get_complete_s(duration_s, rate, allowed)
     assert 0.5 * duration_s < complete_s < duration_s
     now = dataclasses.replace(
@@ -138,7 +140,7 @@
 
 
 def test_canary_calls_are_spread_over_the_phase() -> None:
-    terms = exposure.Terms(0.1, 50)
+    terms = exposure.ExposureLimit(0.1, 50)
     counts = [
         rollouts.count_trial_calls(terms, 20 * second, second, 9.0)
         for second in range(10)
