--- a/src/azureramp/controllers/forwarding/rollout_drive.py
+++ b/src/azureramp/controllers/forwarding/rollout_drive.py
@@ -64,7 +64,9 @@
         """
         self.record = record
         self.revision = revision
-        self.ledger = exposure.Ledger(terms, record.reserved, record.requests)
+        self.ledger = exposure.GrantLedger(
+            terms, record.reserved, record.requests
+        )
         self.evidence = version_evidence.Evidence(now_s)
         # A new driver has no reports from the VMs yet, without which all
         # traffic can't stay on the new version.
--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -89,7 +89,7 @@
     rate: float = 0.0
 
 
-class Ledger:
+class GrantLedger:
     """The grants of one roll-out, kept by the driver.
 
     Attributes:
@@ -178,7 +178,7 @@
         return sum(account.rate for account in self._accounts.values())
 
 
-def divide(ledger: Ledger, process: str, left: int, grant_s: float) -> int:
+def divide(ledger: GrantLedger, process: str, left: int, grant_s: float) -> int:
     """Returns how many further calls a process should be allowed.
 
     The calls are divided by the processes' request rates, and a process gets
--- a/tests/policy/test_exposure.py
+++ b/tests/policy/test_exposure.py
@@ -22,7 +22,7 @@
 
 
 def test_a_vm_without_requests_gets_at_most_one_call() -> None:
-    ledger = exposure.Ledger(TERMS, 0, 0)
+    ledger = exposure.GrantLedger(TERMS, 0, 0)
     for number in range(10):
         ledger.record_report("busy", 20 * number, 0, number * 0.2)
         ledger.record_report("idle", 0, 0, number * 0.2)
@@ -32,7 +32,7 @@
 
 def test_a_new_driver_counts_what_earlier_ones_may_have_granted() -> None:
     """Guards against a driver's crash that resets the count of requests."""
-    ledger = exposure.Ledger(TERMS, 30, 400)
+    ledger = exposure.GrantLedger(TERMS, 30, 400)
     ledger.record_report("vm", 390, 25, 0.0)
     assert ledger.count_used() == 30
     assert ledger.requests == 400
@@ -64,7 +64,7 @@
         self.dead_requests = 0
         self.reserved = 0
         self.counted = 0
-        self.ledger = exposure.Ledger(TERMS, 0, 0)
+        self.ledger = exposure.GrantLedger(TERMS, 0, 0)
 
     def count_sent(self) -> int:
         return self.dead_spent + sum(each.spent for each in self.processes)
@@ -117,7 +117,7 @@
         for process in self.processes:
             # A VM uses only the grants of the new driver.
             process.valid_until_s = -1.0
-        self.ledger = exposure.Ledger(TERMS, self.reserved, self.counted)
+        self.ledger = exposure.GrantLedger(TERMS, self.reserved, self.counted)
 
     @stateful.invariant()
     def check_bound(self) -> None:
