--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -15,7 +15,7 @@
 """Fraction of the bound that is used: requests are counted a moment after they
 are sent, and the last ones of a VM that crashes are never counted."""
 
-TRIAL_PART = 0.35
+CANARY_SHARE = 0.35
 """Fraction of that allowance for the canary phase, before all traffic moves.
 The rest is for the time in which all traffic is on the new version and it may
 still prove bad."""
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -202,7 +202,7 @@
     allowed = exposure.count_allowed(
         dataclasses.replace(terms, fixed=terms.fixed * passed), requests
     )
-    by_terms = exposure.TRIAL_PART * allowed
+    by_terms = exposure.CANARY_SHARE * allowed
     return max(1, round(min(by_terms, exposure.MOST_TRIAL_SHARE * requests)))
 
 
