--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -20,7 +20,7 @@
 The rest is for the time in which all traffic is on the new version and it may
 still prove bad."""
 
-MOST_TRIAL_SHARE = 0.5
+MAX_CANARY_TRAFFIC_SHARE = 0.5
 """Maximum share of the recent requests in the canary phase: the old version's
 answers of the same time are the baseline for comparison."""
 
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -203,7 +203,9 @@
         dataclasses.replace(terms, fixed=terms.fixed * passed), requests
     )
     by_terms = exposure.CANARY_SHARE * allowed
-    return max(1, round(min(by_terms, exposure.MOST_TRIAL_SHARE * requests)))
+    return max(
+        1, round(min(by_terms, exposure.MAX_CANARY_TRAFFIC_SHARE * requests))
+    )
 
 
 def _decide_in_canary(now: Situation) -> Step | None:
