--- a/src/azureramp/controllers/forwarding/rollout_grants.py
+++ b/src/azureramp/controllers/forwarding/rollout_grants.py
@@ -105,7 +105,7 @@
         grant_s = self._board.bounds.exposure.get_grant_s()
         additional_calls = 0
         if drive.phase is rollout_drive.TRIAL:
-            additional_calls = exposure.divide(
+            additional_calls = exposure.compute_share(
                 drive.ledger,
                 report.process,
                 self._situations.count_grantable_calls(drive, now_s),
--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -178,7 +178,9 @@
         return sum(account.rate for account in self._accounts.values())
 
 
-def divide(ledger: GrantLedger, process: str, left: int, grant_s: float) -> int:
+def compute_share(
+    ledger: GrantLedger, process: str, left: int, grant_s: float
+) -> int:
     """Returns how many further calls a process should be allowed.
 
     The calls are divided by the processes' request rates, and a process gets
--- a/tests/policy/test_exposure.py
+++ b/tests/policy/test_exposure.py
@@ -26,8 +26,8 @@
     for number in range(10):
         ledger.record_report("busy", 20 * number, 0, number * 0.2)
         ledger.record_report("idle", 0, 0, number * 0.2)
-    assert exposure.divide(ledger, "idle", 20, 1.0) <= 1
-    assert exposure.divide(ledger, "busy", 20, 1.0) == 20
+    assert exposure.compute_share(ledger, "idle", 20, 1.0) <= 1
+    assert exposure.compute_share(ledger, "busy", 20, 1.0) == 20
 
 
 def test_a_new_driver_counts_what_earlier_ones_may_have_granted() -> None:
@@ -93,7 +93,7 @@
         )
         allowed = exposure.count_allowed(TERMS, self.ledger.requests)
         left = max(0, allowed - self.ledger.count_used())
-        wanted = exposure.divide(
+        wanted = exposure.compute_share(
             self.ledger, process.name, left, TERMS.get_grant_s()
         )
         limit = self.ledger.grant(process.name, wanted, self.now_s)
