--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -165,7 +165,7 @@
             now_s: The current time, in seconds.
         """
         record = self.with_current_age(drive.record, now_s, drive.record.reason)
-        allowed = exposure.count_allowed(
+        allowed = exposure.count_allowed_requests(
             self._board.bounds.exposure, drive.ledger.requests
         )
         used = drive.ledger.count_used()
--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -56,7 +56,7 @@
         return min(GRANT_VALIDITY_S, self.stop_s / 5)
 
 
-def count_allowed(terms: ExposureLimit, requests: float) -> int:
+def count_allowed_requests(terms: ExposureLimit, requests: float) -> int:
     """Returns how many requests the new version may have received so far.
 
     Args:
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -182,7 +182,7 @@
         left_s: Time until the deadline, in seconds.
     """
     expected = EXPECTED_REQUESTS_SHARE * rate * max(0.0, left_s)
-    return exposure.count_allowed(terms, requests + expected)
+    return exposure.count_allowed_requests(terms, requests + expected)
 
 
 def count_trial_calls(
@@ -199,7 +199,7 @@
         move_s: When the canary phase ends, in seconds after the order.
     """
     passed = min(1.0, max(0.0, age_s) / max(move_s, 1e-3))
-    allowed = exposure.count_allowed(
+    allowed = exposure.count_allowed_requests(
         dataclasses.replace(terms, fixed=terms.fixed * passed), requests
     )
     by_terms = exposure.CANARY_SHARE * allowed
--- a/tests/policy/test_exposure.py
+++ b/tests/policy/test_exposure.py
@@ -12,8 +12,8 @@
 
 
 def test_the_bound_grows_with_the_requests() -> None:
-    assert exposure.count_allowed(TERMS, 0) == 46
-    assert exposure.count_allowed(TERMS, 1000) == 138
+    assert exposure.count_allowed_requests(TERMS, 0) == 46
+    assert exposure.count_allowed_requests(TERMS, 1000) == 138
 
 
 def test_a_grant_expires_within_the_time_to_stop() -> None:
@@ -91,7 +91,7 @@
         self.ledger.record_report(
             process.name, process.requests, process.spent, self.now_s
         )
-        allowed = exposure.count_allowed(TERMS, self.ledger.requests)
+        allowed = exposure.count_allowed_requests(TERMS, self.ledger.requests)
         left = max(0, allowed - self.ledger.count_used())
         wanted = exposure.compute_share(
             self.ledger, process.name, left, TERMS.get_grant_s()
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -123,7 +123,7 @@
 def test_all_phases_fit_into_the_duration(
     duration_s: float, rate: float
 ) -> None:
-    allowed = exposure.count_allowed(
+    allowed = exposure.count_allowed_requests(
         exposure.ExposureLimit(0.1, 50), rate * duration_s
     )
     complete_s = rollouts.get_complete_s(duration_s, rate, allowed)
