--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -97,7 +97,7 @@
         )
         if checked.is_error():
             return expression.Error(checked.error)
-        fingerprint = fingerprints.compute(asked.index, asked.body)
+        fingerprint = fingerprints.compute_fingerprint(asked.index, asked.body)
         blame = self._board.blame
         quarantined_ms = blame.quarantined_ms(fingerprint, now_s)
         if quarantined_ms > 0:
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -218,7 +218,7 @@
 def compute_request_hash(request: ExecuteRequest) -> int:
     """Hashes the fields that must match when an idempotency key is reused."""
     where = f"{request.service}\0{request.index}\0{request.key}"
-    fingerprint = fingerprints.compute(request.index, request.body)
+    fingerprint = fingerprints.compute_fingerprint(request.index, request.body)
     return xxhash.xxh64_intdigest(f"{where}\0{fingerprint}".encode())
 
 
--- a/src/azureramp/policy/fingerprints.py
+++ b/src/azureramp/policy/fingerprints.py
@@ -6,7 +6,7 @@
 import xxhash
 
 
-def compute(index: str, body: bytes) -> int:
+def compute_fingerprint(index: str, body: bytes) -> int:
     """Computes the fingerprint of a request.
 
     The body is first converted to a canonical form (sorted keys, no spaces),
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -179,7 +179,7 @@
         f"server-{crash_id}",
         f"searcher-{crash_id}",
         crash_id,
-        frozenset({fingerprints.compute("cover", body)}),
+        frozenset({fingerprints.compute_fingerprint("cover", body)}),
         asyncio.get_running_loop().time(),
         600.0,
     )
--- a/tests/policy/test_fingerprints.py
+++ b/tests/policy/test_fingerprints.py
@@ -8,8 +8,12 @@
 
 
 def test_the_fingerprint_does_not_depend_on_the_encoding() -> None:
-    one = fingerprints.compute("cover", b'{"a": 1, "b": [2, "\\u00e1"]}')
-    other = fingerprints.compute("cover", '{"b":[2,"á"],"a":1}'.encode())
+    one = fingerprints.compute_fingerprint(
+        "cover", b'{"a": 1, "b": [2, "\\u00e1"]}'
+    )
+    other = fingerprints.compute_fingerprint(
+        "cover", '{"b":[2,"á"],"a":1}'.encode()
+    )
 
     assert one == other
     assert 0 <= one < 2**64
@@ -22,9 +26,9 @@
 def test_different_queries_have_different_fingerprints(
     index: str, body: bytes
 ) -> None:
-    one = fingerprints.compute("cover", b'{"a":1}')
+    one = fingerprints.compute_fingerprint("cover", b'{"a":1}')
 
-    assert fingerprints.compute(index, body) != one
+    assert fingerprints.compute_fingerprint(index, body) != one
 
 
 @pytest.mark.parametrize(
@@ -32,7 +36,7 @@
     [b"", b"{", b"1e999", b"\xff", b"[" * 100_000 + b"]" * 100_000],
 )
 def test_an_invalid_body_has_a_fingerprint_too(body: bytes) -> None:
-    one = fingerprints.compute("cover", body)
+    one = fingerprints.compute_fingerprint("cover", body)
 
-    assert one == fingerprints.compute("cover", body)
-    assert one != fingerprints.compute("cover", body + b" 1")
+    assert one == fingerprints.compute_fingerprint("cover", body)
+    assert one != fingerprints.compute_fingerprint("cover", body + b" 1")
