--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -143,6 +143,6 @@
         """Returns the hedge delay of an attempt's shard, in milliseconds."""
         header = self._attempts.header
         left_ms = (header.answer_s - attempt.sent_s) * 1000
-        return self._attempts.dispatcher.measured.delays.get_ms(
+        return self._attempts.dispatcher.measured.delays.get_delay_ms(
             self._attempts.get_place(attempt), left_ms
         )
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -152,7 +152,7 @@
         for sketch in self._find(place):
             sketch.add(took_ms)
 
-    def get_ms(self, place: Place, left_ms: float) -> float:
+    def get_delay_ms(self, place: Place, left_ms: float) -> float:
         """Returns the hedge delay of a sub-request, in milliseconds.
 
         Args:
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -427,4 +427,4 @@
     assert cell.board.metrics.counts["part.hedged"] == 0
     place = hedging.Place("cover", "0", resources.Priority.URGENT)
     delays = cell.coordinator._dispatcher.measured.delays
-    assert 40 <= delays.get_ms(place, 1000) < 60
+    assert 40 <= delays.get_delay_ms(place, 1000) < 60
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -62,20 +62,20 @@
         delays.add(URGENT, 10.0)
         delays.add(DEFERRABLE, 900.0)
 
-    assert delays.get_ms(URGENT, 500.0) < 12.0
-    assert delays.get_ms(DEFERRABLE, 500.0) > 800.0
+    assert delays.get_delay_ms(URGENT, 500.0) < 12.0
+    assert delays.get_delay_ms(DEFERRABLE, 500.0) > 800.0
 
 
 def test_a_shard_without_samples_uses_the_delay_of_its_index() -> None:
     delays = hedging.Delays()
     new = hedging.Place("cover", "new", resources.Priority.URGENT)
-    unknown_ms = delays.get_ms(new, 400.0)
+    unknown_ms = delays.get_delay_ms(new, 400.0)
 
     for _ in range(50):
         delays.add(URGENT, 10.0)
 
     assert unknown_ms == 100.0
-    assert delays.get_ms(new, 400.0) < 12.0
+    assert delays.get_delay_ms(new, 400.0) < 12.0
 
 
 def test_the_table_of_delays_is_bounded() -> None:
