--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -267,7 +267,7 @@
         if self._previous is not None or header.isolated:
             return False
         delays = self._dispatcher.measured.delays
-        needed_ms = delays.get_index_ms(header.index, header.priority)
+        needed_ms = delays.get_index_quantile_ms(header.index, header.priority)
         left_s = header.answer_s - asyncio.get_running_loop().time()
         if left_s * 1000 <= needed_ms:
             return False
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -165,7 +165,9 @@
                 return max(MIN_DELAY_MS, quantile_ms)
         return max(MIN_DELAY_MS, left_ms * DEFAULT_DELAY_SHARE)
 
-    def get_index_ms(self, index: str, priority: resources.Priority) -> float:
+    def get_index_quantile_ms(
+        self, index: str, priority: resources.Priority
+    ) -> float:
         """Returns an index's `HEDGE_QUANTILE` in milliseconds; 0 if unknown."""
         sketch = self._by_index.get((index, priority))
         return (sketch.get() if sketch else None) or 0.0
