--- a/src/azureramp/controllers/forwarding/pacing.py
+++ b/src/azureramp/controllers/forwarding/pacing.py
@@ -51,7 +51,7 @@
 
     def get_usual_s(self) -> float:
         """Returns the median call duration in seconds; 0 if not measured."""
-        median_ms = self._sketch.get(MEDIAN_INDEX)
+        median_ms = self._sketch.get_quantile_ms(MEDIAN_INDEX)
         return self._first_s if median_ms is None else median_ms / 1000
 
     def get_hedge_s(self, target_s: float, left_s: float = math.inf) -> float:
@@ -61,7 +61,7 @@
             target_s: The route's target, in seconds.
             left_s: The time within which an answer is useful, in seconds.
         """
-        late_ms = self._sketch.get()
+        late_ms = self._sketch.get_quantile_ms()
         late_s = None if late_ms is None else late_ms / 1000
         return second_calls.choose_time_s(
             late_s, self.get_usual_s(), target_s, left_s
--- a/src/azureramp/controllers/late_notices.py
+++ b/src/azureramp/controllers/late_notices.py
@@ -61,7 +61,7 @@
         """
         loop = asyncio.get_running_loop()
         sketch = self._sketches.get(searcher)
-        long_ms = sketch.get() if sketch else None
+        long_ms = sketch.get_quantile_ms() if sketch else None
         timer = None
         if long_ms is not None:
             request_id, part = key
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -83,7 +83,7 @@
             self._counts = [count // 2 for count in self._counts]
             self._total = sum(self._counts)
 
-    def get(self, index: int = 0) -> float | None:
+    def get_quantile_ms(self, index: int = 0) -> float | None:
         """Returns a quantile in milliseconds; None with too few samples.
 
         Args:
@@ -160,7 +160,7 @@
             left_ms: Time left until the answer is due, in milliseconds.
         """
         for sketch in self._find(place):
-            quantile_ms = sketch.get()
+            quantile_ms = sketch.get_quantile_ms()
             if quantile_ms is not None:
                 return max(MIN_DELAY_MS, quantile_ms)
         return max(MIN_DELAY_MS, left_ms * DEFAULT_DELAY_SHARE)
@@ -170,7 +170,7 @@
     ) -> float:
         """Returns an index's `HEDGE_QUANTILE` in milliseconds; 0 if unknown."""
         sketch = self._by_index.get((index, priority))
-        return (sketch.get() if sketch else None) or 0.0
+        return (sketch.get_quantile_ms() if sketch else None) or 0.0
 
     def _find(self, place: Place) -> tuple[Sketch, Sketch]:
         """Returns the sketches of a place and its index, created if missing."""
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -28,7 +28,7 @@
         sketch.add(time_ms)
 
     true_ms = sorted(times)[int(quantile * len(times)) - 1]
-    found_ms = sketch.get()
+    found_ms = sketch.get_quantile_ms()
     assert found_ms is not None
     assert true_ms <= found_ms * 1.001
     assert found_ms <= true_ms * 2 ** (1 / 8) * 1.001
@@ -42,7 +42,7 @@
     for _ in range(5000):
         sketch.add(10.0)
 
-    assert sketch.get() == pytest.approx(10.0, rel=0.1)
+    assert sketch.get_quantile_ms() == pytest.approx(10.0, rel=0.1)
 
 
 @pytest.mark.parametrize("time_ms", [0.0, -1.0, 1e-9, 1e12])
@@ -52,7 +52,7 @@
     for _ in range(50):
         sketch.add(time_ms)
 
-    assert sketch.get() is not None
+    assert sketch.get_quantile_ms() is not None
 
 
 def test_deferrable_sub_requests_do_not_affect_urgent_hedge_delays() -> None:
