--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -193,10 +193,12 @@
         for attempt in state.merged:
             self._record_ended(attempt, "ok", True)
 
-    def get_place(self, attempt: assembly.Attempt) -> hedging.Place:
+    def get_place(self, attempt: assembly.Attempt) -> hedging.DelayKey:
         """Returns the key under which an attempt's duration is recorded."""
         header = self.header
-        return hedging.Place(header.index, attempt.shard.name, header.priority)
+        return hedging.DelayKey(
+            header.index, attempt.shard.name, header.priority
+        )
 
     def _record_failed(self, failed: assembly.Failed) -> None:
         """Records a failed attempt."""
--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -50,7 +50,7 @@
         self.retries.earn(needed, policy.retry_budget)
 
     def finish(
-        self, place: hedging.Place, attempt: assembly.Attempt, now_s: float
+        self, place: hedging.DelayKey, attempt: assembly.Attempt, now_s: float
     ) -> None:
         """Records an attempt that returned a result."""
         took_ms = (now_s - attempt.sent_s) * 1000
@@ -63,7 +63,7 @@
         self.scoreboard.fail(attempt.searcher, now_s)
 
     def abandon(
-        self, place: hedging.Place, attempt: assembly.Attempt, now_s: float
+        self, place: hedging.DelayKey, attempt: assembly.Attempt, now_s: float
     ) -> None:
         """Records an attempt that was cancelled before its result."""
         took_ms = (now_s - attempt.sent_s) * 1000
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -112,7 +112,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Place:
+class DelayKey:
     """A group of sub-requests whose durations are comparable.
 
     The owners' queues are ordered by priority, so the durations of deferrable
@@ -139,10 +139,10 @@
 
     def __init__(self) -> None:
         """Creates an object without measurements."""
-        self._by_place: dict[Place, Sketch] = {}
+        self._by_place: dict[DelayKey, Sketch] = {}
         self._by_index: dict[tuple[str, resources.Priority], Sketch] = {}
 
-    def add(self, place: Place, took_ms: float) -> None:
+    def add(self, place: DelayKey, took_ms: float) -> None:
         """Adds the duration of a sub-request, queueing included.
 
         Cancelled losers are added too, with the time until their cancellation:
@@ -152,7 +152,7 @@
         for sketch in self._find(place):
             sketch.add(took_ms)
 
-    def get_delay_ms(self, place: Place, left_ms: float) -> float:
+    def get_delay_ms(self, place: DelayKey, left_ms: float) -> float:
         """Returns the hedge delay of a sub-request, in milliseconds.
 
         Args:
@@ -172,7 +172,7 @@
         sketch = self._by_index.get((index, priority))
         return (sketch.get_quantile_ms() if sketch else None) or 0.0
 
-    def _find(self, place: Place) -> tuple[Sketch, Sketch]:
+    def _find(self, place: DelayKey) -> tuple[Sketch, Sketch]:
         """Returns the sketches of a place and its index, created if missing."""
         by_place = self._by_place.get(place)
         if by_place is None:
--- a/tests/controllers/test_gathering.py
+++ b/tests/controllers/test_gathering.py
@@ -126,7 +126,7 @@
     async def main() -> tuple[responses.QueryAnswer, list[int]]:
         cell = make_repartitioned(serving)
         cell.delay_s = 0.001
-        place = hedging.Place("cover", "1", resources.Priority.URGENT)
+        place = hedging.DelayKey("cover", "1", resources.Priority.URGENT)
         for _ in range(30):
             cell.coordinator._dispatcher.measured.delays.add(place, 9)
         query = cell.make_query(deadline_ms=deadline_ms)
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -425,6 +425,6 @@
     cell = query_cell.run(main())
 
     assert cell.board.metrics.counts["part.hedged"] == 0
-    place = hedging.Place("cover", "0", resources.Priority.URGENT)
+    place = hedging.DelayKey("cover", "0", resources.Priority.URGENT)
     delays = cell.coordinator._dispatcher.measured.delays
     assert 40 <= delays.get_delay_ms(place, 1000) < 60
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -12,8 +12,8 @@
 from azureramp.policy import budgets, hedging
 
 SETTINGS = settings(derandomize=True, database=None, deadline=None)
-URGENT = hedging.Place("cover", "0", resources.Priority.URGENT)
-DEFERRABLE = hedging.Place("cover", "0", resources.Priority.DEFERRABLE)
+URGENT = hedging.DelayKey("cover", "0", resources.Priority.URGENT)
+DEFERRABLE = hedging.DelayKey("cover", "0", resources.Priority.DEFERRABLE)
 
 
 @pytest.mark.parametrize("quantile", [0.5, 0.95, 0.98, 0.99])
@@ -68,7 +68,7 @@
 
 def test_a_shard_without_samples_uses_the_delay_of_its_index() -> None:
     delays = hedging.Delays()
-    new = hedging.Place("cover", "new", resources.Priority.URGENT)
+    new = hedging.DelayKey("cover", "new", resources.Priority.URGENT)
     unknown_ms = delays.get_delay_ms(new, 400.0)
 
     for _ in range(50):
@@ -83,7 +83,7 @@
 
     for number in range(delays.MAX_PLACES + 100):
         shard = f"{number}"
-        place = hedging.Place("cover", shard, resources.Priority.URGENT)
+        place = hedging.DelayKey("cover", shard, resources.Priority.URGENT)
         delays.add(place, 10.0)
 
     assert len(delays._by_place) == delays.MAX_PLACES
