--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -36,7 +36,7 @@
     def __init__(self, rng: random.Random) -> None:
         """Creates empty measurements."""
         self.scoreboard = replicas.Scoreboard()
-        self.delays = hedging.Delays()
+        self.delays = hedging.HedgeDelays()
         self.hedges = budgets.Budget()
         self.retries = budgets.Budget(budgets.MAX_TOKENS)
         self.level = admission.Level()
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -129,7 +129,7 @@
     priority: resources.Priority
 
 
-class Delays:
+class HedgeDelays:
     """The hedge delays by shard and priority, from this VM's measurements."""
 
     __slots__ = ("_by_index", "_by_place")
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -56,7 +56,7 @@
 
 
 def test_deferrable_sub_requests_do_not_affect_urgent_hedge_delays() -> None:
-    delays = hedging.Delays()
+    delays = hedging.HedgeDelays()
 
     for _ in range(50):
         delays.add(URGENT, 10.0)
@@ -67,7 +67,7 @@
 
 
 def test_a_shard_without_samples_uses_the_delay_of_its_index() -> None:
-    delays = hedging.Delays()
+    delays = hedging.HedgeDelays()
     new = hedging.DelayKey("cover", "new", resources.Priority.URGENT)
     unknown_ms = delays.get_delay_ms(new, 400.0)
 
@@ -79,7 +79,7 @@
 
 
 def test_the_table_of_delays_is_bounded() -> None:
-    delays = hedging.Delays()
+    delays = hedging.HedgeDelays()
 
     for number in range(delays.MAX_PLACES + 100):
         shard = f"{number}"
