--- a/src/azureramp/controllers/forwarding/pacing.py
+++ b/src/azureramp/controllers/forwarding/pacing.py
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         """Creates an instance without measurements."""
-        self._sketch = hedging.Sketch(HEDGE_QUANTILE, 0.5)
+        self._sketch = hedging.QuantileSketch(HEDGE_QUANTILE, 0.5)
         self._first_s = 0.0
         self.caller_delay = caller_delay.CallerDelay()
 
--- a/src/azureramp/controllers/late_notices.py
+++ b/src/azureramp/controllers/late_notices.py
@@ -44,7 +44,7 @@
             outbox: Sends messages to the coordinators.
         """
         self._outbox = outbox
-        self._sketches: dict[str, hedging.Sketch] = {}
+        self._sketches: dict[str, hedging.QuantileSketch] = {}
 
     def begin(
         self, searcher: str, coordinator: str, key: tuple[str, int]
@@ -81,7 +81,7 @@
             running.timer.cancel()
         sketch = self._sketches.get(running.searcher)
         if sketch is None:
-            sketch = hedging.Sketch(hedging.LONG_QUANTILE)
+            sketch = hedging.QuantileSketch(hedging.LONG_QUANTILE)
             self._sketches[running.searcher] = sketch
         now_s = asyncio.get_running_loop().time()
         sketch.add((now_s - running.began_s) * 1000)
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -44,7 +44,7 @@
 _RECOMPUTE_EVERY = 16
 
 
-class Sketch:
+class QuantileSketch:
     """A histogram of durations with exponential buckets, each 9 % wider.
 
     All counts are halved whenever the total reaches its maximum, so that the
@@ -139,8 +139,10 @@
 
     def __init__(self) -> None:
         """Creates an object without measurements."""
-        self._by_place: dict[DelayKey, Sketch] = {}
-        self._by_index: dict[tuple[str, resources.Priority], Sketch] = {}
+        self._by_place: dict[DelayKey, QuantileSketch] = {}
+        self._by_index: dict[
+            tuple[str, resources.Priority], QuantileSketch
+        ] = {}
 
     def add(self, place: DelayKey, took_ms: float) -> None:
         """Adds the duration of a sub-request, queueing included.
@@ -172,17 +174,17 @@
         sketch = self._by_index.get((index, priority))
         return (sketch.get_quantile_ms() if sketch else None) or 0.0
 
-    def _find(self, place: DelayKey) -> tuple[Sketch, Sketch]:
+    def _find(self, place: DelayKey) -> tuple[QuantileSketch, QuantileSketch]:
         """Returns the sketches of a place and its index, created if missing."""
         by_place = self._by_place.get(place)
         if by_place is None:
             if len(self._by_place) >= self.MAX_PLACES:
                 self._by_place.pop(next(iter(self._by_place)))
-            by_place = self._by_place[place] = Sketch(HEDGE_QUANTILE)
+            by_place = self._by_place[place] = QuantileSketch(HEDGE_QUANTILE)
         key = (place.index, place.priority)
         by_index = self._by_index.get(key)
         if by_index is None:
-            by_index = self._by_index[key] = Sketch(HEDGE_QUANTILE)
+            by_index = self._by_index[key] = QuantileSketch(HEDGE_QUANTILE)
         return by_place, by_index
 
 
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -22,7 +22,7 @@
 ) -> None:
     rng = random.Random(3)
     times = [10 * rng.lognormvariate(0, 0.5) for _ in range(500)]
-    sketch = hedging.Sketch(quantile)
+    sketch = hedging.QuantileSketch(quantile)
 
     for time_ms in times:
         sketch.add(time_ms)
@@ -35,7 +35,7 @@
 
 
 def test_a_sketch_discards_old_samples() -> None:
-    sketch = hedging.Sketch(0.95)
+    sketch = hedging.QuantileSketch(0.95)
     for _ in range(500):
         sketch.add(1000.0)
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("time_ms", [0.0, -1.0, 1e-9, 1e12])
 def test_a_sketch_accepts_any_duration(time_ms: float) -> None:
-    sketch = hedging.Sketch(0.95)
+    sketch = hedging.QuantileSketch(0.95)
 
     for _ in range(50):
         sketch.add(time_ms)
