--- a/src/azureramp/controllers/late_notices.py
+++ b/src/azureramp/controllers/late_notices.py
@@ -81,7 +81,7 @@
             running.timer.cancel()
         sketch = self._sketches.get(running.searcher)
         if sketch is None:
-            sketch = hedging.QuantileSketch(hedging.LONG_QUANTILE)
+            sketch = hedging.QuantileSketch(hedging.LONG_CALL_QUANTILE)
             self._sketches[running.searcher] = sketch
         now_s = asyncio.get_running_loop().time()
         sketch.add((now_s - running.began_s) * 1000)
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -18,7 +18,7 @@
 as a slow owner or a slow network link.
 """
 
-LONG_QUANTILE = 0.98
+LONG_CALL_QUANTILE = 0.98
 """An owner reports a call that runs longer than this quantile of its searcher's
 service times, queueing excluded.
 """
