--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -50,7 +50,7 @@
             delay_s = self._get_delay_ms(attempt) / 1000
             for due_s in (
                 attempt.sent_s + delay_s,
-                attempt.sent_s + delay_s * hedging.LOST_FACTOR,
+                attempt.sent_s + delay_s * hedging.LOST_DELAY_FACTOR,
             ):
                 if now_s < due_s < next_s:
                     next_s = due_s
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -23,7 +23,7 @@
 service times, queueing excluded.
 """
 
-LOST_FACTOR = 3.0
+LOST_DELAY_FACTOR = 3.0
 """A sub-request later than this many hedge delays is treated as lost and may
 also be retried. An unresponsive VM or link loses an eighth of a query's parts
 at once, which is more than the hedge budget covers.
@@ -203,7 +203,7 @@
         elapsed_ms: Time since the sub-request was sent, in milliseconds.
         delay_ms: Its hedge delay, in milliseconds.
     """
-    if elapsed_ms >= delay_ms * LOST_FACTOR:
+    if elapsed_ms >= delay_ms * LOST_DELAY_FACTOR:
         return Step.REPLACE
     if elapsed_ms >= delay_ms:
         return Step.HEDGE
