--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -97,14 +97,14 @@
         now_s = asyncio.get_running_loop().time()
         elapsed_ms = (now_s - newest.sent_s) * 1000
         step = hedging.decide(elapsed_ms, self._get_delay_ms(newest))
-        if step is hedging.Step.WAIT or not self._may_send_extra(now_s):
+        if step is hedging.Action.WAIT or not self._may_send_extra(now_s):
             return
         if self._attempts.header.priority is resources.Priority.DEFERRABLE:
             return
         if len(progress.running) == 1 and self._hedge(progress):
             return
         retries = self._attempts.dispatcher.measured.retries
-        if step is not hedging.Step.REPLACE or not retries.can_spend():
+        if step is not hedging.Action.REPLACE or not retries.can_spend():
             return
         if self._attempts.start((progress,), "retry"):
             retries.spend()
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -188,7 +188,7 @@
         return by_place, by_index
 
 
-class Step(enum.Enum):
+class Action(enum.Enum):
     """The action for a sub-request without a result."""
 
     WAIT = "wait"
@@ -196,7 +196,7 @@
     REPLACE = "replace"
 
 
-def decide(elapsed_ms: float, delay_ms: float) -> Step:
+def decide(elapsed_ms: float, delay_ms: float) -> Action:
     """Decides whether to wait for, hedge or replace a sub-request.
 
     Args:
@@ -204,7 +204,7 @@
         delay_ms: Its hedge delay, in milliseconds.
     """
     if elapsed_ms >= delay_ms * LOST_DELAY_FACTOR:
-        return Step.REPLACE
+        return Action.REPLACE
     if elapsed_ms >= delay_ms:
-        return Step.HEDGE
-    return Step.WAIT
+        return Action.HEDGE
+    return Action.WAIT
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -92,15 +92,15 @@
 @pytest.mark.parametrize(
     ("elapsed_ms", "step"),
     [
-        (0.0, hedging.Step.WAIT),
-        (9.9, hedging.Step.WAIT),
-        (10.0, hedging.Step.HEDGE),
-        (29.9, hedging.Step.HEDGE),
-        (30.0, hedging.Step.REPLACE),
+        (0.0, hedging.Action.WAIT),
+        (9.9, hedging.Action.WAIT),
+        (10.0, hedging.Action.HEDGE),
+        (29.9, hedging.Action.HEDGE),
+        (30.0, hedging.Action.REPLACE),
     ],
 )
 def test_a_late_part_is_hedged_and_a_very_late_one_replaced(
-    elapsed_ms: float, step: hedging.Step
+    elapsed_ms: float, step: hedging.Action
 ) -> None:
     assert hedging.decide(elapsed_ms, 10.0) is step
 
