--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -93,7 +93,7 @@
                     expected = api.CREATE
                     continue
                 match await self._evaluate_conflict(current, claim):
-                    case idempotency.Mine():
+                    case idempotency.Owned():
                         return current.revision
                     case idempotency.Replay(record=record):
                         return record
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Mine:
+class Owned:
     """The record belongs to this claim."""
 
 
@@ -125,7 +125,7 @@
     kind: errors.Kind
 
 
-Verdict = Mine | Free | Replay | Refuse
+Verdict = Owned | Free | Replay | Refuse
 
 
 def make_store_key(caller: str, key: str) -> str:
@@ -169,7 +169,7 @@
     if record.state is State.RELEASED:
         return Free()
     if record.nonce == nonce and record.state is State.CLAIMED:
-        return Mine()
+        return Owned()
     if record.request_hash != request_hash:
         return Refuse(errors.Kind.KEY_REUSED)
     match record.state:
