--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -99,7 +99,7 @@
                         return record
                     case idempotency.Refuse(kind=kind):
                         return errors.Failure(kind)
-                    case idempotency.Free():
+                    case idempotency.Claimable():
                         expected = current.revision
             return errors.Failure(errors.Kind.STORE_UNAVAILABLE)
         finally:
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -103,7 +103,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Free:
+class Claimable:
     """The record may be claimed by replacing its current revision."""
 
 
@@ -125,7 +125,7 @@
     kind: errors.Kind
 
 
-Verdict = Owned | Free | Replay | Refuse
+Verdict = Owned | Claimable | Replay | Refuse
 
 
 def make_store_key(caller: str, key: str) -> str:
@@ -167,7 +167,7 @@
         # so it must not run again.
         return Refuse(errors.Kind.OUTCOME_UNKNOWN)
     if record.state is State.RELEASED:
-        return Free()
+        return Claimable()
     if record.nonce == nonce and record.state is State.CLAIMED:
         return Owned()
     if record.request_hash != request_hash:
--- a/tests/controllers/test_idempotency_machine.py
+++ b/tests/controllers/test_idempotency_machine.py
@@ -41,7 +41,7 @@
     """Treats an old claim as free, as if its request had never run."""
     verdict = JUDGE(record, nonce, request_hash, age_s)
     if verdict == policy.Refuse(errors.Kind.OUTCOME_UNKNOWN):
-        return policy.Free()
+        return policy.Claimable()
     return verdict
 
 
