--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -162,7 +162,9 @@
 
         Call it only if the request was not dispatched.
         """
-        record = idempotency.change(claimed.record, idempotency.State.RELEASED)
+        record = idempotency.with_state(
+            claimed.record, idempotency.State.RELEASED
+        )
         self._memory.remove_claim(claimed)
         self._return_unused_quota(claimed, None)
         self._releases.add(
--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -105,7 +105,9 @@
         finally:
             # Also runs if the caller disconnects during a write.
             if may_take_effect:
-                released = idempotency.change(claim, idempotency.State.RELEASED)
+                released = idempotency.with_state(
+                    claim, idempotency.State.RELEASED
+                )
                 self._releases.add(
                     record_releases.Release(store_key, released, expected)
                 )
@@ -152,7 +154,7 @@
         self, current: api.Entry, record: idempotency.Record
     ) -> bool:
         """Records a claim's outcome as unknown; returns True if stored."""
-        unknown = idempotency.change(record, idempotency.State.UNKNOWN)
+        unknown = idempotency.with_state(record, idempotency.State.UNKNOWN)
         written = await self._writer.write(
             current.key,
             idempotency.encode(unknown),
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -181,7 +181,7 @@
             return Refuse(errors.Kind.OUTCOME_UNKNOWN)
 
 
-def change(record: Record, state: State) -> Record:
+def with_state(record: Record, state: State) -> Record:
     """Returns a copy of the record in another state."""
     return msgspec.structs.replace(record, state=state)
 
