--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -136,7 +136,7 @@
         outcomes = await self._writer.read_group(record.group, WRITE_TIMEOUT_S)
         if outcomes is None:
             return verdict
-        record = idempotency.complete(record, outcomes.get(record.nonce))
+        record = idempotency.with_outcome(record, outcomes.get(record.nonce))
         now_s = asyncio.get_running_loop().time()
         age_s = self._observed.get_age_s(record.nonce, now_s)
         verdict = idempotency.judge(
--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -92,7 +92,7 @@
         self.remove_claim(claimed)
         began_s = claimed.may_dispatch_until_s - idempotency.DISPATCH_S
         if now_s + CACHE_TTL_S < began_s + record_bounds.RETENTION_S:
-            record = idempotency.complete(claimed.record, outcome)
+            record = idempotency.with_outcome(claimed.record, outcome)
             self.cache_outcome(claimed.store_key, record, now_s)
 
     def cache_outcome(
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -205,7 +205,7 @@
     return record.state is State.CLAIMED
 
 
-def complete(record: Record, outcome: Outcome | None) -> Record:
+def with_outcome(record: Record, outcome: Outcome | None) -> Record:
     """Returns the record with its claim's outcome, if there is one."""
     if outcome is None or record.state not in (State.CLAIMED, State.UNKNOWN):
         return record
