--- a/src/azureramp/controllers/record_outcomes.py
+++ b/src/azureramp/controllers/record_outcomes.py
@@ -99,7 +99,7 @@
 
     def assign_group(self) -> str:
         """Returns the name of the group for the outcome of a new claim."""
-        if self._current.claims >= idempotency.MAX_GROUP:
+        if self._current.claims >= idempotency.MAX_GROUP_CLAIMS:
             number = int(self._current.name.rpartition(".")[2])
             self._current = self._open_group(number + 1)
         self._current.claims += 1
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -27,7 +27,7 @@
 
 GROUP_PREFIX = "/azureramp/idempotency/outcomes/"
 
-MAX_GROUP = 64
+MAX_GROUP_CLAIMS = 64
 """Maximum number of claims whose outcomes share a group; also bounds the size
 of the group."""
 
--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -55,7 +55,7 @@
     """
 
     name: str
-    group: int = idempotency_policy.MAX_GROUP
+    group: int = idempotency_policy.MAX_GROUP_CLAIMS
     flush_s: float = record_outcomes.FLUSH_S
     buckets: int = 0
     linger_s: float = 0.0
@@ -122,7 +122,7 @@
     state = store_state.State()
     # The rate limit of claims is lifted to measure the ways without it.
     record_bounds.RECORDS_PER_S = math.inf
-    idempotency_policy.MAX_GROUP = way.group
+    idempotency_policy.MAX_GROUP_CLAIMS = way.group
     record_outcomes.FLUSH_S = way.flush_s
     vms = [VmRecords(number, state, way, seed) for number in range(VMS)]
     loop = asyncio.get_running_loop()
