--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -123,7 +123,7 @@
         the request after all. While it can't be recorded, the answer is
         `IN_PROGRESS`.
         """
-        record = idempotency.decode(current.value or b"")
+        record = idempotency.decode_record(current.value or b"")
         if record is None:
             return idempotency.judge(None, claim.nonce, claim.request_hash, 0.0)
         verdict = idempotency.judge(
--- a/src/azureramp/controllers/record_releases.py
+++ b/src/azureramp/controllers/record_releases.py
@@ -170,7 +170,7 @@
     ) -> None:
         """Prepares the next write after a conflict, or ends the release."""
         if current is not None:
-            record = idempotency.decode(current.value or b"")
+            record = idempotency.decode_record(current.value or b"")
             if idempotency.may_release(record, release.record):
                 release.expected = current.revision
                 return
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -143,7 +143,7 @@
     return msgspec.json.encode(record)
 
 
-def decode(data: bytes) -> Record | None:
+def decode_record(data: bytes) -> Record | None:
     """Decodes a record; returns None if it is invalid."""
     try:
         return msgspec.json.decode(data, type=Record)
