--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -223,7 +223,7 @@
         self, claimed: Claimed, outcome: idempotency.Outcome | None
     ) -> None:
         """Returns the storage that was reserved for a claim but not used."""
-        record = idempotency.encode(claimed.record)
+        record = idempotency.encode_record(claimed.record)
         stored = len(claimed.store_key) + len(record)
         if outcome is not None:
             nonce = claimed.record.nonce
--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -69,7 +69,7 @@
         expected = api.CREATE
         may_take_effect = False
         until_s = asyncio.get_running_loop().time() + CLAIM_TIMEOUT_S
-        data = idempotency.encode(claim)
+        data = idempotency.encode_record(claim)
         try:
             for _ in range(MAX_WRITES):
                 remaining_s = until_s - asyncio.get_running_loop().time()
@@ -157,7 +157,7 @@
         unknown = idempotency.with_state(record, idempotency.State.UNKNOWN)
         written = await self._writer.write(
             current.key,
-            idempotency.encode(unknown),
+            idempotency.encode_record(unknown),
             current.revision,
             WRITE_TIMEOUT_S,
         )
--- a/src/azureramp/controllers/record_releases.py
+++ b/src/azureramp/controllers/record_releases.py
@@ -143,7 +143,7 @@
         try:
             result = await self._writer.write(
                 release.store_key,
-                idempotency.encode(release.record),
+                idempotency.encode_record(release.record),
                 release.expected,
             )
             if result.is_error():
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -138,7 +138,7 @@
     return PREFIX + digest
 
 
-def encode(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     """Encodes a record for the store."""
     return msgspec.json.encode(record)
 
