--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -112,7 +112,7 @@
         """Sets the durations for the current size of the cell."""
         self._pace = times
         self.lease.set_length(times.lease_s)
-        self._promises.set_longest(times.longest_lease_s)
+        self._promises.set_max_lease(times.longest_lease_s)
 
     def get_lists_to_tell(self) -> tuple[tuple[str, ...], ...]:
         """Returns the recently read VM lists if there are several."""
--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -74,7 +74,7 @@
         self._started_s = started_s
         self._by_claim: dict[int, Promise] = {}
 
-    def set_longest(self, lease_s: float) -> None:
+    def set_max_lease(self, lease_s: float) -> None:
         """Sets the longest lease that is granted, in seconds.
 
         This is also the time after its start in which this process grants none.
