--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -79,7 +79,7 @@
         """
         refused = None
         if not leaving:
-            refused = self._promises.grant(
+            refused = self._promises.grant_claims(
                 holder, message.claims, message.lease_ms / 1000, now_s
             )
         return messages.HeartbeatAck(
--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -81,7 +81,7 @@
         """
         self._max_lease_s = lease_s
 
-    def grant(
+    def grant_claims(
         self,
         holder: Holder,
         claims: Iterable[int],
--- a/tests/policy/lease_model.py
+++ b/tests/policy/lease_model.py
@@ -148,7 +148,7 @@
             return None
         for names in heartbeat.lists:
             node.window.inherit(names, self.clock(node))
-        refused = node.promises.grant(
+        refused = node.promises.grant_claims(
             heartbeat.holder, heartbeat.claims, LEASE_S, self.clock(node)
         )
         if refused is None:
