--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -151,7 +151,7 @@
             name: board.may_start_s.get(name, math.inf) for name in mine
         }
         board.owners = owners
-        claims = frozenset(leases.compute_claim(name) for name in mine)
+        claims = frozenset(leases.compute_claim_hash(name) for name in mine)
         changed = claims != self.lease.get_claims()
         self.lease.set_claims(claims)
         self._call_on_owners()
@@ -176,7 +176,7 @@
         started = False
         for name, start_s in board.may_start_s.items():
             until_s = self.lease.compute_until_s(
-                leases.compute_claim(name), self.window
+                leases.compute_claim_hash(name), self.window
             )
             if start_s == math.inf:
                 granted = until_s > now_s
--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -22,7 +22,7 @@
 at slightly different rates."""
 
 
-def compute_claim(searcher: str) -> int:
+def compute_claim_hash(searcher: str) -> int:
     """Computes the hash that identifies a searcher in claims."""
     return xxhash.xxh3_64_intdigest(searcher.encode())
 
