--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -55,7 +55,7 @@
         self._inputs: Inputs | None = None
         self._promises = leases.Promises(started_s, times.longest_lease_s)
         self._alone_from_s: dict[str, float] = {}
-        self.lease = leases.Lease(times.lease_s)
+        self.lease = leases.ReceivedGrants(times.lease_s)
         self.window = lists.ListWindow(
             2 * (lag_s + READ_LIST_S) + times.longest_lease_s
         )
--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -135,7 +135,7 @@
     claims: frozenset[int]
 
 
-class Lease:
+class ReceivedGrants:
     """The leases that the other VMs have granted to this VM."""
 
     __slots__ = ("_agreed", "_claims", "_granted", "_lease_s", "_sent")
--- a/tests/policy/lease_model.py
+++ b/tests/policy/lease_model.py
@@ -50,7 +50,7 @@
         self.sequence = 0
         self.read_s = 0.0
         self.promises: leases.Promises
-        self.lease = leases.Lease(LEASE_S)
+        self.lease = leases.ReceivedGrants(LEASE_S)
         self.window = lists.ListWindow(WINDOW_S)
         self.until_s: dict[int, float] = {}
 
