--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Promise:
+class Grant:
     """A promise of one searcher to one holder.
 
     Attributes:
@@ -72,7 +72,7 @@
         """
         self._max_lease_s = lease_s
         self._started_s = started_s
-        self._by_claim: dict[int, Promise] = {}
+        self._by_claim: dict[int, Grant] = {}
 
     def set_max_lease(self, lease_s: float) -> None:
         """Sets the longest lease that is granted, in seconds.
@@ -106,7 +106,7 @@
         for claim in claims:
             promise = self._by_claim.get(claim)
             if promise is None or promise.until_s <= now_s:
-                self._by_claim[claim] = Promise(holder, now_s + lease_s)
+                self._by_claim[claim] = Grant(holder, now_s + lease_s)
             elif promise.holder == holder:
                 promise.until_s = max(promise.until_s, now_s + lease_s)
             else:
