--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -53,7 +53,7 @@
         lag_s = board.settings.list_lag_ms / 1000
         self._board = board
         self._inputs: Inputs | None = None
-        self._promises = leases.Promises(started_s, times.longest_lease_s)
+        self._promises = leases.IssuedGrants(started_s, times.longest_lease_s)
         self._alone_from_s: dict[str, float] = {}
         self.lease = leases.ReceivedGrants(times.lease_s)
         self.window = lists.ListWindow(
--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -54,7 +54,7 @@
     until_s: float
 
 
-class Promises:
+class IssuedGrants:
     """The promises that this VM has made to other VMs and to itself.
 
     They are kept in memory only. A restarted VM has lost its promises, so it
--- a/tests/policy/lease_model.py
+++ b/tests/policy/lease_model.py
@@ -49,7 +49,7 @@
         self.paused = False
         self.sequence = 0
         self.read_s = 0.0
-        self.promises: leases.Promises
+        self.promises: leases.IssuedGrants
         self.lease = leases.ReceivedGrants(LEASE_S)
         self.window = lists.ListWindow(WINDOW_S)
         self.until_s: dict[int, float] = {}
@@ -90,8 +90,8 @@
         self.nodes[name] = node
         self.read(name, 0.0)
 
-    def make_promises(self, started_s: float) -> leases.Promises:
-        return leases.Promises(started_s, LEASE_S)
+    def make_promises(self, started_s: float) -> leases.IssuedGrants:
+        return leases.IssuedGrants(started_s, LEASE_S)
 
     def read(self, name: str, lag_s: float) -> None:
         """Reads the VM list as it was `lag_s` seconds ago."""
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -150,7 +150,7 @@
 class RestartedVoter(lease_model.Cell):
     """Lets a restarted VM grant claims at once, without its lost promises."""
 
-    def make_promises(self, started_s: float) -> leases.Promises:
+    def make_promises(self, started_s: float) -> leases.IssuedGrants:
         return super().make_promises(started_s - lease_model.LEASE_S)
 
 
