--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -103,7 +103,7 @@
         self, voter: str, message: messages.HeartbeatAck, now_s: float
     ) -> None:
         """Adds an acknowledgement to the lease."""
-        if message.granted and self.window.knows(message.lists):
+        if message.granted and self.window.contains_all(message.lists):
             self.lease.record_ack(voter, message.sequence, message.refused)
         if self.waits(now_s):
             self.update_lease(now_s)
--- a/src/azureramp/policy/lists.py
+++ b/src/azureramp/policy/lists.py
@@ -93,7 +93,7 @@
         """Returns the hashes of the lists in the window, ascending."""
         return tuple(sorted(self._lists))
 
-    def knows(self, hashes: Iterable[int]) -> bool:
+    def contains_all(self, hashes: Iterable[int]) -> bool:
         """Returns True if all the given lists are in the window."""
         return all(number in self._lists for number in hashes)
 
--- a/tests/policy/lease_model.py
+++ b/tests/policy/lease_model.py
@@ -165,7 +165,7 @@
         node = self.nodes.get(ack.target.vm)
         if node is None or node.paused or node.holder != ack.target:
             return
-        if node.window.knows(ack.lists):
+        if node.window.contains_all(ack.lists):
             node.lease.record_ack(ack.voter, ack.sequence, ack.refused)
         node.update(self.clock(node))
 
