--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -116,7 +116,7 @@
 
     def get_lists_to_tell(self) -> tuple[tuple[str, ...], ...]:
         """Returns the recently read VM lists if there are several."""
-        read = self.window.get_own()
+        read = self.window.get_read_lists()
         return read if len(read) > 1 else ()
 
     def update_owners(
--- a/src/azureramp/policy/lists.py
+++ b/src/azureramp/policy/lists.py
@@ -73,7 +73,7 @@
         elif existing is not None and existing.inherited:
             existing.read_s = now_s
 
-    def get_own(self) -> tuple[tuple[str, ...], ...]:
+    def get_read_lists(self) -> tuple[tuple[str, ...], ...]:
         """Returns the lists that this VM itself has read, as names."""
         return tuple(
             tuple(sorted(entry.names))
--- a/tests/policy/lease_model.py
+++ b/tests/policy/lease_model.py
@@ -131,7 +131,7 @@
                 node.holder,
                 node.sequence,
                 node.lease.get_claims(),
-                node.window.get_own(),
+                node.window.get_read_lists(),
             )
             if target in reached or target == name:
                 ack = self.receive_heartbeat(heartbeat)
