--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -97,7 +97,7 @@
         state = member.state
         if self._ownership is not None:
             for names in message.lists:
-                self._ownership.window.inherit(names, _now_s())
+                self._ownership.window.record_from_peer(names, _now_s())
         self._members.apply_heartbeat(member, message)
         if state is not blackboard.MemberState.LIVE or message.leaving:
             self._members.update_states()
--- a/src/azureramp/policy/lists.py
+++ b/src/azureramp/policy/lists.py
@@ -59,7 +59,7 @@
         self._lists[self._newest] = ReadList(frozenset(names), now_s)
         self.expire(now_s)
 
-    def inherit(self, names: Collection[str], now_s: float) -> None:
+    def record_from_peer(self, names: Collection[str], now_s: float) -> None:
         """Records a list that a peer has read recently.
 
         A VM that has just started has only read the newest list. Without the
--- a/tests/policy/lease_model.py
+++ b/tests/policy/lease_model.py
@@ -147,7 +147,7 @@
         if node is None or node.paused:
             return None
         for names in heartbeat.lists:
-            node.window.inherit(names, self.clock(node))
+            node.window.record_from_peer(names, self.clock(node))
         refused = node.promises.grant_claims(
             heartbeat.holder, heartbeat.claims, LEASE_S, self.clock(node)
         )
