--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -226,5 +226,5 @@
     def _compute(
         self, window: lists.ListWindow, times: dict[str, float]
     ) -> float:
-        agreed_s = window.compute_agreed(times)
+        agreed_s = window.compute_majority_s(times)
         return -math.inf if agreed_s is None else agreed_s + self._lease_s
--- a/src/azureramp/policy/lists.py
+++ b/src/azureramp/policy/lists.py
@@ -97,7 +97,7 @@
         """Returns True if all the given lists are in the window."""
         return all(number in self._lists for number in hashes)
 
-    def compute_agreed(self, times: Mapping[str, float]) -> float | None:
+    def compute_majority_s(self, times: Mapping[str, float]) -> float | None:
         """Computes the latest time at which a majority of every list agreed.
 
         Args:
