--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -23,15 +23,15 @@
     """The observations of another VM.
 
     Attributes:
-        heard_s: When its last heartbeat arrived, in seconds; minus infinity if
-            none did.
+        last_heartbeat_s: When its last heartbeat arrived, in seconds; minus
+            infinity if none did.
         leaving: True if it announced its shutdown.
         suspects: The VMs from which it reports no heartbeats.
         may_own_until_s: Until when its lease may stay valid, according to the
             promises of this VM, in seconds.
     """
 
-    heard_s: float
+    last_heartbeat_s: float
     leaving: bool = False
     suspects: frozenset[str] = frozenset()
     may_own_until_s: float = -math.inf
@@ -60,7 +60,7 @@
     reachable = {
         name
         for name, sighting in sightings.items()
-        if now_s - sighting.heard_s <= suspect_s
+        if now_s - sighting.last_heartbeat_s <= suspect_s
     }
     majority = (len(reachable) + 1) // 2 + 1
     standings: dict[str, Standing] = {}
@@ -68,7 +68,7 @@
         if name in reachable:
             leaving = sighting.leaving
             standings[name] = Standing.LEAVING if leaving else Standing.LIVE
-        elif sighting.heard_s == -math.inf:
+        elif sighting.last_heartbeat_s == -math.inf:
             standings[name] = Standing.LISTED
         else:
             missing = 1 + sum(
