--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -129,7 +129,7 @@
         """Updates the state of every member."""
         now_s = _now_s()
         self._update_own(now_s)
-        states = policy.judge(
+        states = policy.classify_members(
             self._get_observations(), now_s, self.pace.suspect_s
         )
         for name, standing in states.items():
--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -37,7 +37,7 @@
     may_own_until_s: float = -math.inf
 
 
-def judge(
+def classify_members(
     sightings: Mapping[str, Sighting], now_s: float, suspect_s: float
 ) -> dict[str, Standing]:
     """Determines the state of every other VM.
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -57,7 +57,7 @@
 ) -> None:
     named = dict(zip("xabcd", sightings, strict=False))
 
-    standings = membership.judge(named, NOW_S, SUSPECT_S)
+    standings = membership.classify_members(named, NOW_S, SUSPECT_S)
 
     assert standings["x"].value == standing
 
