--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -177,10 +177,10 @@
             if member.state not in IN_CONTACT
         )
 
-    def _get_observations(self) -> dict[str, policy.Sighting]:
+    def _get_observations(self) -> dict[str, policy.Observation]:
         """Returns the observations of the other VMs, by name."""
         return {
-            name: policy.Sighting(
+            name: policy.Observation(
                 member.heard_s,
                 name in self._leaving_vms,
                 self._suspects.get(name, frozenset()),
--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Sighting:
+class Observation:
     """The observations of another VM.
 
     Attributes:
@@ -38,7 +38,7 @@
 
 
 def classify_members(
-    sightings: Mapping[str, Sighting], now_s: float, suspect_s: float
+    sightings: Mapping[str, Observation], now_s: float, suspect_s: float
 ) -> dict[str, Standing]:
     """Determines the state of every other VM.
 
@@ -79,7 +79,7 @@
     return standings
 
 
-def may_own(standing: Standing, sighting: Sighting, now_s: float) -> bool:
+def may_own(standing: Standing, sighting: Observation, now_s: float) -> bool:
     """Returns True if a VM must be treated as an owner.
 
     A VM that is gone stays an owner until its lease must have expired: until
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -10,12 +10,12 @@
 
 NOW_S = 100.0
 SUSPECT_S = 1.0
-LIVE = membership.Sighting(NOW_S - 0.2)
-SILENT = membership.Sighting(NOW_S - 1.5)
+LIVE = membership.Observation(NOW_S - 0.2)
+SILENT = membership.Observation(NOW_S - 1.5)
 
 
-def make_suspecting(*names: str) -> membership.Sighting:
-    return membership.Sighting(NOW_S - 0.2, suspects=frozenset(names))
+def make_suspecting(*names: str) -> membership.Observation:
+    return membership.Observation(NOW_S - 0.2, suspects=frozenset(names))
 
 
 @pytest.mark.parametrize(
@@ -23,13 +23,15 @@
     [
         pytest.param([LIVE], "live", id="heard"),
         pytest.param(
-            [membership.Sighting(NOW_S - 0.6)],
+            [membership.Observation(NOW_S - 0.6)],
             "live",
             id="two heartbeats missing",
         ),
-        pytest.param([membership.Sighting(-math.inf)], "listed", id="never"),
+        pytest.param([membership.Observation(-math.inf)], "listed", id="never"),
         pytest.param(
-            [membership.Sighting(NOW_S, leaving=True)], "leaving", id="leaving"
+            [membership.Observation(NOW_S, leaving=True)],
+            "leaving",
+            id="leaving",
         ),
         pytest.param(
             [SILENT, LIVE, LIVE], "suspect", id="only this VM misses it"
@@ -46,14 +48,14 @@
         ),
         pytest.param([SILENT, SILENT, SILENT], "gone", id="no VM is reachable"),
         pytest.param(
-            [membership.Sighting(NOW_S - 1.5, leaving=True), LIVE, LIVE],
+            [membership.Observation(NOW_S - 1.5, leaving=True), LIVE, LIVE],
             "gone",
             id="silent after leaving",
         ),
     ],
 )
 def test_a_vms_state_depends_on_the_majority_of_reachable_vms(
-    sightings: list[membership.Sighting], standing: str
+    sightings: list[membership.Observation], standing: str
 ) -> None:
     named = dict(zip("xabcd", sightings, strict=False))
 
@@ -80,7 +82,7 @@
     promised_s: float,
     expected: bool,
 ) -> None:
-    sighting = membership.Sighting(
+    sighting = membership.Observation(
         NOW_S, leaving=leaving, may_own_until_s=promised_s
     )
 
