--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -161,7 +161,7 @@
             for name, sighting in self._get_observations().items()
             if members[name].owns
             and policy.may_own(
-                policy.Standing(members[name].state.value), sighting, now_s
+                policy.MemberState(members[name].state.value), sighting, now_s
             )
         ]
         own = members.get(self._board.settings.vm)
--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 
-class Standing(enum.Enum):
+class MemberState(enum.Enum):
     """The state of another VM as this VM assesses it."""
 
     LISTED = "listed"
@@ -39,7 +39,7 @@
 
 def classify_members(
     sightings: Mapping[str, Observation], now_s: float, suspect_s: float
-) -> dict[str, Standing]:
+) -> dict[str, MemberState]:
     """Determines the state of every other VM.
 
     A VM whose heartbeats don't arrive may be healthy: the link may be
@@ -63,34 +63,36 @@
         if now_s - sighting.last_heartbeat_s <= suspect_s
     }
     majority = (len(reachable) + 1) // 2 + 1
-    standings: dict[str, Standing] = {}
+    standings: dict[str, MemberState] = {}
     for name, sighting in sightings.items():
         if name in reachable:
             leaving = sighting.leaving
-            standings[name] = Standing.LEAVING if leaving else Standing.LIVE
+            standings[name] = (
+                MemberState.LEAVING if leaving else MemberState.LIVE
+            )
         elif sighting.last_heartbeat_s == -math.inf:
-            standings[name] = Standing.LISTED
+            standings[name] = MemberState.LISTED
         else:
             missing = 1 + sum(
                 name in sightings[other].suspects for other in reachable
             )
             gone = sighting.leaving or missing >= majority
-            standings[name] = Standing.GONE if gone else Standing.SUSPECT
+            standings[name] = MemberState.GONE if gone else MemberState.SUSPECT
     return standings
 
 
-def may_own(standing: Standing, sighting: Observation, now_s: float) -> bool:
+def may_own(standing: MemberState, sighting: Observation, now_s: float) -> bool:
     """Returns True if a VM must be treated as an owner.
 
     A VM that is gone stays an owner until its lease must have expired: until
     then no other VM may start to use its searchers.
     """
     match standing:
-        case Standing.LIVE | Standing.SUSPECT:
+        case MemberState.LIVE | MemberState.SUSPECT:
             return True
-        case Standing.GONE:
+        case MemberState.GONE:
             return not sighting.leaving and now_s < sighting.may_own_until_s
-        case Standing.LISTED | Standing.LEAVING:
+        case MemberState.LISTED | MemberState.LEAVING:
             return False
 
 
