--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -160,7 +160,7 @@
             ownership.Candidate(name, members[name].vm.zone)
             for name, sighting in self._get_observations().items()
             if members[name].owns
-            and policy.may_own(
+            and policy.is_possible_owner(
                 policy.MemberState(members[name].state.value), sighting, now_s
             )
         ]
--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -81,7 +81,9 @@
     return standings
 
 
-def may_own(standing: MemberState, sighting: Observation, now_s: float) -> bool:
+def is_possible_owner(
+    standing: MemberState, sighting: Observation, now_s: float
+) -> bool:
     """Returns True if a VM must be treated as an owner.
 
     A VM that is gone stays an owner until its lease must have expired: until
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -86,7 +86,7 @@
         NOW_S, leaving=leaving, may_own_until_s=promised_s
     )
 
-    assert membership.may_own(standing, sighting, NOW_S) is expected
+    assert membership.is_possible_owner(standing, sighting, NOW_S) is expected
 
 
 @pytest.mark.parametrize(
