--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -210,7 +210,7 @@
         """
         now_s = _now_s()
         interval_s = self._members.pace.interval_s
-        pause_s = policy.compute_pause(
+        pause_s = policy.compute_pause_s(
             self._next_heartbeat_s, now_s, interval_s
         )
         if pause_s > 0.0:
--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -98,7 +98,9 @@
             return False
 
 
-def compute_pause(expected_s: float, now_s: float, interval_s: float) -> float:
+def compute_pause_s(
+    expected_s: float, now_s: float, interval_s: float
+) -> float:
     """Computes how long this process was paused, in seconds.
 
     When a paused process resumes, all last heartbeats are long ago, because it
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -95,6 +95,6 @@
 def test_a_timer_later_than_its_interval_indicates_a_pause(
     late_s: float, pause_s: float
 ) -> None:
-    paused_s = membership.compute_pause(NOW_S, NOW_S + late_s, 0.25)
+    paused_s = membership.compute_pause_s(NOW_S, NOW_S + late_s, 0.25)
 
     assert paused_s == pytest.approx(pause_s)
