--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -84,7 +84,7 @@
         )
         self._detector.on_attributed = self._runner.requeue_suspect
         self._runner.on_released = self._handoffs.handle_calls_ended
-        self._once: once.Once[tuple[str, int]] = once.Once(
+        self._once: once.DuplicateCache[tuple[str, int]] = once.DuplicateCache(
             DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
         )
         self._reconciler = ownership_changes.OwnershipReconciler(
--- a/src/azureramp/policy/once.py
+++ b/src/azureramp/policy/once.py
@@ -8,7 +8,7 @@
 _K = TypeVar("_K")
 
 
-class Once(Generic[_K]):
+class DuplicateCache(Generic[_K]):
     """Keeps keys for a fixed time, and refuses new keys when it is full.
 
     Messages may arrive twice or late. Evicting the oldest key when the cache is
