--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -35,7 +35,7 @@
         wait_ms: The sum of all other time of parts with and without a result,
             in milliseconds.
         refused: The number of attempts that a queue refused.
-        last: The error kind of the last failed part.
+        last_failure: The error kind of the last failed part.
         retry_after_ms: The longest retry delay stated by a failure, in
             milliseconds.
     """
@@ -47,7 +47,7 @@
     service_ms: float = 0.0
     wait_ms: float = 0.0
     refused: int = 0
-    last: errors.Kind | None = None
+    last_failure: errors.Kind | None = None
     retry_after_ms: int = 0
 
     def add_merged(self, merged: assembly.Merged, took_ms: float) -> None:
@@ -79,7 +79,7 @@
     def add_failed(self, failed: assembly.Failed) -> None:
         """Counts a failure."""
         self.ran = self.ran or failed.ran
-        self.last = failed.kind
+        self.last_failure = failed.kind
         self.retry_after_ms = max(self.retry_after_ms, failed.retry_after_ms)
         if failed.kind is errors.Kind.BACKEND_CRASHED:
             self.crashes += 1
@@ -129,14 +129,17 @@
     if held >= minimum and (held > 0 or ledger.is_complete()):
         return None
     if not tally.ran:
-        kind = tally.last or errors.Kind.NO_SNAPSHOT
+        kind = tally.last_failure or errors.Kind.NO_SNAPSHOT
         retry_after_ms = tally.retry_after_ms or None
         return make_not_run(errors.Failure(kind, "", retry_after_ms))
     if held > 0 or minimum > 0:
         return errors.Failure(errors.Kind.COVERAGE_TOO_LOW)
-    if tally.last is None or errors.ANSWERS[tally.last].ran is NOT_RUN:
+    if (
+        tally.last_failure is None
+        or errors.ANSWERS[tally.last_failure].ran is NOT_RUN
+    ):
         return errors.Failure(errors.Kind.DEADLINE_PASSED)
-    return errors.Failure(tally.last)
+    return errors.Failure(tally.last_failure)
 
 
 def make_not_run(failure: errors.Failure) -> errors.Failure:
