--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -304,5 +304,7 @@
             self._attempts.restore(chosen)
         permitted = bool(chosen.progress)
         ledger = chosen.ledger
-        failure = outcomes.judge(ledger, self._minimum, self.tally, permitted)
+        failure = outcomes.find_failure(
+            ledger, self._minimum, self.tally, permitted
+        )
         return ledger if failure is None else failure
--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -106,7 +106,7 @@
     return previous
 
 
-def judge(
+def find_failure(
     ledger: coverage.ResultLedger,
     minimum: fractions.Fraction,
     tally: Tally,
