--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -298,7 +298,7 @@
 
     def _determine_answer(self) -> coverage.ResultLedger | errors.Failure:
         """Determines the answer from the better version's results."""
-        chosen = outcomes.choose(self._previous, self._attempts.state)
+        chosen = outcomes.choose_version(self._previous, self._attempts.state)
         if chosen is not self._attempts.state:
             self._on_pinned(chosen.ledger.shard_map.version)
             self._attempts.restore(chosen)
--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -87,7 +87,7 @@
             self.refused += 1
 
 
-def choose(
+def choose_version(
     previous: assembly.Assembly | None, current: assembly.Assembly
 ) -> assembly.Assembly:
     """Chooses the version whose results are the answer; they are never mixed.
