--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -153,7 +153,9 @@
         retry_ms = admission.compute_retry_ms(drain_ms, measured.rng.random())
         return errors.Failure(kind, retry_after_ms=retry_ms)
 
-    def observe(self, admitted: Admitted, tally: outcomes.Tally) -> None:
+    def observe(
+        self, admitted: Admitted, tally: outcomes.PartStatistics
+    ) -> None:
         """Updates the load measurements from an admitted request's tally."""
         header = admitted.header
         now_s = asyncio.get_running_loop().time()
--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -43,7 +43,7 @@
         self.dispatcher = dispatcher
         self.header = header
         self.state = state
-        self.tally = outcomes.Tally()
+        self.tally = outcomes.PartStatistics()
 
     def restart(self, state: assembly.Assembly) -> None:
         """Switches to another version; its parts get new numbers."""
--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
+class PartStatistics:
     """Statistics of a query's parts, over all its attempts.
 
     Attributes:
@@ -109,7 +109,7 @@
 def find_failure(
     ledger: coverage.ResultLedger,
     minimum: fractions.Fraction,
-    tally: Tally,
+    tally: PartStatistics,
     permitted: bool,
 ) -> errors.Failure | None:
     """Decides whether the merged results are a sufficient answer.
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -155,7 +155,7 @@
 ) -> None:
     shard = query_parts.make_map([1]).shards[0]
     attempt = query_parts.make_attempt(1, shard)
-    tally = outcomes.Tally()
+    tally = outcomes.PartStatistics()
 
     tally.add_merged(assembly.Merged(attempt, (), stated_ms), 20.0)
 
