--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -156,7 +156,7 @@
             due_s = loop.time() + LAG_CHECK_INTERVAL_S
             await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             now_s = loop.time()
-            busy = overload.add(now_s - due_s, now_s)
+            busy = overload.record_delay(now_s - due_s, now_s)
             if busy != self._board.busy:
                 self._board.busy = busy
                 self._written = False
--- a/src/azureramp/policy/overload.py
+++ b/src/azureramp/policy/overload.py
@@ -31,7 +31,7 @@
         self._mean_s = 0.0
         self._busy_until_s = float("-inf")
 
-    def add(self, late_s: float, now_s: float) -> bool:
+    def record_delay(self, late_s: float, now_s: float) -> bool:
         """Records the delay of a timer; returns True if the VM is busy.
 
         Args:
--- a/tests/policy/test_advertising.py
+++ b/tests/policy/test_advertising.py
@@ -79,14 +79,14 @@
 
 def test_a_vm_is_busy_during_and_some_time_after_late_timers() -> None:
     detector = overload.Overload()
-    assert not detector.add(0.002, 0.0)
-    assert not detector.add(5.0, 1.0), "a pause is not load"
+    assert not detector.record_delay(0.002, 0.0)
+    assert not detector.record_delay(5.0, 1.0), "a pause is not load"
     for number in range(5):
-        busy = detector.add(0.05, 2.0 + number / 4)
+        busy = detector.record_delay(0.05, 2.0 + number / 4)
     assert busy
     for number in range(40):
-        assert detector.add(0.0, 3.5 + number / 4)
-    assert not detector.add(0.0, 40.0)
+        assert detector.record_delay(0.0, 3.5 + number / 4)
+    assert not detector.record_delay(0.0, 40.0)
 
 
 def test_a_vm_is_added_for_each_busy_advertised_vm() -> None:
