--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -150,7 +150,7 @@
 
     async def run_overload(self) -> None:
         """Measures this VM's load and publishes changes. Never returns."""
-        overload = overload_module.Overload()
+        overload = overload_module.OverloadDetector()
         loop = asyncio.get_running_loop()
         while True:
             due_s = loop.time() + LAG_CHECK_INTERVAL_S
--- a/src/azureramp/policy/overload.py
+++ b/src/azureramp/policy/overload.py
@@ -21,7 +21,7 @@
 move back and forth."""
 
 
-class Overload:
+class OverloadDetector:
     """Detects overload by the delay of timers."""
 
     __slots__ = ("_busy_until_s", "_mean_s")
--- a/tests/policy/test_advertising.py
+++ b/tests/policy/test_advertising.py
@@ -78,7 +78,7 @@
 
 
 def test_a_vm_is_busy_during_and_some_time_after_late_timers() -> None:
-    detector = overload.Overload()
+    detector = overload.OverloadDetector()
     assert not detector.record_delay(0.002, 0.0)
     assert not detector.record_delay(5.0, 1.0), "a pause is not load"
     for number in range(5):
