--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -146,7 +146,7 @@
         for member in self._board.members.values():
             member.heard_s = min(now_s, member.heard_s + pause_s)
 
-    def get_candidates(self) -> list[ownership.Candidate]:
+    def get_candidates(self) -> list[ownership.OwnerCandidate]:
         """Returns the VMs that may own searchers, this one included.
 
         A VM that has just started knows neither the searchers nor the other
@@ -157,7 +157,7 @@
         now_s = _now_s()
         members = self._board.members
         candidates = [
-            ownership.Candidate(name, members[name].vm.zone)
+            ownership.OwnerCandidate(name, members[name].vm.zone)
             for name, sighting in self._get_observations().items()
             if members[name].owns
             and policy.is_possible_owner(
@@ -166,7 +166,9 @@
         ]
         own = members.get(self._board.settings.vm)
         if own is not None and own.owns:
-            candidates.append(ownership.Candidate(own.vm.name, own.vm.zone))
+            candidates.append(
+                ownership.OwnerCandidate(own.vm.name, own.vm.zone)
+            )
         return candidates
 
     def get_unreachable(self) -> tuple[str, ...]:
--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -11,7 +11,7 @@
 READ_LIST_S = 1.0
 """Interval between reads of the VM list, in seconds."""
 
-Inputs = tuple[int, frozenset[ownership.Candidate]]
+Inputs = tuple[int, frozenset[ownership.OwnerCandidate]]
 """Input of the assignment: a configuration revision and the candidates."""
 
 
@@ -120,7 +120,7 @@
         return read if len(read) > 1 else ()
 
     def update_owners(
-        self, candidates: Sequence[ownership.Candidate], now_s: float
+        self, candidates: Sequence[ownership.OwnerCandidate], now_s: float
     ) -> bool:
         """Computes the owners if their inputs have changed.
 
--- a/src/azureramp/policy/ownership.py
+++ b/src/azureramp/policy/ownership.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Candidate:
+class OwnerCandidate:
     """A VM that may own searchers.
 
     Attributes:
@@ -39,7 +39,7 @@
 
 def choose_owners(
     searchers: Mapping[str, str],
-    candidates: Iterable[Candidate],
+    candidates: Iterable[OwnerCandidate],
     zones_out: frozenset[str],
 ) -> dict[str, str]:
     """Chooses the owner of each searcher.
--- a/src/azureramp_standins/measuring/control_state.py
+++ b/src/azureramp_standins/measuring/control_state.py
@@ -69,7 +69,7 @@
         for searcher in server.searchers
     }
     candidates = [
-        ownership.Candidate(f"vm-{n}", layout.zones[n % len(layout.zones)])
+        ownership.OwnerCandidate(f"vm-{n}", layout.zones[n % len(layout.zones)])
         for n in range(VMS)
     ]
     _, owners_ms = _time(
