--- a/src/azureramp/controllers/links.py
+++ b/src/azureramp/controllers/links.py
@@ -30,7 +30,7 @@
             times: The intervals and timeouts for the size of the cell.
         """
         now_s = asyncio.get_running_loop().time()
-        limit_s = times.suspect_s + 2 * times.interval_s
+        limit_s = times.suspect_s + 2 * times.heartbeat_interval_s
         for name, member in self._board.members.items():
             if name == self._board.settings.vm:
                 continue
--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -197,7 +197,7 @@
             self.update()
             self._links.renew(self._members.pace)
             self._send_heartbeats()
-            interval_s = self._members.pace.interval_s
+            interval_s = self._members.pace.heartbeat_interval_s
             self._next_heartbeat_s = _now_s() + interval_s
             await asyncio.sleep(interval_s)
 
@@ -209,7 +209,7 @@
         pause the heartbeat timer isn't necessarily the first callback to run.
         """
         now_s = _now_s()
-        interval_s = self._members.pace.interval_s
+        interval_s = self._members.pace.heartbeat_interval_s
         pause_s = policy.compute_pause_s(
             self._next_heartbeat_s, now_s, interval_s
         )
--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -96,7 +96,8 @@
         """Returns True if this VM needs grants and heartbeats are urgent."""
         return (
             math.inf in self._board.may_start_s.values()
-            or self._board.lease_until_s < now_s + 2 * self._pace.interval_s
+            or self._board.lease_until_s
+            < now_s + 2 * self._pace.heartbeat_interval_s
         )
 
     def record_ack(
@@ -143,7 +144,9 @@
             return False
         own = board.settings.vm
         mine = [name for name, owner in owners.items() if owner == own]
-        alone_s = now_s + self._pace.longest_lease_s + self._pace.interval_s
+        alone_s = (
+            now_s + self._pace.longest_lease_s + self._pace.heartbeat_interval_s
+        )
         self._alone_from_s = {
             name: self._alone_from_s.get(name, alone_s) for name in mine
         }
--- a/src/azureramp/policy/pace.py
+++ b/src/azureramp/policy/pace.py
@@ -23,7 +23,7 @@
     """The intervals and timeouts of one cell.
 
     Attributes:
-        interval_s: Time between two heartbeats, in seconds.
+        heartbeat_interval_s: Time between two heartbeats, in seconds.
         suspect_s: Time without heartbeats after which a VM is suspect, in
             seconds.
         lease_s: Length of the requested lease, in seconds.
@@ -31,7 +31,7 @@
             long a restarted VM grants none.
     """
 
-    interval_s: float
+    heartbeat_interval_s: float
     suspect_s: float
     lease_s: float
     longest_lease_s: float
@@ -53,7 +53,7 @@
         math.ceil(vms * MAX_LIST_GROWTH), heartbeat_ms
     )
     return Pace(
-        interval_s=factor * heartbeat_ms / 1000,
+        heartbeat_interval_s=factor * heartbeat_ms / 1000,
         suspect_s=factor * suspect_ms / 1000,
         lease_s=factor * lease_ms / 1000,
         longest_lease_s=grown_factor * lease_ms / 1000,
