--- a/src/azureramp/controllers/links.py
+++ b/src/azureramp/controllers/links.py
@@ -23,7 +23,7 @@
         self._outbox = outbox
         self._opened_s: dict[str, float] = {}
 
-    def renew(self, times: pace.Pace) -> None:
+    def renew(self, times: pace.HeartbeatTimes) -> None:
         """Replaces the links on which acknowledgements are overdue.
 
         Args:
--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -41,7 +41,7 @@
         self.informed = False
         self.pace = self._compute_pace(1)
 
-    def _compute_pace(self, vms: int) -> pace.Pace:
+    def _compute_pace(self, vms: int) -> pace.HeartbeatTimes:
         """Computes the intervals and timeouts for a number of VMs."""
         settings = self._board.settings
         return pace.compute_pace(
--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -40,7 +40,7 @@
         self,
         board: blackboard.Blackboard,
         started_s: float,
-        times: pace.Pace,
+        times: pace.HeartbeatTimes,
     ) -> None:
         """Creates the state of a VM without searchers and without promises.
 
@@ -109,7 +109,7 @@
         if self.waits(now_s):
             self.update_lease(now_s)
 
-    def set_pace(self, times: pace.Pace) -> None:
+    def set_pace(self, times: pace.HeartbeatTimes) -> None:
         """Sets the durations for the current size of the cell."""
         self._pace = times
         self.lease.set_length(times.lease_s)
--- a/src/azureramp/policy/pace.py
+++ b/src/azureramp/policy/pace.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Pace:
+class HeartbeatTimes:
     """The intervals and timeouts of one cell.
 
     Attributes:
@@ -39,7 +39,7 @@
 
 def compute_pace(
     vms: int, heartbeat_ms: int, suspect_ms: int, lease_ms: int
-) -> Pace:
+) -> HeartbeatTimes:
     """Computes the intervals and timeouts of a cell.
 
     Args:
@@ -52,7 +52,7 @@
     grown_factor = _compute_factor(
         math.ceil(vms * MAX_LIST_GROWTH), heartbeat_ms
     )
-    return Pace(
+    return HeartbeatTimes(
         heartbeat_interval_s=factor * heartbeat_ms / 1000,
         suspect_s=factor * suspect_ms / 1000,
         lease_s=factor * lease_ms / 1000,
