--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -44,7 +44,7 @@
     def _compute_pace(self, vms: int) -> pace.HeartbeatTimes:
         """Computes the intervals and timeouts for a number of VMs."""
         settings = self._board.settings
-        return pace.compute_pace(
+        return pace.compute_heartbeat_times(
             vms, settings.heartbeat_ms, settings.suspect_ms, settings.lease_ms
         )
 
--- a/src/azureramp/policy/pace.py
+++ b/src/azureramp/policy/pace.py
@@ -37,7 +37,7 @@
     longest_lease_s: float
 
 
-def compute_pace(
+def compute_heartbeat_times(
     vms: int, heartbeat_ms: int, suspect_ms: int, lease_ms: int
 ) -> HeartbeatTimes:
     """Computes the intervals and timeouts of a cell.
