--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -121,7 +121,7 @@
             priority=asked.caller.priority,
             fingerprint=fingerprint,
             repeatable=asked.repeatable,
-            isolated=blame.crashes(fingerprint, now_s) > 0,
+            isolated=blame.count_crashes(fingerprint, now_s) > 0,
             body=asked.body,
             answer_s=answer_s,
         )
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -94,7 +94,7 @@
     def is_suspect(self, part: Part) -> bool:
         """Returns True if a crash is attributed to a sub-request."""
         fingerprint = part.batch.fingerprint
-        return self._board.blame.crashes(fingerprint, _now_s()) > 0
+        return self._board.blame.count_crashes(fingerprint, _now_s()) > 0
 
     def needs_trial(self, part: Part) -> bool:
         """Returns True if a request's sub-requests must run one at a time."""
@@ -261,12 +261,12 @@
                     server=notice.server,
                     crash_id=notice.crash_id,
                     fingerprint=fingerprint,
-                    crashes=blame.crashes(fingerprint, now_s),
+                    crashes=blame.count_crashes(fingerprint, now_s),
                     quarantined=blame.quarantined_ms(fingerprint, now_s) > 0,
                 ),
                 now_s,
             )
-            if blame.crashes(fingerprint, now_s) > 0:
+            if blame.count_crashes(fingerprint, now_s) > 0:
                 self.on_attributed(fingerprint, notice.server)
 
     def _broadcast(self, notice: messages.CrashNotice) -> None:
--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -99,7 +99,7 @@
         self._attributions: dict[int, Attribution] = {}
         self._remote_until_s: dict[int, float] = {}
 
-    def crashes(self, fingerprint: int, now_s: float) -> int:
+    def count_crashes(self, fingerprint: int, now_s: float) -> int:
         """Returns the number of crashes attributed to a request.
 
         A request that another VM quarantined counts as having two.
--- a/tests/controllers/test_poisoning.py
+++ b/tests/controllers/test_poisoning.py
@@ -98,7 +98,7 @@
         blame = self.benches[vm].board.blame
         if blame.quarantined_ms(fingerprint, now_s) > 0:
             return None
-        isolated = blame.crashes(fingerprint, now_s) > 0
+        isolated = blame.count_crashes(fingerprint, now_s) > 0
         self.number += 1
         names = self.rng.sample(sorted(self.owners), 1 if isolated else width)
         request_id = f"r{self.number}"
@@ -278,7 +278,7 @@
             "ok",
             "ok",
         ]
-        assert bench.board.blame.crashes(8, 1.0) == 0
+        assert bench.board.blame.count_crashes(8, 1.0) == 0
 
     owning.run(scenario())
 
@@ -385,7 +385,7 @@
         await asyncio.sleep(0.1)
 
         loop_s = asyncio.get_running_loop().time()
-        charged = [bench.board.blame.crashes(f, loop_s) for f in (7, 8)]
+        charged = [bench.board.blame.count_crashes(f, loop_s) for f in (7, 8)]
         assert charged == [1, 1]
 
     owning.run(scenario())
@@ -456,6 +456,6 @@
 
         assert bench.get_kinds() == {"r1": "connection_lost"}
         loop_s = asyncio.get_running_loop().time()
-        assert bench.board.blame.crashes(7, loop_s) == 0
+        assert bench.board.blame.count_crashes(7, loop_s) == 0
 
     owning.run(scenario())
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -35,7 +35,11 @@
     table = poison.Blame()
     record(table, 10.0, BAD, GOOD)
 
-    assert [table.crashes(f, 10.0) for f in (BAD, GOOD, OTHER)] == [1, 1, 0]
+    assert [table.count_crashes(f, 10.0) for f in (BAD, GOOD, OTHER)] == [
+        1,
+        1,
+        0,
+    ]
     assert table.quarantined_ms(BAD, 10.0) == 0
 
 
@@ -54,8 +58,10 @@
     record(table, 10.0, BAD)
     record(table, 20.0, BAD, GOOD, OTHER)
 
-    assert table.crashes(BAD, 20.0) == 2
-    assert table.crashes(GOOD, 20.0) == table.crashes(OTHER, 20.0) == 0
+    assert table.count_crashes(BAD, 20.0) == 2
+    assert (
+        table.count_crashes(GOOD, 20.0) == table.count_crashes(OTHER, 20.0) == 0
+    )
 
 
 def test_one_crash_after_the_quarantine_starts_another_one() -> None:
@@ -63,7 +69,7 @@
     record(table, 10.0, BAD)
     record(table, 20.0, BAD)
     after_s = 21.0 + QUARANTINE_S
-    crashes_after = table.crashes(BAD, after_s)
+    crashes_after = table.count_crashes(BAD, after_s)
     record(table, after_s, BAD)
 
     assert crashes_after > 0
@@ -94,7 +100,7 @@
     table = poison.Blame()
     record(table, 10.0, BAD, GOOD)
     table.clear(GOOD)
-    cleared = table.crashes(GOOD, 10.0)
+    cleared = table.count_crashes(GOOD, 10.0)
     record(table, 20.0, BAD)
     table.clear(BAD)
 
@@ -108,7 +114,7 @@
     record(table, 10.0, BAD, server="x", searcher="x-a")
     record(table, 10.2, BAD, server="x", searcher="x-b")
 
-    assert table.crashes(BAD, 10.2) == 1
+    assert table.count_crashes(BAD, 10.2) == 1
     assert table.quarantined_ms(BAD, 10.2) == 0
 
 
@@ -117,7 +123,7 @@
 
     assert record(table, 10.0, BAD)
     assert not record(table, 10.0, BAD)
-    assert table.crashes(BAD, 10.0) == 1
+    assert table.count_crashes(BAD, 10.0) == 1
 
 
 def test_a_quarantine_announced_by_another_vm_is_applied() -> None:
@@ -126,7 +132,7 @@
 
     assert table.quarantined_ms(BAD, 12.0) == 3000
     assert table.quarantined_ms(BAD, 16.0) == 0
-    assert table.crashes(BAD, 16.0) > 0
+    assert table.count_crashes(BAD, 16.0) > 0
     assert table.get_quarantined_ms(12.0) == {BAD: 3000}
 
 
@@ -134,7 +140,7 @@
     table = poison.Blame()
     record(table, 10.0, BAD)
 
-    assert table.crashes(BAD, 11.0 + poison.CRASH_RETENTION_S) == 0
+    assert table.count_crashes(BAD, 11.0 + poison.CRASH_RETENTION_S) == 0
 
 
 def test_the_table_s_size_is_bounded() -> None:
