--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -99,7 +99,7 @@
             return expression.Error(checked.error)
         fingerprint = fingerprints.compute_fingerprint(asked.index, asked.body)
         blame = self._board.blame
-        quarantined_ms = blame.quarantined_ms(fingerprint, now_s)
+        quarantined_ms = blame.get_quarantine_ms(fingerprint, now_s)
         if quarantined_ms > 0:
             kind = errors.Kind.QUARANTINED
             failure = errors.Failure(kind, retry_after_ms=quarantined_ms)
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -105,7 +105,7 @@
     ) -> errors.Failure | None:
         """Returns why a request may not run now; None if it may."""
         now_s = _now_s()
-        left_ms = self._board.blame.quarantined_ms(
+        left_ms = self._board.blame.get_quarantine_ms(
             part.batch.fingerprint, now_s
         )
         if left_ms > 0:
@@ -262,7 +262,7 @@
                     crash_id=notice.crash_id,
                     fingerprint=fingerprint,
                     crashes=blame.count_crashes(fingerprint, now_s),
-                    quarantined=blame.quarantined_ms(fingerprint, now_s) > 0,
+                    quarantined=blame.get_quarantine_ms(fingerprint, now_s) > 0,
                 ),
                 now_s,
             )
--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -118,7 +118,7 @@
             return 0
         return attribution.crashes
 
-    def quarantined_ms(self, fingerprint: int, now_s: float) -> int:
+    def get_quarantine_ms(self, fingerprint: int, now_s: float) -> int:
         """Returns the rest of a request's quarantine, in milliseconds.
 
         Args:
@@ -177,7 +177,7 @@
         """
         self._expire(now_s)
         if (
-            self.quarantined_ms(fingerprint, now_s) + MIN_EXTENSION_MS
+            self.get_quarantine_ms(fingerprint, now_s) + MIN_EXTENSION_MS
             >= left_ms
         ):
             return
@@ -207,7 +207,7 @@
         """Returns the remaining milliseconds of each quarantined request."""
         fingerprints = {*self._attributions, *self._remote_until_s}
         left_ms = {
-            fingerprint: self.quarantined_ms(fingerprint, now_s)
+            fingerprint: self.get_quarantine_ms(fingerprint, now_s)
             for fingerprint in fingerprints
         }
         return {key: left for key, left in left_ms.items() if left > 0}
--- a/tests/controllers/test_poisoning.py
+++ b/tests/controllers/test_poisoning.py
@@ -96,7 +96,7 @@
         """
         now_s = asyncio.get_running_loop().time()
         blame = self.benches[vm].board.blame
-        if blame.quarantined_ms(fingerprint, now_s) > 0:
+        if blame.get_quarantine_ms(fingerprint, now_s) > 0:
             return None
         isolated = blame.count_crashes(fingerprint, now_s) > 0
         self.number += 1
@@ -433,8 +433,8 @@
         await asyncio.sleep(6)
 
         loop_s = asyncio.get_running_loop().time()
-        assert owner.board.blame.quarantined_ms(7, loop_s) > 0
-        assert late.board.blame.quarantined_ms(7, loop_s) > 0
+        assert owner.board.blame.get_quarantine_ms(7, loop_s) > 0
+        assert late.board.blame.get_quarantine_ms(7, loop_s) > 0
         blamed = owner.get_events(events.FingerprintBlamed)
         assert [event.crashes for event in blamed] == [1, 2]
 
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -40,7 +40,7 @@
         1,
         0,
     ]
-    assert table.quarantined_ms(BAD, 10.0) == 0
+    assert table.get_quarantine_ms(BAD, 10.0) == 0
 
 
 def test_a_crash_in_a_second_incident_starts_the_quarantine() -> None:
@@ -48,9 +48,9 @@
     record(table, 10.0, BAD, GOOD)
     record(table, 20.0, BAD)
 
-    assert table.quarantined_ms(BAD, 20.0) == QUARANTINE_S * 1000
-    assert table.quarantined_ms(BAD, 20.0 + QUARANTINE_S) == 0
-    assert table.quarantined_ms(GOOD, 20.0) == 0
+    assert table.get_quarantine_ms(BAD, 20.0) == QUARANTINE_S * 1000
+    assert table.get_quarantine_ms(BAD, 20.0 + QUARANTINE_S) == 0
+    assert table.get_quarantine_ms(GOOD, 20.0) == 0
 
 
 def test_requests_beside_a_known_suspect_get_no_crash() -> None:
@@ -73,7 +73,7 @@
     record(table, after_s, BAD)
 
     assert crashes_after > 0
-    assert table.quarantined_ms(BAD, after_s) == QUARANTINE_S * 1000
+    assert table.get_quarantine_ms(BAD, after_s) == QUARANTINE_S * 1000
 
 
 def test_crashes_of_one_incident_cause_only_a_short_quarantine() -> None:
@@ -82,7 +82,7 @@
     for number in range(10):
         record(table, 10.0 + number / 100, GOOD, server=f"server-{number}")
 
-    left_ms = table.quarantined_ms(GOOD, 10.1)
+    left_ms = table.get_quarantine_ms(GOOD, 10.1)
     assert 0 < left_ms <= poison.SHORT_QUARANTINE_S * 1000
 
 
@@ -92,7 +92,7 @@
     record(table, 20.0, BAD, GOOD)
 
     for fingerprint in (BAD, GOOD):
-        left_ms = table.quarantined_ms(fingerprint, 20.0)
+        left_ms = table.get_quarantine_ms(fingerprint, 20.0)
         assert 0 < left_ms <= poison.SHORT_QUARANTINE_S * 1000
 
 
@@ -105,7 +105,7 @@
     table.clear(BAD)
 
     assert cleared == 0
-    assert table.quarantined_ms(BAD, 20.0) > 0
+    assert table.get_quarantine_ms(BAD, 20.0) > 0
 
 
 def test_notices_from_two_owners_of_a_server_are_one_crash() -> None:
@@ -115,7 +115,7 @@
     record(table, 10.2, BAD, server="x", searcher="x-b")
 
     assert table.count_crashes(BAD, 10.2) == 1
-    assert table.quarantined_ms(BAD, 10.2) == 0
+    assert table.get_quarantine_ms(BAD, 10.2) == 0
 
 
 def test_a_repeated_notice_is_counted_once() -> None:
@@ -130,8 +130,8 @@
     table = poison.Blame()
     table.adopt(BAD, 5000, 10.0)
 
-    assert table.quarantined_ms(BAD, 12.0) == 3000
-    assert table.quarantined_ms(BAD, 16.0) == 0
+    assert table.get_quarantine_ms(BAD, 12.0) == 3000
+    assert table.get_quarantine_ms(BAD, 16.0) == 0
     assert table.count_crashes(BAD, 16.0) > 0
     assert table.get_quarantined_ms(12.0) == {BAD: 3000}
 
