--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -245,7 +245,7 @@
         now_s = _now_s()
         blame = self._board.blame
         self._crashed_s[notice.server] = now_s
-        is_new = blame.record(
+        is_new = blame.record_crash(
             notice.server,
             notice.crash_id.rpartition("/")[0],
             notice.crash_id,
--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -131,7 +131,7 @@
             until_s = max(until_s, attribution.until_s)
         return max(0, int((until_s - now_s) * 1000))
 
-    def record(
+    def record_crash(
         self,
         server: str,
         searcher: str,
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -21,7 +21,7 @@
 ) -> bool:
     """Records a crash; by default each one is of a different server."""
     server = server or f"server-{at_s}"
-    return table.record(
+    return table.record_crash(
         server,
         searcher,
         f"{server}/{searcher}/{at_s}",
