--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -165,7 +165,7 @@
         now_s = _now_s()
         for fingerprint in message.fingerprints:
             if message.quarantine_ms > 0:
-                self._board.blame.adopt(
+                self._board.blame.apply_remote_quarantine(
                     fingerprint, message.quarantine_ms, now_s
                 )
         if message.crash_id:
--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -167,7 +167,9 @@
         self._attribute_crashes(quarantine_s)
         return True
 
-    def adopt(self, fingerprint: int, left_ms: int, now_s: float) -> None:
+    def apply_remote_quarantine(
+        self, fingerprint: int, left_ms: int, now_s: float
+    ) -> None:
         """Applies a quarantine that another VM announced.
 
         Args:
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -128,7 +128,7 @@
 
 def test_a_quarantine_announced_by_another_vm_is_applied() -> None:
     table = poison.Blame()
-    table.adopt(BAD, 5000, 10.0)
+    table.apply_remote_quarantine(BAD, 5000, 10.0)
 
     assert table.get_quarantine_ms(BAD, 12.0) == 3000
     assert table.get_quarantine_ms(BAD, 16.0) == 0
@@ -149,7 +149,7 @@
     for number in range(400):
         random_fingerprints = {rng.getrandbits(64) for _ in range(100)}
         record(table, 10.0 + number, *random_fingerprints)
-        table.adopt(rng.getrandbits(64), 3000, 10.0 + number)
+        table.apply_remote_quarantine(rng.getrandbits(64), 3000, 10.0 + number)
 
     quarantined = table.get_quarantined_ms(0.0)
     limit = (
