--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -126,7 +126,7 @@
 
     def record_success(self, part: Part) -> None:
         """Clears a request's crashes after a successful call."""
-        self._board.blame.clear(part.batch.fingerprint)
+        self._board.blame.record_success(part.batch.fingerprint)
 
     def record_abandoned(self, owned: OwnedSearcher, part: Part) -> None:
         """Remembers a call that was abandoned before its reply."""
--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -186,7 +186,7 @@
         if len(self._remote_until_s) < MAX_REMOTE_QUARANTINES:
             self._remote_until_s[fingerprint] = now_s + left_ms / 1000
 
-    def clear(self, fingerprint: int) -> None:
+    def record_success(self, fingerprint: int) -> None:
         """Records a success of a request and clears its crashes.
 
         A request with crashes from two incidents, one of them attributed to it
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -99,10 +99,10 @@
 def test_a_success_does_not_clear_crashes_of_two_incidents() -> None:
     table = poison.Blame()
     record(table, 10.0, BAD, GOOD)
-    table.clear(GOOD)
+    table.record_success(GOOD)
     cleared = table.count_crashes(GOOD, 10.0)
     record(table, 20.0, BAD)
-    table.clear(BAD)
+    table.record_success(BAD)
 
     assert cleared == 0
     assert table.get_quarantine_ms(BAD, 20.0) > 0
