--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -177,7 +177,7 @@
         if now_s - self._repeated_s < REPEAT_S:
             return
         self._repeated_s = now_s
-        quarantined = self._board.blame.get_quarantined_ms(now_s)
+        quarantined = self._board.blame.list_quarantines_ms(now_s)
         for fingerprint, left_ms in quarantined.items():
             self._broadcast(
                 messages.CrashNotice(
--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -205,7 +205,7 @@
         for crash in self._crashes:
             crash.fingerprints.discard(fingerprint)
 
-    def get_quarantined_ms(self, now_s: float) -> dict[int, int]:
+    def list_quarantines_ms(self, now_s: float) -> dict[int, int]:
         """Returns the remaining milliseconds of each quarantined request."""
         fingerprints = {*self._attributions, *self._remote_until_s}
         left_ms = {
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -133,7 +133,7 @@
     assert table.get_quarantine_ms(BAD, 12.0) == 3000
     assert table.get_quarantine_ms(BAD, 16.0) == 0
     assert table.count_crashes(BAD, 16.0) > 0
-    assert table.get_quarantined_ms(12.0) == {BAD: 3000}
+    assert table.list_quarantines_ms(12.0) == {BAD: 3000}
 
 
 def test_old_crashes_expire() -> None:
@@ -151,7 +151,7 @@
         record(table, 10.0 + number, *random_fingerprints)
         table.apply_remote_quarantine(rng.getrandbits(64), 3000, 10.0 + number)
 
-    quarantined = table.get_quarantined_ms(0.0)
+    quarantined = table.list_quarantines_ms(0.0)
     limit = (
         poison.MAX_CRASHES * poison.MAX_FINGERPRINTS
         + poison.MAX_REMOTE_QUARANTINES
@@ -167,4 +167,4 @@
     record(table, 0.0, BAD, *rng.sample(range(10, 60), 2))
     record(table, 5.0, BAD, *rng.sample(range(60, 99), 2))
 
-    assert list(table.get_quarantined_ms(5.0)) == [BAD]
+    assert list(table.list_quarantines_ms(5.0)) == [BAD]
