--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -168,7 +168,7 @@
         self.owners: dict[str, str] = {}
         self.may_start_s: dict[str, float] = {}
         self.owned: dict[str, messages.SearcherState] = {}
-        self.blame = poison.Blame()
+        self.blame = poison.CrashAttributions()
         self.running = 0
 
     def get_searcher_states(self) -> dict[str, messages.SearcherState]:
--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -88,7 +88,7 @@
     until_s: float = 0.0
 
 
-class Blame:
+class CrashAttributions:
     """Crashes and quarantines by request fingerprint, bounded in size."""
 
     __slots__ = ("_attributions", "_crashes", "_remote_until_s")
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -13,7 +13,7 @@
 
 
 def record(
-    table: poison.Blame,
+    table: poison.CrashAttributions,
     at_s: float,
     *fingerprints: int,
     server: str = "",
@@ -32,7 +32,7 @@
 
 
 def test_one_crash_is_attributed_to_all_requests_in_flight() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     record(table, 10.0, BAD, GOOD)
 
     assert [table.count_crashes(f, 10.0) for f in (BAD, GOOD, OTHER)] == [
@@ -44,7 +44,7 @@
 
 
 def test_a_crash_in_a_second_incident_starts_the_quarantine() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     record(table, 10.0, BAD, GOOD)
     record(table, 20.0, BAD)
 
@@ -54,7 +54,7 @@
 
 
 def test_requests_beside_a_known_suspect_get_no_crash() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     record(table, 10.0, BAD)
     record(table, 20.0, BAD, GOOD, OTHER)
 
@@ -65,7 +65,7 @@
 
 
 def test_one_crash_after_the_quarantine_starts_another_one() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     record(table, 10.0, BAD)
     record(table, 20.0, BAD)
     after_s = 21.0 + QUARANTINE_S
@@ -78,7 +78,7 @@
 
 def test_crashes_of_one_incident_cause_only_a_short_quarantine() -> None:
     """A power failure stops ten servers at once while one query runs on all."""
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     for number in range(10):
         record(table, 10.0 + number / 100, GOOD, server=f"server-{number}")
 
@@ -87,7 +87,7 @@
 
 
 def test_two_suspects_of_the_same_crashes_get_a_short_quarantine() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     record(table, 10.0, BAD, GOOD)
     record(table, 20.0, BAD, GOOD)
 
@@ -97,7 +97,7 @@
 
 
 def test_a_success_does_not_clear_crashes_of_two_incidents() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     record(table, 10.0, BAD, GOOD)
     table.record_success(GOOD)
     cleared = table.count_crashes(GOOD, 10.0)
@@ -110,7 +110,7 @@
 
 def test_notices_from_two_owners_of_a_server_are_one_crash() -> None:
     """The owners of a server's two searchers both send a notice."""
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     record(table, 10.0, BAD, server="x", searcher="x-a")
     record(table, 10.2, BAD, server="x", searcher="x-b")
 
@@ -119,7 +119,7 @@
 
 
 def test_a_repeated_notice_is_counted_once() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
 
     assert record(table, 10.0, BAD)
     assert not record(table, 10.0, BAD)
@@ -127,7 +127,7 @@
 
 
 def test_a_quarantine_announced_by_another_vm_is_applied() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     table.apply_remote_quarantine(BAD, 5000, 10.0)
 
     assert table.get_quarantine_ms(BAD, 12.0) == 3000
@@ -137,14 +137,14 @@
 
 
 def test_old_crashes_expire() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     record(table, 10.0, BAD)
 
     assert table.count_crashes(BAD, 11.0 + poison.CRASH_RETENTION_S) == 0
 
 
 def test_the_table_s_size_is_bounded() -> None:
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     rng = random.Random(1)
     for number in range(400):
         random_fingerprints = {rng.getrandbits(64) for _ in range(100)}
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_poison_request_is_identified_among_others(seed: int) -> None:
     """Each crash has the poison request and two random others in flight."""
-    table = poison.Blame()
+    table = poison.CrashAttributions()
     rng = random.Random(seed)
     record(table, 0.0, BAD, *rng.sample(range(10, 60), 2))
     record(table, 5.0, BAD, *rng.sample(range(60, 99), 2))
