--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -115,7 +115,7 @@
         crashed_s = self._crashed_s.get(owned.place.server.name)
         if (
             crashed_s is not None
-            and now_s - crashed_s <= poison.MERGE_S
+            and now_s - crashed_s <= poison.INCIDENT_WINDOW_S
             and self.is_suspect(part)
         ):
             # Another crash of the same server this soon would be merged with
--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -23,7 +23,7 @@
 import collections
 import dataclasses
 
-MERGE_S = 1.0
+INCIDENT_WINDOW_S = 1.0
 """Crashes closer together than this, in seconds, belong to one incident.
 Notices about one server within this time, sent by the owners of different
 searchers, are counted as one crash."""
@@ -219,7 +219,7 @@
     ) -> Crash | None:
         """Finds the crash if another searcher's owner has reported it."""
         for crash in reversed(self._crashes):
-            if now_s - crash.at_s > MERGE_S:
+            if now_s - crash.at_s > INCIDENT_WINDOW_S:
                 return None
             if crash.server == server and searcher not in crash.searchers:
                 return crash
@@ -261,7 +261,10 @@
     attribution: Attribution, at_s: float, quarantine_s: float
 ) -> None:
     """Adds one crash to an attribution and extends its quarantine."""
-    if attribution.crashes == 0 or at_s - attribution.last_s > MERGE_S:
+    if (
+        attribution.crashes == 0
+        or at_s - attribution.last_s > INCIDENT_WINDOW_S
+    ):
         attribution.incidents += 1
     attribution.crashes += 1
     attribution.last_s = at_s
