--- a/src/azureramp/controllers/store_link.py
+++ b/src/azureramp/controllers/store_link.py
@@ -177,7 +177,7 @@
         self._cursor = max(self._cursor, listing.revision)
         if revision > 0 and not self._differs(decoded):
             return []
-        return self._copy.take_whole(
+        return self._copy.apply_snapshot(
             decoded.entries, decoded.keys, listing.revision
         )
 
--- a/src/azureramp/policy/propagation.py
+++ b/src/azureramp/policy/propagation.py
@@ -57,7 +57,7 @@
         self.configuration = resources.Configuration()
         self.floor = 0
 
-    def take_whole(
+    def apply_snapshot(
         self,
         entries: Iterable[resources.Versioned],
         present: Collection[Key],
@@ -169,7 +169,7 @@
         """
         if part.after == 0:
             present = {(entry.kind, entry.name) for entry in part.entries}
-            return self.take_whole(part.entries, present, part.revision)
+            return self.apply_snapshot(part.entries, present, part.revision)
         return self.take_changes(part.entries, part.after, part.revision)
 
     def _drop_tombstones(self) -> None:
--- a/tests/policy/test_propagation.py
+++ b/tests/policy/test_propagation.py
@@ -21,7 +21,7 @@
     copy = propagation.Copy()
     present = {(entry.kind, entry.name) for entry in entries}
     revision = max(entry.revision for entry in entries)
-    copy.take_whole(entries, present, revision)
+    copy.apply_snapshot(entries, present, revision)
     return copy
 
 
@@ -36,7 +36,7 @@
 def test_an_outdated_complete_configuration_is_ignored() -> None:
     copy = make_copy(make_entry("a", 5), make_entry("b", 9))
 
-    assert copy.take_whole([make_entry("a", 3)], {(KIND, "a")}, 7) == []
+    assert copy.apply_snapshot([make_entry("a", 3)], {(KIND, "a")}, 7) == []
     assert get_revisions(copy) == {"a": 5, "b": 9}
 
 
@@ -44,7 +44,7 @@
     copy = make_copy(make_entry("a", 5), make_entry("b", 6))
     copy.apply_newer([make_entry("c", 12)])
 
-    copy.take_whole([make_entry("a", 5)], {(KIND, "a")}, 10)
+    copy.apply_snapshot([make_entry("a", 5)], {(KIND, "a")}, 10)
 
     assert get_revisions(copy) == {"a": 5, "c": 12}
     assert copy.configuration.revision == 10
