--- a/src/azureramp/controllers/store_link.py
+++ b/src/azureramp/controllers/store_link.py
@@ -214,7 +214,7 @@
         revision = max(entry.revision for entry in listing.entries)
         # The watch returns all changes after the cursor, and no resource has
         # changed between the copy's revision and the cursor.
-        return self._copy.take_changes(
+        return self._copy.apply_changes(
             decode(listing).entries, self._copy.configuration.revision, revision
         )
 
--- a/src/azureramp/policy/propagation.py
+++ b/src/azureramp/policy/propagation.py
@@ -92,7 +92,7 @@
         self.floor = revision
         return changed
 
-    def take_changes(
+    def apply_changes(
         self, entries: Iterable[resources.Versioned], after: int, revision: int
     ) -> list[resources.Versioned]:
         """Applies all changes between two revisions.
@@ -170,7 +170,7 @@
         if part.after == 0:
             present = {(entry.kind, entry.name) for entry in part.entries}
             return self.apply_snapshot(part.entries, present, part.revision)
-        return self.take_changes(part.entries, part.after, part.revision)
+        return self.apply_changes(part.entries, part.after, part.revision)
 
     def _drop_tombstones(self) -> None:
         """Drops the oldest deleted entries beyond the limit.
--- a/tests/policy/test_propagation.py
+++ b/tests/policy/test_propagation.py
@@ -52,20 +52,20 @@
 
 def test_a_late_message_does_not_restore_a_deleted_entry() -> None:
     copy = make_copy(make_entry("a", 5), make_entry("b", 6))
-    copy.take_changes([make_entry("a", 8, deleted=True)], 6, 8)
+    copy.apply_changes([make_entry("a", 8, deleted=True)], 6, 8)
     del copy.configuration.entries[(KIND, "a")]
 
-    assert copy.take_changes([make_entry("a", 7)], 6, 7) == []
+    assert copy.apply_changes([make_entry("a", 7)], 6, 7) == []
     assert get_revisions(copy) == {"b": 6}
 
 
 def test_changes_after_a_gap_apply_without_a_new_revision() -> None:
     copy = make_copy(make_entry("a", 5))
 
-    assert copy.take_changes([make_entry("b", 9)], 8, 9)
+    assert copy.apply_changes([make_entry("b", 9)], 8, 9)
     assert get_revisions(copy) == {"a": 5, "b": 9}
     assert copy.configuration.revision == 5
-    copy.take_changes([make_entry("c", 7), make_entry("b", 9)], 5, 9)
+    copy.apply_changes([make_entry("c", 7), make_entry("b", 9)], 5, 9)
     assert copy.configuration.revision == 9
     assert get_revisions(copy) == {"a": 5, "b": 9, "c": 7}
 
@@ -75,7 +75,7 @@
     after: int, whole: bool
 ) -> None:
     copy = make_copy(make_entry("a", 5))
-    copy.take_changes([make_entry("a", 6, deleted=True)], 5, 6)
+    copy.apply_changes([make_entry("a", 6, deleted=True)], 5, 6)
 
     part = copy.select_since(after)
 
@@ -91,7 +91,7 @@
     for number in range(10):
         revision = 6 + number
         deletion = make_entry(f"n{number}", revision, deleted=True)
-        copy.take_changes([deletion], revision - 1, revision)
+        copy.apply_changes([deletion], revision - 1, revision)
 
     assert len(copy.configuration.entries) <= 5
     assert copy.select_since(7).after == 0
