--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -182,7 +182,7 @@
         part = propagation.Part(
             message.after, message.revision, message.entries
         )
-        self._announce_changes(self._copy.take_part(part), sender)
+        self._announce_changes(self._copy.apply_update(part), sender)
 
     def _announce_from_store(
         self, changed: Sequence[resources.Versioned], before: int
--- a/src/azureramp/policy/propagation.py
+++ b/src/azureramp/policy/propagation.py
@@ -161,7 +161,7 @@
             0 if whole else after, self.configuration.revision, tuple(entries)
         )
 
-    def take_part(self, part: Part) -> list[resources.Versioned]:
+    def apply_update(self, part: Part) -> list[resources.Versioned]:
         """Applies an update from another copy; see `select_since`.
 
         Returns:
