--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -131,7 +131,7 @@
 
     def select_since(self, after: int) -> propagation.Part:
         """Selects the changes since a revision, or the full configuration."""
-        return self._copy.select_since(after)
+        return self._copy.make_update(after)
 
     async def put(
         self,
@@ -261,7 +261,7 @@
 
     def _send_since(self, after: int, receivers: Sequence[str]) -> None:
         """Sends the changes since a revision."""
-        part = self._copy.select_since(after)
+        part = self._copy.make_update(after)
         now_s = asyncio.get_running_loop().time()
         message = messages.ConfigurationUpdate(
             revision=part.revision,
--- a/src/azureramp/policy/propagation.py
+++ b/src/azureramp/policy/propagation.py
@@ -140,7 +140,7 @@
         current.update(newest)
         return sorted(newest.values(), key=lambda entry: entry.revision)
 
-    def select_since(self, after: int) -> Part:
+    def make_update(self, after: int) -> Part:
         """Selects the entries that a copy at some revision lacks.
 
         Args:
@@ -162,7 +162,7 @@
         )
 
     def apply_update(self, part: Part) -> list[resources.Versioned]:
-        """Applies an update from another copy; see `select_since`.
+        """Applies an update from another copy; see `make_update`.
 
         Returns:
             The entries that came into force.
--- a/tests/policy/test_propagation.py
+++ b/tests/policy/test_propagation.py
@@ -77,7 +77,7 @@
     copy = make_copy(make_entry("a", 5))
     copy.apply_changes([make_entry("a", 6, deleted=True)], 5, 6)
 
-    part = copy.select_since(after)
+    part = copy.make_update(after)
 
     assert (part.after == 0) is whole
     assert len(part.entries) == (0 if whole else 1)
@@ -94,8 +94,8 @@
         copy.apply_changes([deletion], revision - 1, revision)
 
     assert len(copy.configuration.entries) <= 5
-    assert copy.select_since(7).after == 0
-    assert copy.select_since(copy.floor).after == copy.floor
+    assert copy.make_update(7).after == 0
+    assert copy.make_update(copy.floor).after == copy.floor
 
 
 @pytest.mark.parametrize("size", [1, 2, 8, 68])
