--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -81,7 +81,7 @@
         """Creates a controller without a configuration; see `run`."""
         self._board = board
         self._outbox = outbox
-        self._copy = propagation.Copy()
+        self._copy = propagation.ConfigurationCopy()
         self._link = store_link.StoreLink(board, self._copy, store)
         self._majority = majority.Majority(board)
         self._serving = serving.make(board)
--- a/src/azureramp/controllers/store_link.py
+++ b/src/azureramp/controllers/store_link.py
@@ -113,7 +113,7 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        copy: propagation.Copy,
+        copy: propagation.ConfigurationCopy,
         store: store_api.Store,
     ) -> None:
         """Creates a link for one VM's copy."""
--- a/src/azureramp/controllers/writing.py
+++ b/src/azureramp/controllers/writing.py
@@ -46,7 +46,7 @@
         self,
         board: blackboard.Blackboard,
         store: store_api.Store,
-        copy: propagation.Copy,
+        copy: propagation.ConfigurationCopy,
         link: store_link.StoreLink,
         majority_contact: majority.Majority,
         apply: ApplyEntries,
--- a/src/azureramp/policy/propagation.py
+++ b/src/azureramp/policy/propagation.py
@@ -40,7 +40,7 @@
     entries: tuple[resources.Versioned, ...]
 
 
-class Copy:
+class ConfigurationCopy:
     """One VM's copy of the configuration.
 
     Attributes:
--- a/tests/controllers/test_propagation_machine.py
+++ b/tests/controllers/test_propagation_machine.py
@@ -39,7 +39,8 @@
     """With this broken policy, late messages replace newer entries."""
 
     def apply_all(
-        self: propagation.Copy, entries: Iterable[resources.Versioned]
+        self: propagation.ConfigurationCopy,
+        entries: Iterable[resources.Versioned],
     ) -> list[resources.Versioned]:
         taken = list(entries)
         for entry in taken:
@@ -47,6 +48,6 @@
             self.configuration.entries[key] = entry
         return taken
 
-    monkeypatch.setattr(propagation.Copy, "apply_newer", apply_all)
+    monkeypatch.setattr(propagation.ConfigurationCopy, "apply_newer", apply_all)
     with pytest.raises(AssertionError, match="Failing test case"):
         run(30)
--- a/tests/policy/test_propagation.py
+++ b/tests/policy/test_propagation.py
@@ -17,15 +17,15 @@
     return resources.Versioned(zone, KIND, name, revision)
 
 
-def make_copy(*entries: resources.Versioned) -> propagation.Copy:
-    copy = propagation.Copy()
+def make_copy(*entries: resources.Versioned) -> propagation.ConfigurationCopy:
+    copy = propagation.ConfigurationCopy()
     present = {(entry.kind, entry.name) for entry in entries}
     revision = max(entry.revision for entry in entries)
     copy.apply_snapshot(entries, present, revision)
     return copy
 
 
-def get_revisions(copy: propagation.Copy) -> dict[str, int]:
+def get_revisions(copy: propagation.ConfigurationCopy) -> dict[str, int]:
     return {
         name: entry.revision
         for (_, name), entry in copy.configuration.entries.items()
