--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -129,7 +129,7 @@
         """
         return self._majority.acceptance.get_accepted_s(revision)
 
-    def select_since(self, after: int) -> propagation.Part:
+    def select_since(self, after: int) -> propagation.Update:
         """Selects the changes since a revision, or the full configuration."""
         return self._copy.make_update(after)
 
@@ -179,7 +179,7 @@
         self, sender: str, message: messages.ConfigurationUpdate
     ) -> None:
         """Applies entries received from a peer."""
-        part = propagation.Part(
+        part = propagation.Update(
             message.after, message.revision, message.entries
         )
         self._announce_changes(self._copy.apply_update(part), sender)
--- a/src/azureramp/policy/propagation.py
+++ b/src/azureramp/policy/propagation.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Part:
+class Update:
     """An update that one copy sends to another.
 
     Attributes:
@@ -140,7 +140,7 @@
         current.update(newest)
         return sorted(newest.values(), key=lambda entry: entry.revision)
 
-    def make_update(self, after: int) -> Part:
+    def make_update(self, after: int) -> Update:
         """Selects the entries that a copy at some revision lacks.
 
         Args:
@@ -157,11 +157,11 @@
             if (entry.resource is not None if whole else entry.revision > after)
         ]
         entries.sort(key=lambda entry: entry.revision)
-        return Part(
+        return Update(
             0 if whole else after, self.configuration.revision, tuple(entries)
         )
 
-    def apply_update(self, part: Part) -> list[resources.Versioned]:
+    def apply_update(self, part: Update) -> list[resources.Versioned]:
         """Applies an update from another copy; see `make_update`.
 
         Returns:
