--- a/src/azureramp/policy/queues.py
+++ b/src/azureramp/policy/queues.py
@@ -20,13 +20,13 @@
     Attributes:
         priority: The request's priority.
         deadline_s: When the caller stops waiting for the result.
-        end_s: When the item expires from the queue; at most `deadline_s`.
+        expires_s: When the item expires from the queue; at most `deadline_s`.
         content: The item itself.
     """
 
     priority: resources.Priority
     deadline_s: float
-    end_s: float
+    expires_s: float
     content: _T
 
     def get_rank(self) -> tuple[int, float]:
@@ -67,7 +67,7 @@
             within its limit.
         """
         self._sequence += 1
-        self._first_end_s = min(self._first_end_s, waiting.end_s)
+        self._first_end_s = min(self._first_end_s, waiting.expires_s)
         entry = (waiting.get_rank(), self._sequence, waiting)
         heapq.heappush(self._heap, entry)
         if len(self._heap) <= limit:
@@ -97,9 +97,11 @@
         """
         if now_s < self._first_end_s:
             return []
-        expired = self._remove_matching(lambda waiting: waiting.end_s <= now_s)
+        expired = self._remove_matching(
+            lambda waiting: waiting.expires_s <= now_s
+        )
         self._first_end_s = min(
-            (entry[2].end_s for entry in self._heap), default=math.inf
+            (entry[2].expires_s for entry in self._heap), default=math.inf
         )
         return expired
 
