--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -132,11 +132,11 @@
         """Starts as many queued sub-requests as there are free slots."""
         now_s = _now_s()
         for expired in owned.queue.expire(now_s):
-            self.fail(expired.content, self._rules.make_overloaded(owned))
+            self.fail(expired.item, self._rules.make_overloaded(owned))
         if not len(owned.queue) or not self._rules.may_start(owned):
             return
         while (waiting := owned.queue.peek()) is not None:
-            part = waiting.content
+            part = waiting.item
             if not owned.has_room(part, now_s):
                 return
             owned.queue.pop()
@@ -151,7 +151,7 @@
     ) -> None:
         """Fails all sub-requests that wait for a searcher, without sending."""
         for waiting in owned.queue.clear():
-            self.fail(waiting.content, failure)
+            self.fail(waiting.item, failure)
         for part in self._trials.pop_all_of_searcher(owned.get_name()):
             self.fail(part, failure)
 
@@ -173,7 +173,7 @@
         )
         dropped = owned.queue.push(waiting, policy.queue_limit)
         if dropped is not None:
-            self.fail(dropped.content, self._rules.make_overloaded(owned))
+            self.fail(dropped.item, self._rules.make_overloaded(owned))
 
     def _start(self, owned: OwnedSearcher, part: Part) -> None:
         """Starts a sub-request in its own task.
--- a/src/azureramp/policy/queues.py
+++ b/src/azureramp/policy/queues.py
@@ -21,13 +21,13 @@
         priority: The request's priority.
         deadline_s: When the caller stops waiting for the result.
         expires_s: When the item expires from the queue; at most `deadline_s`.
-        content: The item itself.
+        item: The item itself.
     """
 
     priority: resources.Priority
     deadline_s: float
     expires_s: float
-    content: _T
+    item: _T
 
     def get_rank(self) -> tuple[int, float]:
         """Returns the sort key; the lowest is dispatched first."""
@@ -108,7 +108,7 @@
     def remove(self, content: _T) -> bool:
         """Removes an item; returns False if it is not in the queue."""
         return bool(
-            self._remove_matching(lambda waiting: waiting.content is content)
+            self._remove_matching(lambda waiting: waiting.item is content)
         )
 
     def clear(self) -> list[Waiting[_T]]:
