--- a/src/azureramp/policy/queues.py
+++ b/src/azureramp/policy/queues.py
@@ -29,7 +29,7 @@
     expires_s: float
     item: _T
 
-    def get_rank(self) -> tuple[int, float]:
+    def get_sort_key(self) -> tuple[int, float]:
         """Returns the sort key; the lowest is dispatched first."""
         return (int(self.priority), self.deadline_s)
 
@@ -68,7 +68,7 @@
         """
         self._sequence += 1
         self._first_end_s = min(self._first_end_s, waiting.expires_s)
-        entry = (waiting.get_rank(), self._sequence, waiting)
+        entry = (waiting.get_sort_key(), self._sequence, waiting)
         heapq.heappush(self._heap, entry)
         if len(self._heap) <= limit:
             return None
