--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -168,7 +168,7 @@
         """Adds a sub-request to its searcher's queue."""
         policy = self._directory.get_policy()
         end_s = min(part.deadline_s, _now_s() + policy.queue_ms / 1000)
-        waiting = queues.Waiting(
+        waiting = queues.QueuedItem(
             part.batch.priority, part.deadline_s, end_s, part
         )
         dropped = owned.queue.push(waiting, policy.queue_limit)
--- a/src/azureramp/policy/queues.py
+++ b/src/azureramp/policy/queues.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Waiting(Generic[_T]):
+class QueuedItem(Generic[_T]):
     """A queued item.
 
     Attributes:
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         """Creates an empty queue."""
-        self._heap: list[tuple[tuple[int, float], int, Waiting[_T]]] = []
+        self._heap: list[tuple[tuple[int, float], int, QueuedItem[_T]]] = []
         self._sequence = 0
         self._first_end_s = math.inf
 
@@ -55,7 +55,9 @@
         """Returns the number of queued items."""
         return len(self._heap)
 
-    def push(self, waiting: Waiting[_T], limit: int) -> Waiting[_T] | None:
+    def push(
+        self, waiting: QueuedItem[_T], limit: int
+    ) -> QueuedItem[_T] | None:
         """Adds an item; beyond the limit the last item in order is evicted.
 
         Args:
@@ -77,11 +79,11 @@
         heapq.heapify(self._heap)
         return worst[2]
 
-    def peek(self) -> Waiting[_T] | None:
+    def peek(self) -> QueuedItem[_T] | None:
         """Returns the next item without removing it; None if empty."""
         return self._heap[0][2] if self._heap else None
 
-    def pop(self) -> Waiting[_T]:
+    def pop(self) -> QueuedItem[_T]:
         """Removes and returns the next item.
 
         Raises:
@@ -89,7 +91,7 @@
         """
         return heapq.heappop(self._heap)[2]
 
-    def expire(self, now_s: float) -> list[Waiting[_T]]:
+    def expire(self, now_s: float) -> list[QueuedItem[_T]]:
         """Removes and returns the expired items, in order.
 
         Args:
@@ -111,7 +113,7 @@
             self._remove_matching(lambda waiting: waiting.item is content)
         )
 
-    def clear(self) -> list[Waiting[_T]]:
+    def clear(self) -> list[QueuedItem[_T]]:
         """Removes and returns all items, in order."""
         return self._remove_matching(lambda waiting: True)
 
@@ -124,8 +126,8 @@
         return sum(entry[2].priority <= priority for entry in self._heap)
 
     def _remove_matching(
-        self, matches: Callable[[Waiting[_T]], bool]
-    ) -> list[Waiting[_T]]:
+        self, matches: Callable[[QueuedItem[_T]], bool]
+    ) -> list[QueuedItem[_T]]:
         """Removes and returns the items that match a predicate, in order."""
         removed = [entry for entry in self._heap if matches(entry[2])]
         if removed:
