--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -55,7 +55,7 @@
         searcher = place.searcher
         self.place = place
         self.ramp = ramps.Ramp(searcher.slots, searcher.cold_limit)
-        self.queue: queues.Queue[Part] = queues.Queue()
+        self.queue: queues.PriorityQueue[Part] = queues.PriorityQueue()
         self.running: dict[tuple[str, int], Part] = {}
         self.health: searchers_api.Health | None = None
         self.reachable = False
--- a/src/azureramp/policy/queues.py
+++ b/src/azureramp/policy/queues.py
@@ -34,7 +34,7 @@
         return (int(self.priority), self.deadline_s)
 
 
-class Queue(Generic[_T]):
+class PriorityQueue(Generic[_T]):
     """A queue bounded in length and in waiting time.
 
     Priority is strict: deferrable work is never dispatched while more urgent
