--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -99,7 +99,7 @@
         """Continues with the state that the former owner handed off."""
         message = received.message
         if message.incarnation:
-            owned.ramp.resume(message.limit, message.service_ms, message.slow)
+            owned.ramp.restore(message.limit, message.service_ms, message.slow)
             # Treated as reachable, so that no coordinator finds it unusable
             # in the meantime. Nothing is sent until the first health read has
             # compared the incarnation with this one.
--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -117,7 +117,7 @@
         self.epoch = 0
         self.held = False
 
-    def resume(self, limit: int, usual_ms: float, slow: int = 0) -> None:
+    def restore(self, limit: int, usual_ms: float, slow: int = 0) -> None:
         """Continues from the state of another owner's ramp.
 
         Without it, a searcher that turned cold shortly before a handoff would
--- a/tests/policy/test_ramps.py
+++ b/tests/policy/test_ramps.py
@@ -17,7 +17,7 @@
 
 def make_warm(slots: int = 4, cold_limit: int = 1) -> ramps.Ramp:
     ramp = ramps.Ramp(slots, cold_limit)
-    ramp.resume(slots, USUAL_MS)
+    ramp.restore(slots, USUAL_MS)
     for _ in range(ramps.MEDIAN_WINDOW):
         ramp.succeed(USUAL_MS, ramp.epoch)
     return ramp
@@ -83,7 +83,7 @@
         ramp.succeed(USUAL_MS * factor * rng.lognormvariate(0, 0.2), ramp.epoch)
         resets += ramp.state is ramps.State.COLD
         if ramp.state is ramps.State.COLD:
-            ramp.resume(4, USUAL_MS)
+            ramp.restore(4, USUAL_MS)
 
     assert resets == 0
 
@@ -127,7 +127,7 @@
     for _ in range(2):
         before.succeed(COLD_MS, before.epoch)
     after = ramps.Ramp(4, 1)
-    after.resume(before.limit, USUAL_MS, before.count_slow())
+    after.restore(before.limit, USUAL_MS, before.count_slow())
     after.succeed(COLD_MS, after.epoch)
 
     assert after.state is ramps.State.COLD
