--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -168,7 +168,7 @@
         owned.confirmed_lost = before.lost
         self._apply_reported_cold(owned, health.cold)
         if owned.is_cold():
-            owned.ramp.adopt_usual(self._get_usual_of_others(owned))
+            owned.ramp.set_default_usual_ms(self._get_usual_of_others(owned))
 
     def _handle_probe_failure(
         self, owned: OwnedSearcher, failure: errors.Failure, began_s: float
--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -145,7 +145,7 @@
         else:
             self.limit = min(self.limit, slots)
 
-    def adopt_usual(self, usual_ms: float) -> None:
+    def set_default_usual_ms(self, usual_ms: float) -> None:
         """Uses other searchers' usual service time if this one has none.
 
         Args:
--- a/tests/policy/test_ramps.py
+++ b/tests/policy/test_ramps.py
@@ -200,7 +200,7 @@
         self.cold_limit = 2
         self.slots = 8
         self.ramp = ramps.Ramp(self.slots, self.cold_limit)
-        self.ramp.adopt_usual(USUAL_MS)
+        self.ramp.set_default_usual_ms(USUAL_MS)
         self.cold = True
         self.running: list[int] = []
 
