--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -109,7 +109,7 @@
         """Treats a searcher as unreachable until its next health report."""
         if owned.reachable:
             owned.reachable = False
-            owned.ramp.turn_cold(reason)
+            owned.ramp.reset_to_cold(reason)
         self.record_state(owned)
 
     def record_state(self, owned: OwnedSearcher) -> None:
@@ -159,9 +159,9 @@
             owned_searcher.UNCONFIRMED,
         )
         if known is not None and known.incarnation != health.incarnation:
-            owned.ramp.turn_cold("incarnation")
+            owned.ramp.reset_to_cold("incarnation")
         elif known is not None and owned.reachable and lost_all:
-            owned.ramp.turn_cold("lost")
+            owned.ramp.reset_to_cold("lost")
         owned.health = health
         owned.missed_reads = 0
         owned.reachable = True
--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -174,7 +174,7 @@
             return max(self._usual_ms, statistics.median_low(latest))
         return self.get_usual_ms()
 
-    def turn_cold(self, reason: str) -> None:
+    def reset_to_cold(self, reason: str) -> None:
         """Resets the ramp to the cold limit.
 
         Args:
@@ -237,7 +237,7 @@
         if self.state is State.COLD:
             self.limit = max(1, self.limit // 2)
         elif self._failures >= FAILURES_TO_RESET:
-            self.turn_cold("failures")
+            self.reset_to_cold("failures")
 
     def _record_warm_success(self, took_ms: float) -> None:
         """Records the latency of a warm searcher's success."""
@@ -258,7 +258,7 @@
         """Records whether a call was slow; resets to cold after several."""
         self._slow.append(slow)
         if sum(self._slow) >= SLOW_CALLS_TO_RESET:
-            self.turn_cold("latency")
+            self.reset_to_cold("latency")
 
     def _record_cold_success(self, took_ms: float) -> None:
         """Records the latency of a cold searcher's success."""
--- a/tests/controllers/test_handoffs.py
+++ b/tests/controllers/test_handoffs.py
@@ -220,7 +220,7 @@
         calls = searcher.calls
         bench.send("s1", request_id="late")
         await asyncio.sleep(0.003)
-        bench.owner._holdings.owned["s1"].ramp.turn_cold("latency")
+        bench.owner._holdings.owned["s1"].ramp.reset_to_cold("latency")
         await asyncio.sleep(0.5)
 
         assert bench.get_kinds()["late"] == errors.Kind.COLD.value
--- a/tests/policy/test_ramps.py
+++ b/tests/policy/test_ramps.py
@@ -31,7 +31,7 @@
 
 def test_the_limit_doubles_after_that_many_normal_successes() -> None:
     ramp = make_warm(slots=8)
-    ramp.turn_cold("incarnation")
+    ramp.reset_to_cold("incarnation")
     limits = []
     for _ in range(1 + 2 + 4):
         limits.append(ramp.limit)
@@ -43,7 +43,7 @@
 
 def test_slow_successes_do_not_raise_the_limit() -> None:
     ramp = make_warm()
-    ramp.turn_cold("incarnation")
+    ramp.reset_to_cold("incarnation")
     for _ in range(ramps.RELEARNING_CALLS - 1):
         ramp.succeed(COLD_MS, ramp.epoch)
 
@@ -52,7 +52,7 @@
 
 def test_a_failure_halves_the_limit_of_a_ramp() -> None:
     ramp = make_warm(slots=8)
-    ramp.turn_cold("incarnation")
+    ramp.reset_to_cold("incarnation")
     for _ in range(3):
         ramp.succeed(USUAL_MS, ramp.epoch)
     ramp.fail(ramp.epoch)
@@ -144,7 +144,7 @@
 def test_calls_of_an_earlier_epoch_are_ignored() -> None:
     ramp = make_warm()
     before = ramp.epoch
-    ramp.turn_cold("latency")
+    ramp.reset_to_cold("latency")
     for _ in range(10):
         ramp.succeed(USUAL_MS, before)
 
@@ -166,7 +166,7 @@
 def test_a_permanent_change_of_latency_does_not_block_the_ramp() -> None:
     """A larger index version makes all calls permanently 3.5 times as slow."""
     ramp = make_warm(slots=2)
-    ramp.turn_cold("latency")
+    ramp.reset_to_cold("latency")
     for _ in range(ramps.RELEARNING_CALLS + 2):
         ramp.succeed(USUAL_MS * 3.5, ramp.epoch)
 
@@ -176,7 +176,7 @@
 def test_a_cold_report_delays_only_a_ramp_without_usual_latency() -> None:
     unknown = ramps.Ramp(slots=2, cold_limit=1)
     known = make_warm(slots=2)
-    known.turn_cold("lost")
+    known.reset_to_cold("lost")
     for ramp in (unknown, known):
         ramp.held = True
         for _ in range(40):
@@ -235,7 +235,7 @@
         """Restarts the searcher; its calls are lost, and the owner knows it."""
         self.cold = True
         self.running.clear()
-        self.ramp.turn_cold("incarnation")
+        self.ramp.reset_to_cold("incarnation")
 
     @stateful.rule()
     def warm_up(self) -> None:
