--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -73,7 +73,7 @@
         """Handles a complete reply."""
         owned.succeeded_s = asyncio.get_running_loop().time()
         took_ms = (owned.succeeded_s - part.sent_s) * 1000
-        owned.ramp.succeed(took_ms, part.epoch)
+        owned.ramp.record_success(took_ms, part.epoch)
         self._detector.record_success(part)
         self._board.metrics.record_ms("searcher.took_ms", took_ms)
         return messages.PartDone(
--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -192,7 +192,7 @@
         self.reason = reason
         self.epoch += 1
 
-    def succeed(self, took_ms: float, epoch: int) -> None:
+    def record_success(self, took_ms: float, epoch: int) -> None:
         """Records a successful call.
 
         Args:
@@ -229,7 +229,7 @@
                 self._record_speed(True)
 
     def fail(self, epoch: int) -> None:
-        """Records a failed or shed call; see `succeed`."""
+        """Records a failed or shed call; see `record_success`."""
         if epoch != self.epoch:
             return
         self._streak = 0
--- a/tests/policy/test_ramps.py
+++ b/tests/policy/test_ramps.py
@@ -19,7 +19,7 @@
     ramp = ramps.Ramp(slots, cold_limit)
     ramp.restore(slots, USUAL_MS)
     for _ in range(ramps.MEDIAN_WINDOW):
-        ramp.succeed(USUAL_MS, ramp.epoch)
+        ramp.record_success(USUAL_MS, ramp.epoch)
     return ramp
 
 
@@ -35,7 +35,7 @@
     limits = []
     for _ in range(1 + 2 + 4):
         limits.append(ramp.limit)
-        ramp.succeed(USUAL_MS, ramp.epoch)
+        ramp.record_success(USUAL_MS, ramp.epoch)
 
     assert limits == [1, 2, 2, 4, 4, 4, 4]
     assert (ramp.state, ramp.limit) == (ramps.State.WARM, 8)
@@ -45,7 +45,7 @@
     ramp = make_warm()
     ramp.reset_to_cold("incarnation")
     for _ in range(ramps.RELEARNING_CALLS - 1):
-        ramp.succeed(COLD_MS, ramp.epoch)
+        ramp.record_success(COLD_MS, ramp.epoch)
 
     assert ramp.limit == 1
 
@@ -54,7 +54,7 @@
     ramp = make_warm(slots=8)
     ramp.reset_to_cold("incarnation")
     for _ in range(3):
-        ramp.succeed(USUAL_MS, ramp.epoch)
+        ramp.record_success(USUAL_MS, ramp.epoch)
     ramp.fail(ramp.epoch)
 
     assert ramp.limit == 2
@@ -69,7 +69,7 @@
 ) -> None:
     ramp = make_warm()
     for _ in range(slow):
-        ramp.succeed(COLD_MS, ramp.epoch)
+        ramp.record_success(COLD_MS, ramp.epoch)
 
     assert ramp.state.value == state
 
@@ -80,7 +80,9 @@
     resets = 0
     for _ in range(20_000):
         factor = 10.0 if rng.random() < 0.01 else 1.0
-        ramp.succeed(USUAL_MS * factor * rng.lognormvariate(0, 0.2), ramp.epoch)
+        ramp.record_success(
+            USUAL_MS * factor * rng.lognormvariate(0, 0.2), ramp.epoch
+        )
         resets += ramp.state is ramps.State.COLD
         if ramp.state is ramps.State.COLD:
             ramp.restore(4, USUAL_MS)
@@ -125,10 +127,10 @@
     """
     before = make_warm()
     for _ in range(2):
-        before.succeed(COLD_MS, before.epoch)
+        before.record_success(COLD_MS, before.epoch)
     after = ramps.Ramp(4, 1)
     after.restore(before.limit, USUAL_MS, before.count_slow())
-    after.succeed(COLD_MS, after.epoch)
+    after.record_success(COLD_MS, after.epoch)
 
     assert after.state is ramps.State.COLD
 
@@ -146,7 +148,7 @@
     before = ramp.epoch
     ramp.reset_to_cold("latency")
     for _ in range(10):
-        ramp.succeed(USUAL_MS, before)
+        ramp.record_success(USUAL_MS, before)
 
     assert ramp.limit == 1
 
@@ -155,10 +157,10 @@
     ramp = ramps.Ramp(slots=4, cold_limit=1)
     falling = [100 * 0.8**step for step in range(16)]
     for took_ms in falling:
-        ramp.succeed(took_ms, ramp.epoch)
+        ramp.record_success(took_ms, ramp.epoch)
     while_falling = ramp.limit
     for _ in range(ramps.RELEARNING_CALLS):
-        ramp.succeed(USUAL_MS, ramp.epoch)
+        ramp.record_success(USUAL_MS, ramp.epoch)
 
     assert (while_falling, ramp.limit) == (1, 4)
 
@@ -168,7 +170,7 @@
     ramp = make_warm(slots=2)
     ramp.reset_to_cold("latency")
     for _ in range(ramps.RELEARNING_CALLS + 2):
-        ramp.succeed(USUAL_MS * 3.5, ramp.epoch)
+        ramp.record_success(USUAL_MS * 3.5, ramp.epoch)
 
     assert (ramp.state, ramp.limit) == (ramps.State.WARM, 2)
 
@@ -180,7 +182,7 @@
     for ramp in (unknown, known):
         ramp.held = True
         for _ in range(40):
-            ramp.succeed(USUAL_MS, ramp.epoch)
+            ramp.record_success(USUAL_MS, ramp.epoch)
 
     assert (unknown.limit, known.limit) == (1, 2)
 
@@ -216,7 +218,7 @@
         """Ends a call with a reply, slow if the searcher is cold."""
         epoch = self._end(data)
         took_ms = COLD_MS if self.cold else USUAL_MS
-        self.ramp.succeed(took_ms * share, epoch)
+        self.ramp.record_success(took_ms * share, epoch)
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(data=st.data())
