--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -91,7 +91,7 @@
         """Handles the failure of a call that the searcher may have got."""
         match failure.kind:
             case errors.Kind.CONNECTION_LOST:
-                owned.ramp.fail(part.epoch)
+                owned.ramp.record_failure(part.epoch)
                 if await self._detector.check_server(owned, part):
                     self._prober.mark_unreachable(owned, "crashed")
                     return errors.Failure(errors.Kind.BACKEND_CRASHED)
@@ -100,5 +100,5 @@
             case errors.Kind.VERSION_GONE:
                 self._prober.probe(owned)
             case _:
-                owned.ramp.fail(part.epoch)
+                owned.ramp.record_failure(part.epoch)
         return failure
--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -228,7 +228,7 @@
             if self.state is State.WARM:
                 self._record_speed(True)
 
-    def fail(self, epoch: int) -> None:
+    def record_failure(self, epoch: int) -> None:
         """Records a failed or shed call; see `record_success`."""
         if epoch != self.epoch:
             return
--- a/tests/policy/test_ramps.py
+++ b/tests/policy/test_ramps.py
@@ -55,7 +55,7 @@
     ramp.reset_to_cold("incarnation")
     for _ in range(3):
         ramp.record_success(USUAL_MS, ramp.epoch)
-    ramp.fail(ramp.epoch)
+    ramp.record_failure(ramp.epoch)
 
     assert ramp.limit == 2
 
@@ -138,7 +138,7 @@
 def test_consecutive_failures_reset_a_warm_searcher_to_cold() -> None:
     ramp = make_warm()
     for _ in range(ramps.FAILURES_TO_RESET):
-        ramp.fail(ramp.epoch)
+        ramp.record_failure(ramp.epoch)
 
     assert (ramp.state, ramp.reason) == (ramps.State.COLD, "failures")
 
@@ -224,7 +224,7 @@
     @stateful.rule(data=st.data())
     def fail(self, data: st.DataObject) -> None:
         """Ends a call with a failure."""
-        self.ramp.fail(self._end(data))
+        self.ramp.record_failure(self._end(data))
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(data=st.data(), after_ms=st.floats(1, 100))
