--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -62,7 +62,7 @@
     def handle_abandoned(self, owned: OwnedSearcher, part: Part) -> None:
         """Handles a call that was abandoned before its reply."""
         now_s = asyncio.get_running_loop().time()
-        owned.ramp.end_unanswered((now_s - part.sent_s) * 1000, part.epoch)
+        owned.ramp.record_cancelled((now_s - part.sent_s) * 1000, part.epoch)
         self._detector.record_abandoned(owned, part)
         if owned.is_cold():
             owned.abandoned_until_s.append(now_s + ABANDONED_CALL_S)
--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -208,7 +208,7 @@
             case State.COLD:
                 self._record_cold_success(took_ms)
 
-    def end_unanswered(self, after_ms: float, epoch: int) -> None:
+    def record_cancelled(self, after_ms: float, epoch: int) -> None:
         """Records a call that was cancelled before its reply.
 
         The slower call of a hedged pair is cancelled, so a searcher that turned
--- a/tests/policy/test_ramps.py
+++ b/tests/policy/test_ramps.py
@@ -97,10 +97,10 @@
     """
     ramp = make_warm()
     for _ in range(10):
-        ramp.end_unanswered(USUAL_MS, ramp.epoch)
+        ramp.record_cancelled(USUAL_MS, ramp.epoch)
     early = ramp.state
     for _ in range(3):
-        ramp.end_unanswered(USUAL_MS * 4, ramp.epoch)
+        ramp.record_cancelled(USUAL_MS * 4, ramp.epoch)
 
     assert (early, ramp.state) == (ramps.State.WARM, ramps.State.COLD)
 
@@ -114,7 +114,7 @@
     """
     ramp = make_warm()
     for _ in range(ramps.SLOW_CALLS_TO_RESET):
-        ramp.end_unanswered(USUAL_MS * 2.2, ramp.epoch)
+        ramp.record_cancelled(USUAL_MS * 2.2, ramp.epoch)
 
     assert (ramp.state, ramp.limit) == (ramps.State.COLD, 1)
 
@@ -230,7 +230,7 @@
     @stateful.rule(data=st.data(), after_ms=st.floats(1, 100))
     def give_up(self, data: st.DataObject, after_ms: float) -> None:
         """Cancels a call."""
-        self.ramp.end_unanswered(after_ms, self._end(data))
+        self.ramp.record_cancelled(after_ms, self._end(data))
 
     @stateful.rule()
     def restart(self) -> None:
