--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -77,7 +77,7 @@
         self._tokens -= amount
         return 0.0
 
-    def give_back(self, amount: float) -> None:
+    def put_back(self, amount: float) -> None:
         """Returns unused tokens to the bucket."""
         self._tokens += amount
 
@@ -146,7 +146,7 @@
         Args:
             stored_bytes: The record's size in the store, in bytes.
         """
-        self._bucket.give_back(max(MAX_RECORD_BYTES - stored_bytes, 0))
+        self._bucket.put_back(max(MAX_RECORD_BYTES - stored_bytes, 0))
 
 
 def get_burst_bytes(vms: int) -> float:
