--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -242,7 +242,7 @@
                 "the records' share of the store's writes is used up",
                 int(wait_s * 1000) + self._rng.randrange(*RETRY_JITTER_MS),
             )
-        wait_s = self._quota.take(now_s, vms)
+        wait_s = self._quota.reserve(now_s, vms)
         if wait_s:
             return errors.Failure(
                 errors.Kind.OVERLOADED,
--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -103,7 +103,7 @@
             vms: Number of VMs that share the store.
 
         Returns:
-            See `Bucket.take`.
+            See `Bucket.reserve`.
         """
         per_s = RECORDS_PER_S / max(vms, 1)
         most = max(per_s * BURST_S, 1.0)
@@ -126,7 +126,7 @@
         """Creates an unused quota."""
         self._bucket = Bucket()
 
-    def take(self, now_s: float, vms: int) -> float:
+    def reserve(self, now_s: float, vms: int) -> float:
         """Reserves the bytes for a record of maximum size.
 
         Args:
@@ -134,7 +134,7 @@
             vms: Number of VMs that share the store.
 
         Returns:
-            See `Bucket.take`.
+            See `Bucket.reserve`.
         """
         most = get_burst_bytes(vms)
         per_s = get_bytes_per_s(vms)
