--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -126,7 +126,7 @@
             outcome = await self._claimer.claim(store_key, claim)
         finally:
             if not isinstance(outcome, int):
-                self._quota.give_back(record_bounds.OVERHEAD_BYTES)
+                self._quota.release(record_bounds.OVERHEAD_BYTES)
                 self._outcomes.close_claim(claim.group)
         if isinstance(outcome, idempotency.Record):
             self._memory.cache_outcome(store_key, outcome, now_s)
@@ -228,7 +228,7 @@
         if outcome is not None:
             nonce = claimed.record.nonce
             stored += len(idempotency.encode_group({nonce: outcome}))
-        self._quota.give_back(stored)
+        self._quota.release(stored)
 
     def _check_limits(self, now_s: float) -> errors.Failure | None:
         """Returns a failure if a new claim would exceed a bound."""
--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -140,7 +140,7 @@
         per_s = get_bytes_per_s(vms)
         return self._bucket.take(MAX_RECORD_BYTES, now_s, per_s, most)
 
-    def give_back(self, stored_bytes: int) -> None:
+    def release(self, stored_bytes: int) -> None:
         """Returns the reserved bytes that a record did not use.
 
         Args:
