--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -138,7 +138,7 @@
             return verdict
         record = idempotency.with_outcome(record, outcomes.get(record.nonce))
         now_s = asyncio.get_running_loop().time()
-        age_s = self._observed.get_age_s(record.nonce, now_s)
+        age_s = self._observed.record_sighting(record.nonce, now_s)
         verdict = idempotency.judge(
             record, claim.nonce, claim.request_hash, age_s
         )
--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -172,7 +172,7 @@
             collections.OrderedDict()
         )
 
-    def get_age_s(self, nonce: str, now_s: float) -> float:
+    def record_sighting(self, nonce: str, now_s: float) -> float:
         """Records a claim and returns the time since its first sighting.
 
         Args:
