--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -235,7 +235,7 @@
         if self._memory.is_full(now_s):
             return errors.Failure(errors.Kind.OVERLOADED, "too many claims")
         vms = len(self._board.members)
-        wait_s = self._pace.take(now_s, vms)
+        wait_s = self._pace.acquire(now_s, vms)
         if wait_s:
             return errors.Failure(
                 errors.Kind.OVERLOADED,
--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -95,7 +95,7 @@
         """Creates a rate limit with a full burst."""
         self._bucket = Bucket()
 
-    def take(self, now_s: float, vms: int) -> float:
+    def acquire(self, now_s: float, vms: int) -> float:
         """Takes the permission for one claim.
 
         Args:
