--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -44,7 +44,7 @@
 """Maximum number of other VMs' claims whose first sighting is kept."""
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket."""
 
     __slots__ = ("_at_s", "_tokens")
@@ -93,7 +93,7 @@
 
     def __init__(self) -> None:
         """Creates a rate limit with a full burst."""
-        self._bucket = Bucket()
+        self._bucket = TokenBucket()
 
     def acquire(self, now_s: float, vms: int) -> float:
         """Takes the permission for one claim.
@@ -124,7 +124,7 @@
 
     def __init__(self) -> None:
         """Creates an unused quota."""
-        self._bucket = Bucket()
+        self._bucket = TokenBucket()
 
     def reserve(self, now_s: float, vms: int) -> float:
         """Reserves the bytes for a record of maximum size.
