--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -84,7 +84,7 @@
             board.metrics,
             self._process,
         )
-        self._pace = record_bounds.Pace()
+        self._pace = record_bounds.ClaimRateLimit()
         self._quota = record_bounds.Quota()
         self._number = 0
         self._memory = record_memory.RecordMemory()
--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -82,7 +82,7 @@
         self._tokens += amount
 
 
-class Pace:
+class ClaimRateLimit:
     """Limits this VM's rate of claims to its share of the store's writes.
 
     After an outage all rejected callers retry within seconds. Without this
