--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -85,7 +85,7 @@
             self._process,
         )
         self._pace = record_bounds.ClaimRateLimit()
-        self._quota = record_bounds.Quota()
+        self._quota = record_bounds.RecordQuota()
         self._number = 0
         self._memory = record_memory.RecordMemory()
 
--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -110,7 +110,7 @@
         return self._bucket.take(1.0, now_s, per_s, most)
 
 
-class Quota:
+class RecordQuota:
     """The bytes of records that this VM may still write.
 
     The platform deletes records older than one retention and two windows, so
