--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -53,7 +53,7 @@
         """
         self._writer = writer
         self._releases = releases
-        self._observed = record_bounds.Sightings()
+        self._observed = record_bounds.ClaimSightings()
 
     async def claim(self, store_key: str, claim: idempotency.Record) -> Outcome:
         """Writes a claim, repeatedly until its outcome is known.
--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -161,7 +161,7 @@
     return MAX_STORED_BYTES * (1 - BURST_SHARE) / kept_s / max(vms, 1)
 
 
-class Sightings:
+class ClaimSightings:
     """When this VM first saw each claim of another VM, bounded in size."""
 
     __slots__ = ("_first_seen_s",)
