--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -10,7 +10,7 @@
 RETENTION_S = 86_400.0
 """Minimum time that a record is kept, in seconds."""
 
-WINDOW_S = 600.0
+LEASE_WINDOW_S = 600.0
 """How long new records are attached to one lease, in seconds.
 
 A lease stays valid for one retention plus one window, so that a record written
@@ -157,7 +157,7 @@
 
 def get_bytes_per_s(vms: int) -> float:
     """Returns one VM's sustained rate of writes, in bytes per second."""
-    kept_s = RETENTION_S + 2 * WINDOW_S
+    kept_s = RETENTION_S + 2 * LEASE_WINDOW_S
     return MAX_STORED_BYTES * (1 - BURST_SHARE) / kept_s / max(vms, 1)
 
 
--- a/tests/controllers/records_machine.py
+++ b/tests/controllers/records_machine.py
@@ -257,7 +257,9 @@
             vm.store.faults = memory.Faults()
         # The virtual clock takes a day's sleep for one that never ends.
         for _ in range(2):
-            half_s = record_bounds.RETENTION_S / 2 + record_bounds.WINDOW_S
+            half_s = (
+                record_bounds.RETENTION_S / 2 + record_bounds.LEASE_WINDOW_S
+            )
             self.run(asyncio.sleep(half_s))
         self.told_unknown.clear()
         for runs in self.runs.values():
--- a/tests/controllers/test_idempotency_outage.py
+++ b/tests/controllers/test_idempotency_outage.py
@@ -105,7 +105,7 @@
 
         await asyncio.sleep(record_bounds.RETENTION_S - 1.0)
         assert await second.claim_finished_key() == b"7"
-        await asyncio.sleep(2 * record_bounds.WINDOW_S)
+        await asyncio.sleep(2 * record_bounds.LEASE_WINDOW_S)
         await second.claim_free_key()
 
     records_vms.run(go())
@@ -123,7 +123,7 @@
         claimed = await first.claim_free_key()
         for _ in range(2):
             await asyncio.sleep(
-                record_bounds.RETENTION_S / 2 + record_bounds.WINDOW_S
+                record_bounds.RETENTION_S / 2 + record_bounds.LEASE_WINDOW_S
             )
         await first.records.finish(claimed, b"7")
 
