--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -126,7 +126,7 @@
             outcome = await self._claimer.claim(store_key, claim)
         finally:
             if not isinstance(outcome, int):
-                self._quota.release(record_bounds.OVERHEAD_BYTES)
+                self._quota.release(record_bounds.RECORD_OVERHEAD_BYTES)
                 self._outcomes.close_claim(claim.group)
         if isinstance(outcome, idempotency.Record):
             self._memory.cache_outcome(store_key, outcome, now_s)
--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -20,7 +20,7 @@
 MAX_STORED_BYTES = 1_000_000_000
 """Maximum size of all records in the store, in bytes."""
 
-OVERHEAD_BYTES = 600
+RECORD_OVERHEAD_BYTES = 600
 """Maximum size of a record in the store without its result, in bytes."""
 
 RECORDS_PER_S = 200.0
@@ -37,7 +37,9 @@
 BURST_SHARE = 0.1
 """The share of `MAX_STORED_BYTES` that is reserved for bursts."""
 
-MAX_RECORD_BYTES = OVERHEAD_BYTES + (idempotency.MAX_RESULT_BYTES + 2) * 4 // 3
+MAX_RECORD_BYTES = (
+    RECORD_OVERHEAD_BYTES + (idempotency.MAX_RESULT_BYTES + 2) * 4 // 3
+)
 """Maximum size of one record, in bytes; JSON encodes the result as base64."""
 
 MAX_SIGHTINGS = 10_000
