--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -23,7 +23,7 @@
 RECORD_OVERHEAD_BYTES = 600
 """Maximum size of a record in the store without its result, in bytes."""
 
-RECORDS_PER_S = 200.0
+MAX_RECORDS_PER_S = 200.0
 """Maximum rate of new records per second, over all VMs.
 
 Including the writes of their outcomes, this is less than 400 of the several
@@ -107,7 +107,7 @@
         Returns:
             See `Bucket.reserve`.
         """
-        per_s = RECORDS_PER_S / max(vms, 1)
+        per_s = MAX_RECORDS_PER_S / max(vms, 1)
         most = max(per_s * BURST_S, 1.0)
         return self._bucket.take(1.0, now_s, per_s, most)
 
--- a/src/azureramp_standins/measuring/platform_calls.py
+++ b/src/azureramp_standins/measuring/platform_calls.py
@@ -266,14 +266,14 @@
 
 def run(scenario: Scenario) -> list[Row]:
     """Runs a scenario in virtual time and returns a row per phase."""
-    saved = backoff.MIN_FAILURES, record_bounds.RECORDS_PER_S
+    saved = backoff.MIN_FAILURES, record_bounds.MAX_RECORDS_PER_S
     if not scenario.is_limited:
         backoff.MIN_FAILURES = 10**9
-        record_bounds.RECORDS_PER_S = 1e9
+        record_bounds.MAX_RECORDS_PER_S = 1e9
     try:
         return virtual.run(_run(scenario))
     finally:
-        backoff.MIN_FAILURES, record_bounds.RECORDS_PER_S = saved
+        backoff.MIN_FAILURES, record_bounds.MAX_RECORDS_PER_S = saved
 
 
 @click.command()
--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -121,7 +121,7 @@
     rng = random.Random(seed)
     state = store_state.State()
     # The rate limit of claims is lifted to measure the ways without it.
-    record_bounds.RECORDS_PER_S = math.inf
+    record_bounds.MAX_RECORDS_PER_S = math.inf
     idempotency_policy.MAX_GROUP_CLAIMS = way.group
     record_outcomes.FLUSH_S = way.flush_s
     vms = [VmRecords(number, state, way, seed) for number in range(VMS)]
--- a/tests/controllers/test_idempotency_outage.py
+++ b/tests/controllers/test_idempotency_outage.py
@@ -222,7 +222,7 @@
 def test_simultaneous_claims_are_rate_limited() -> None:
     async def go() -> None:
         first, _ = records_vms.make_two_vms()
-        share = int(record_bounds.RECORDS_PER_S)
+        share = int(record_bounds.MAX_RECORDS_PER_S)
         kinds = [await first.claim(f"{n}") for n in range(share + 9)]
 
         assert kinds.count(errors.Kind.OVERLOADED) == 9
@@ -268,7 +268,7 @@
         first.store.faults.down = False
         await asyncio.sleep(3.0)
 
-        for number in range(int(record_bounds.RECORDS_PER_S)):
+        for number in range(int(record_bounds.MAX_RECORDS_PER_S)):
             await first.claim_free_key(f"after-{number}")
 
     records_vms.run(go())
@@ -347,7 +347,7 @@
             await asyncio.sleep(1.0)
             peak = max(peak, state.revision - before)
 
-        assert peak <= 2 * record_bounds.RECORDS_PER_S
+        assert peak <= 2 * record_bounds.MAX_RECORDS_PER_S
         assert served == 1500
         await asyncio.gather(*orders)
 
