--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -367,7 +367,7 @@
         """
         self._received_s = asyncio.get_running_loop().time()
         copy = self._relay.copy
-        new = [entry for entry in entries if copy.put(entry)]
+        new = [entry for entry in entries if copy.apply(entry)]
         copy.revision = max(copy.revision, revision)
         if new:
             self._apply(new)
--- a/src/azureramp/policy/relaying.py
+++ b/src/azureramp/policy/relaying.py
@@ -83,7 +83,7 @@
         self.revision = 0
         self.floor = 0
 
-    def put(self, entry: store_api.Entry) -> bool:
+    def apply(self, entry: store_api.Entry) -> bool:
         """Stores an entry; returns False if its key has a newer one."""
         known = self._entries.get(entry.key) or self._deletions.get(entry.key)
         if known is not None and entry.revision < known.revision:
