--- a/src/azureramp/policy/relaying.py
+++ b/src/azureramp/policy/relaying.py
@@ -69,10 +69,10 @@
 
     Attributes:
         revision: The store's revision up to which the copy is complete.
-        floor: Deletions up to this revision may have been dropped.
+        compacted_revision: Deletions up to this revision may have been dropped.
     """
 
-    __slots__ = ("_deletions", "_entries", "floor", "revision")
+    __slots__ = ("_deletions", "_entries", "compacted_revision", "revision")
 
     def __init__(self) -> None:
         """Creates an empty copy."""
@@ -81,7 +81,7 @@
             collections.OrderedDict()
         )
         self.revision = 0
-        self.floor = 0
+        self.compacted_revision = 0
 
     def apply(self, entry: store_api.Entry) -> bool:
         """Stores an entry; returns False if its key has a newer one."""
@@ -97,7 +97,9 @@
         self._deletions[entry.key] = entry
         if len(self._deletions) > MAX_DELETIONS:
             _, oldest = self._deletions.popitem(last=False)
-            self.floor = max(self.floor, oldest.revision)
+            self.compacted_revision = max(
+                self.compacted_revision, oldest.revision
+            )
         return True
 
     def get_revision(self, key: str) -> int:
@@ -118,7 +120,7 @@
         """
         if after == 0:
             changes = list(self._entries.values())
-        elif after < self.floor:
+        elif after < self.compacted_revision:
             return None
         else:
             both = (*self._entries.values(), *self._deletions.values())
