--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -64,7 +64,7 @@
         self,
         board: board_module.Board,
         store: store_api.Store,
-        copy: relaying.Copy,
+        copy: relaying.StoreCopy,
         vm_roster: roster.Roster,
         make_key: roster.MakeKey,
         encode: roster.EncodeMember,
--- a/src/azureramp/controllers/forwarding/relay.py
+++ b/src/azureramp/controllers/forwarding/relay.py
@@ -52,7 +52,7 @@
     def __init__(
         self,
         board: board_module.Board,
-        copy: relaying.Copy,
+        copy: relaying.StoreCopy,
         vm_roster: roster.Roster,
         contacts: contact.Contacts,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/rollout_writer.py
+++ b/src/azureramp/controllers/forwarding/rollout_writer.py
@@ -28,7 +28,7 @@
     def __init__(
         self,
         store: store_api.BatchStore,
-        copy: relaying.Copy,
+        copy: relaying.StoreCopy,
         make_keys: MakeKeys,
         encode: EncodeRecord,
         contacts: contact.Contacts,
--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -66,7 +66,7 @@
         self,
         board: board_module.Board,
         store: store_api.BatchStore,
-        copy: relaying.Copy,
+        copy: relaying.StoreCopy,
         make_key: MakeKey,
         encode: EncodeMember,
         contacts: contact.Contacts,
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -145,7 +145,7 @@
         self._store = counting.CountingBatchStore(
             store.PlatformStore(process_settings.store_address), counters
         )
-        store_copy = relaying.Copy()
+        store_copy = relaying.StoreCopy()
         self._roster = roster.Roster(
             board,
             self._store,
--- a/src/azureramp/policy/relaying.py
+++ b/src/azureramp/policy/relaying.py
@@ -64,7 +64,7 @@
     return next((seed for seed in seeds if seed not in avoided), None)
 
 
-class Copy:
+class StoreCopy:
     """The newest entry of each key, kept for forwarding to other VMs.
 
     Attributes:
