--- a/src/azureramp/controllers/dispatching.py
+++ b/src/azureramp/controllers/dispatching.py
@@ -203,7 +203,7 @@
                 unsent.extend(group)
                 continue
             for attempt in group:
-                self.measured.scoreboard.begin(attempt.searcher)
+                self.measured.scoreboard.record_sent(attempt.searcher)
                 self._record_chosen(header, attempt)
         return unsent
 
--- a/src/azureramp/policy/replicas.py
+++ b/src/azureramp/policy/replicas.py
@@ -66,7 +66,7 @@
         self._measurements: dict[str, Measurements] = {}
         self._typical_ms = 0.0
 
-    def begin(self, searcher: str) -> None:
+    def record_sent(self, searcher: str) -> None:
         """Records that a sub-request is sent."""
         self._measurements.setdefault(searcher, Measurements()).in_flight += 1
 
--- a/tests/policy/test_replicas.py
+++ b/tests/policy/test_replicas.py
@@ -29,7 +29,7 @@
     board = replicas.Scoreboard()
     for _ in range(30):
         for name, each_ms in took_ms.items():
-            board.begin(name)
+            board.record_sent(name)
             board.finish(name, each_ms, 0.0)
     return board
 
@@ -96,7 +96,7 @@
     states = {name: query_parts.make_state(name) for name in ("a", "b")}
 
     for _ in range(2):
-        board.begin("a")
+        board.record_sent("a")
 
     assert count_choices(board, states, ("a", "b"))["a"] == 0.0
 
@@ -110,7 +110,7 @@
     board = make_board(a=10, b=10)
 
     for _ in range(5):
-        board.begin("a")
+        board.record_sent("a")
         board.abandon("a", 200.0, 0.0)
 
     assert count_choices(board, {}, ("a", "b"))["a"] == 0.0
@@ -119,7 +119,7 @@
 def test_a_failing_searcher_is_avoided_and_tried_again_later() -> None:
     board = make_board(a=10, b=10)
 
-    board.begin("a")
+    board.record_sent("a")
     board.fail("a", 0.0)
 
     assert count_choices(board, {}, ("a", "b"))["a"] == 0.0
@@ -129,7 +129,7 @@
 
 def test_one_straggler_hardly_changes_a_searcher_s_score() -> None:
     board = make_board(a=10, b=10)
-    board.begin("a")
+    board.record_sent("a")
     board.finish("a", 100.0, 0.0)
 
     ratio = board.get_score("a", 2, 0.0) / board.get_score("b", 2, 0.0)
