--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -54,7 +54,7 @@
     ) -> None:
         """Records an attempt that returned a result."""
         took_ms = (now_s - attempt.sent_s) * 1000
-        self.scoreboard.finish(attempt.searcher, took_ms, now_s)
+        self.scoreboard.record_result(attempt.searcher, took_ms, now_s)
         if attempt.reason != "hedge":
             self.delays.add(place, took_ms)
 
--- a/src/azureramp/policy/replicas.py
+++ b/src/azureramp/policy/replicas.py
@@ -70,7 +70,9 @@
         """Records that a sub-request is sent."""
         self._measurements.setdefault(searcher, Measurements()).in_flight += 1
 
-    def finish(self, searcher: str, took_ms: float, now_s: float) -> None:
+    def record_result(
+        self, searcher: str, took_ms: float, now_s: float
+    ) -> None:
         """Records the result of a sub-request."""
         measurements = self._record_end(searcher, now_s)
         self._add_time(measurements, took_ms)
--- a/tests/policy/test_replicas.py
+++ b/tests/policy/test_replicas.py
@@ -30,7 +30,7 @@
     for _ in range(30):
         for name, each_ms in took_ms.items():
             board.record_sent(name)
-            board.finish(name, each_ms, 0.0)
+            board.record_result(name, each_ms, 0.0)
     return board
 
 
@@ -130,7 +130,7 @@
 def test_one_straggler_hardly_changes_a_searcher_s_score() -> None:
     board = make_board(a=10, b=10)
     board.record_sent("a")
-    board.finish("a", 100.0, 0.0)
+    board.record_result("a", 100.0, 0.0)
 
     ratio = board.get_score("a", 2, 0.0) / board.get_score("b", 2, 0.0)
 
