--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -60,7 +60,7 @@
 
     def fail(self, attempt: assembly.Attempt, now_s: float) -> None:
         """Records an attempt that failed."""
-        self.scoreboard.fail(attempt.searcher, now_s)
+        self.scoreboard.record_failure(attempt.searcher, now_s)
 
     def abandon(
         self, place: hedging.DelayKey, attempt: assembly.Attempt, now_s: float
--- a/src/azureramp/policy/replicas.py
+++ b/src/azureramp/policy/replicas.py
@@ -80,7 +80,7 @@
         if self._typical_ms <= 0 or measurements.took_ms <= 0:
             self._typical_ms = took_ms
 
-    def fail(self, searcher: str, now_s: float) -> None:
+    def record_failure(self, searcher: str, now_s: float) -> None:
         """Records a failure, without its time, since failures may be fast."""
         self._record_end(searcher, now_s).failures += 1.0
 
--- a/tests/policy/test_replicas.py
+++ b/tests/policy/test_replicas.py
@@ -120,7 +120,7 @@
     board = make_board(a=10, b=10)
 
     board.record_sent("a")
-    board.fail("a", 0.0)
+    board.record_failure("a", 0.0)
 
     assert count_choices(board, {}, ("a", "b"))["a"] == 0.0
     later_s = replicas.HALF_LIFE_S * 10
