--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -67,6 +67,6 @@
     ) -> None:
         """Records an attempt that was cancelled before its result."""
         took_ms = (now_s - attempt.sent_s) * 1000
-        self.scoreboard.abandon(attempt.searcher, took_ms, now_s)
+        self.scoreboard.record_cancelled(attempt.searcher, took_ms, now_s)
         if attempt.reason != "hedge":
             self.delays.add(place, took_ms)
--- a/src/azureramp/policy/replicas.py
+++ b/src/azureramp/policy/replicas.py
@@ -84,7 +84,9 @@
         """Records a failure, without its time, since failures may be fast."""
         self._record_end(searcher, now_s).failures += 1.0
 
-    def abandon(self, searcher: str, took_ms: float, now_s: float) -> None:
+    def record_cancelled(
+        self, searcher: str, took_ms: float, now_s: float
+    ) -> None:
         """Records a sub-request that was cancelled without a result.
 
         The time is a lower bound, so it is used only if it raises the mean. If
--- a/tests/policy/test_replicas.py
+++ b/tests/policy/test_replicas.py
@@ -111,7 +111,7 @@
 
     for _ in range(5):
         board.record_sent("a")
-        board.abandon("a", 200.0, 0.0)
+        board.record_cancelled("a", 200.0, 0.0)
 
     assert count_choices(board, {}, ("a", "b"))["a"] == 0.0
 
