--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -205,7 +205,7 @@
             if ended is None:
                 return True
             versions = ended
-        return rollout_view.Side.OLD in sides and versions.allows_old(
+        return rollout_view.Side.OLD in sides and versions.allows(
             searcher.version
         )
 
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -276,7 +276,7 @@
     target: str
     barred: frozenset[str]
 
-    def allows_old(self, version: str) -> bool:
+    def allows(self, version: str) -> bool:
         """Returns True if a version is neither the target nor barred."""
         return version != self.target and version not in self.barred
 
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -154,8 +154,8 @@
     versions = rollouts.find_versions(ORDER, None, {"v1"})
     assert versions is not None
     assert versions.target == "v2"
-    assert versions.allows_old("v1")
-    assert not versions.allows_old("v2")
+    assert versions.allows("v1")
+    assert not versions.allows("v2")
 
 
 def test_without_order_and_record_every_version_may_be_used() -> None:
@@ -178,13 +178,13 @@
     done = dataclasses.replace(RECORD, phase=PHASE.COMPLETED)
     versions = rollouts.find_versions(ORDER, done, {"v1"})
     assert versions is not None
-    assert versions.allows_old("v2")
-    assert not versions.allows_old("v1")
+    assert versions.allows("v2")
+    assert not versions.allows("v1")
     back = dataclasses.replace(RECORD, phase=PHASE.ROLLED_BACK)
     versions = rollouts.find_versions(ORDER, back, {"v1"})
     assert versions is not None
-    assert versions.allows_old("v1")
-    assert not versions.allows_old("v2")
+    assert versions.allows("v1")
+    assert not versions.allows("v2")
 
 
 def test_a_second_order_bars_the_target_of_the_first_one() -> None:
@@ -192,7 +192,7 @@
     versions = rollouts.find_versions(second, RECORD, {"v1", "v2"})
     assert versions is not None
     assert versions.target == "v3"
-    assert not versions.allows_old("v2")
+    assert not versions.allows("v2")
     assert rollouts.start(second, RECORD, {"v1", "v2"}) == (("v1",), ("v2",))
 
 
