--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -173,7 +173,7 @@
         self,
         drive: rollout_drive.DrivenRollout,
         step: policy.Step,
-        situation: policy.Situation,
+        situation: policy.RolloutState,
     ) -> None:
         """Writes a step and applies it.
 
--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -58,7 +58,7 @@
 
     def describe(
         self, drive: rollout_drive.DrivenRollout, now_s: float
-    ) -> policy.Situation:
+    ) -> policy.RolloutState:
         """Describes a roll-out for the decision on its next step.
 
         Args:
@@ -78,7 +78,7 @@
         ]
         new_usable = usable.count(order.target)
         old = set(drive.record.old)
-        return policy.Situation(
+        return policy.RolloutState(
             order=order,
             phase=drive.phase,
             age_s=age_s,
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Situation:
+class RolloutState:
     """State of a roll-out from which the next phase change is decided.
 
     Attributes:
@@ -111,7 +111,7 @@
     reason: str
 
 
-def decide(now: Situation) -> Step | None:
+def decide(now: RolloutState) -> Step | None:
     """Decides on the next phase change; None to stay in the current phase."""
     rolled_back = rollout_types.Phase.ROLLED_BACK
     if now.verdict is version_evidence.Verdict.WORSE:
@@ -150,7 +150,7 @@
     return duration_s - max(get_final_s(duration_s), left_s)
 
 
-def get_move_s(now: Situation) -> float:
+def get_move_s(now: RolloutState) -> float:
     """Returns when all traffic should move, in seconds after the order.
 
     Returns:
@@ -208,7 +208,7 @@
     )
 
 
-def _decide_in_canary(now: Situation) -> Step | None:
+def _decide_in_canary(now: RolloutState) -> Step | None:
     """Decides during the canary phase."""
     duration_s = now.order.duration_s
     if now.age_s >= duration_s - get_final_s(duration_s) / 2:
@@ -224,7 +224,7 @@
     return Step(rollout_types.Phase.MOVING, "the trial showed nothing worse")
 
 
-def _decide_in_moving(now: Situation) -> Step | None:
+def _decide_in_moving(now: RolloutState) -> Step | None:
     """Decides while all traffic is on the new version."""
     duration_s = now.order.duration_s
     complete_s = get_complete_s(duration_s, now.rate, now.allowed)
@@ -251,14 +251,14 @@
     return None
 
 
-def _is_proved(now: Situation) -> bool:
+def _is_proved(now: RolloutState) -> bool:
     """Returns True if enough answers show that the new version is not worse."""
     minimum = min(MIN_ANSWERS, MIN_ANSWER_SHARE * now.requests)
     enough = now.answers >= minimum
     return enough and now.verdict is version_evidence.Verdict.OPEN
 
 
-def _has_enough_searchers(now: Situation) -> bool:
+def _has_enough_searchers(now: RolloutState) -> bool:
     """Returns True if the new searchers can handle all requests."""
     minimum = max(1.0, MIN_SEARCHER_SHARE * now.old_usable)
     return now.new_usable >= minimum
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -27,7 +27,7 @@
     usual={},
     reason="",
 )
-IN_CANARY = rollouts.Situation(
+IN_CANARY = rollouts.RolloutState(
     order=ORDER,
     phase=PHASE.TRIAL,
     age_s=5.0,
@@ -48,7 +48,7 @@
 )
 
 
-def decide(before: rollouts.Situation, **changes: object) -> PHASE | None:
+def decide(before: rollouts.RolloutState, **changes: object) -> PHASE | None:
     step = rollouts.decide(dataclasses.replace(before, **changes))  # type: ignore[arg-type]
     return None if step is None else step.phase
 
@@ -76,14 +76,14 @@
 
 @pytest.mark.parametrize("before", [IN_CANARY, MOVED])
 def test_a_worse_version_is_rolled_back_immediately(
-    before: rollouts.Situation,
+    before: rollouts.RolloutState,
 ) -> None:
     assert decide(before, verdict=VERDICT.WORSE) is PHASE.ROLLED_BACK
 
 
 @pytest.mark.parametrize("before", [IN_CANARY, MOVED])
 def test_a_withdrawn_order_is_rolled_back(
-    before: rollouts.Situation,
+    before: rollouts.RolloutState,
 ) -> None:
     assert decide(before, withdrawn=True) is PHASE.ROLLED_BACK
 
