--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -172,7 +172,7 @@
     async def _perform_step(
         self,
         drive: rollout_drive.DrivenRollout,
-        step: policy.Step,
+        step: policy.PhaseChange,
         situation: policy.RolloutState,
     ) -> None:
         """Writes a step and applies it.
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -99,7 +99,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Step:
+class PhaseChange:
     """A change of phase.
 
     Attributes:
@@ -111,13 +111,13 @@
     reason: str
 
 
-def decide(now: RolloutState) -> Step | None:
+def decide(now: RolloutState) -> PhaseChange | None:
     """Decides on the next phase change; None to stay in the current phase."""
     rolled_back = rollout_types.Phase.ROLLED_BACK
     if now.verdict is version_evidence.Verdict.WORSE:
-        return Step(rolled_back, "the new version answers worse")
+        return PhaseChange(rolled_back, "the new version answers worse")
     if now.withdrawn:
-        return Step(rolled_back, "the order was taken back")
+        return PhaseChange(rolled_back, "the order was taken back")
     match now.phase:
         case rollout_types.Phase.TRIAL:
             return _decide_in_canary(now)
@@ -208,12 +208,12 @@
     )
 
 
-def _decide_in_canary(now: RolloutState) -> Step | None:
+def _decide_in_canary(now: RolloutState) -> PhaseChange | None:
     """Decides during the canary phase."""
     duration_s = now.order.duration_s
     if now.age_s >= duration_s - get_final_s(duration_s) / 2:
         reason = "its time ends, and its traffic could not be moved"
-        return Step(rollout_types.Phase.ROLLED_BACK, reason)
+        return PhaseChange(rollout_types.Phase.ROLLED_BACK, reason)
     settled = now.phase_s >= min(MIN_CANARY_S, MIN_CANARY_SHARE * duration_s)
     if (
         not settled
@@ -221,33 +221,37 @@
         or not _has_enough_searchers(now)
     ):
         return None
-    return Step(rollout_types.Phase.MOVING, "the trial showed nothing worse")
+    return PhaseChange(
+        rollout_types.Phase.MOVING, "the trial showed nothing worse"
+    )
 
 
-def _decide_in_moving(now: RolloutState) -> Step | None:
+def _decide_in_moving(now: RolloutState) -> PhaseChange | None:
     """Decides while all traffic is on the new version."""
     duration_s = now.order.duration_s
     complete_s = get_complete_s(duration_s, now.rate, now.allowed)
     completed = rollout_types.Phase.COMPLETED
     proved = _is_proved(now)
     if now.age_s >= complete_s and now.all_moved and proved:
-        return Step(completed, "all traffic has moved and nothing is worse")
+        return PhaseChange(
+            completed, "all traffic has moved and nothing is worse"
+        )
     if now.age_s >= duration_s - get_final_s(duration_s) / 2:
         if not proved or not _has_enough_searchers(now):
             reason = "its time ends, and the new version isn't proved"
-            return Step(rollout_types.Phase.ROLLED_BACK, reason)
-        return Step(completed, "its time ends, and nothing is worse")
+            return PhaseChange(rollout_types.Phase.ROLLED_BACK, reason)
+        return PhaseChange(completed, "its time ends, and nothing is worse")
     if now.age_s < complete_s and now.used >= now.allowed:
         # After a return to the canary phase no exposure would be left to prove
         # the version later.
         if proved:
             reason = "all traffic has moved, and more may not be tried"
-            return Step(completed, reason) if now.all_moved else None
+            return PhaseChange(completed, reason) if now.all_moved else None
         reason = "the new version has had the requests that it may get"
-        return Step(rollout_types.Phase.TRIAL, reason)
+        return PhaseChange(rollout_types.Phase.TRIAL, reason)
     if not now.new_usable:
         reason = "no searcher of the new version is usable"
-        return Step(rollout_types.Phase.TRIAL, reason)
+        return PhaseChange(rollout_types.Phase.TRIAL, reason)
     return None
 
 
