--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -141,7 +141,7 @@
             _logger.info("no longer driving the roll-out of {}", service)
             return False
         situation = self._situations.describe(drive, now_s)
-        step = policy.decide(situation)
+        step = policy.decide_phase_change(situation)
         if step is not None:
             await self._perform_step(drive, step, situation)
         elif (
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -111,7 +111,7 @@
     reason: str
 
 
-def decide(now: RolloutState) -> PhaseChange | None:
+def decide_phase_change(now: RolloutState) -> PhaseChange | None:
     """Decides on the next phase change; None to stay in the current phase."""
     rolled_back = rollout_types.Phase.ROLLED_BACK
     if now.verdict is version_evidence.Verdict.WORSE:
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -49,7 +49,7 @@
 
 
 def decide(before: rollouts.RolloutState, **changes: object) -> PHASE | None:
-    step = rollouts.decide(dataclasses.replace(before, **changes))  # type: ignore[arg-type]
+    step = rollouts.decide_phase_change(dataclasses.replace(before, **changes))  # type: ignore[arg-type]
     return None if step is None else step.phase
 
 
