--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -88,7 +88,7 @@
             answers=drive.count_answers() - drive.answers_before_phase,
             requests=drive.ledger.requests,
             used=drive.ledger.count_used(),
-            allowed=policy.count_allowed(
+            allowed=policy.compute_allowed_calls(
                 self._board.bounds.exposure,
                 drive.ledger.requests,
                 drive.ledger.get_rate(),
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -170,7 +170,7 @@
     return complete_s - max(moved_s, MIN_MOVED_SHARE * duration_s)
 
 
-def count_allowed(
+def compute_allowed_calls(
     terms: exposure.ExposureLimit, requests: float, rate: float, left_s: float
 ) -> int:
     """Returns the total number of calls that the new version may get.
