--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -191,7 +191,7 @@
             now_s: The current time, in seconds.
         """
         situation = self.describe(drive, now_s)
-        return policy.count_trial_calls(
+        return policy.compute_canary_calls(
             self._board.bounds.exposure,
             drive.ledger.requests,
             situation.age_s,
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -185,7 +185,7 @@
     return exposure.count_allowed_requests(terms, requests + expected)
 
 
-def count_trial_calls(
+def compute_canary_calls(
     terms: exposure.ExposureLimit, requests: int, age_s: float, move_s: float
 ) -> int:
     """Returns the number of calls that the canary phase may have made so far.
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -142,7 +142,7 @@
 def test_canary_calls_are_spread_over_the_phase() -> None:
     terms = exposure.ExposureLimit(0.1, 50)
     counts = [
-        rollouts.count_trial_calls(terms, 20 * second, second, 9.0)
+        rollouts.compute_canary_calls(terms, 20 * second, second, 9.0)
         for second in range(10)
     ]
     assert counts == sorted(counts)
