--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -122,7 +122,7 @@
     def __init__(
         self,
         order: rollout_types.Order,
-        versions: policy.Versions,
+        versions: policy.AllowedVersions,
         now_s: float,
     ) -> None:
         """Makes a roll-out without a grant.
--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -73,7 +73,7 @@
             None
         )
         self.on_end: Callable[[str], None] | None = None
-        self._ended: dict[str, policy.Versions] = {}
+        self._ended: dict[str, policy.AllowedVersions] = {}
         self._versions_at_order: dict[str, frozenset[str]] = {}
         self._order_seen_s: dict[str, float] = {}
 
@@ -289,11 +289,11 @@
     def _begin(
         self,
         order: rollout_types.Order,
-        versions: policy.Versions | None,
+        versions: policy.AllowedVersions | None,
     ) -> None:
         """Begins to track a roll-out."""
         # If the service already runs the version, all its searchers are used.
-        versions = versions or policy.Versions("", frozenset())
+        versions = versions or policy.AllowedVersions("", frozenset())
         now_s = asyncio.get_running_loop().time()
         running = rollout_view.ActiveRollout(order, versions, now_s)
         if not versions.target:
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -269,7 +269,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Versions:
+class AllowedVersions:
     """The versions of a service's searchers that a VM may use.
 
     Attributes:
@@ -289,7 +289,7 @@
     order: rollout_types.Order | None,
     record: rollout_types.Record | None,
     present: Collection[str],
-) -> Versions | None:
+) -> AllowedVersions | None:
     """Determines which versions a VM may use.
 
     A VM that has received an order but no record of its progress sends no
@@ -311,8 +311,8 @@
         return None
     barred = get_barred(record) - {order.target}
     if is_present(order, record, present):
-        return Versions("", barred) if barred else None
-    return Versions(order.target, barred)
+        return AllowedVersions("", barred) if barred else None
+    return AllowedVersions(order.target, barred)
 
 
 def is_present(
@@ -344,11 +344,11 @@
     return frozenset(record.barred) | {record.order.target}
 
 
-def _read_record(record: rollout_types.Record) -> Versions:
+def _read_record(record: rollout_types.Record) -> AllowedVersions:
     """Returns the versions that may be used according to a record."""
     if record.has_ended():
-        return Versions("", get_barred(record))
-    return Versions(record.order.target, frozenset(record.barred))
+        return AllowedVersions("", get_barred(record))
+    return AllowedVersions(record.order.target, frozenset(record.barred))
 
 
 def start(
