--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -250,7 +250,7 @@
         """Updates a service's state after a change of its order or record."""
         order = self.orders.get(service)
         record = self.get_record(service)
-        versions = policy.find_versions(
+        versions = policy.determine_allowed_versions(
             order, record, self.get_versions_at_order(service)
         )
         pending = self._find_pending(order, record)
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -285,7 +285,7 @@
         return version != self.target and version not in self.barred
 
 
-def find_versions(
+def determine_allowed_versions(
     order: rollout_types.Order | None,
     record: rollout_types.Record | None,
     present: Collection[str],
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -151,7 +151,7 @@
 
 
 def test_an_order_without_a_record_bars_the_new_version() -> None:
-    versions = rollouts.find_versions(ORDER, None, {"v1"})
+    versions = rollouts.determine_allowed_versions(ORDER, None, {"v1"})
     assert versions is not None
     assert versions.target == "v2"
     assert versions.allows("v1")
@@ -159,29 +159,29 @@
 
 
 def test_without_order_and_record_every_version_may_be_used() -> None:
-    assert rollouts.find_versions(None, None, {"v1", "v2"}) is None
+    assert rollouts.determine_allowed_versions(None, None, {"v1", "v2"}) is None
 
 
 def test_a_service_that_already_runs_the_version_keeps_it() -> None:
-    assert rollouts.find_versions(ORDER, None, {"v2"}) is None
+    assert rollouts.determine_allowed_versions(ORDER, None, {"v2"}) is None
     assert rollouts.is_present(ORDER, None, {"v2"})
     assert not rollouts.is_present(ORDER, None, {"v1", "v2"})
 
 
 def test_a_service_without_searchers_waits_for_its_canary_phase() -> None:
-    versions = rollouts.find_versions(ORDER, None, set())
+    versions = rollouts.determine_allowed_versions(ORDER, None, set())
     assert versions is not None
     assert versions.target == "v2"
 
 
 def test_after_a_roll_out_the_other_version_is_barred() -> None:
     done = dataclasses.replace(RECORD, phase=PHASE.COMPLETED)
-    versions = rollouts.find_versions(ORDER, done, {"v1"})
+    versions = rollouts.determine_allowed_versions(ORDER, done, {"v1"})
     assert versions is not None
     assert versions.allows("v2")
     assert not versions.allows("v1")
     back = dataclasses.replace(RECORD, phase=PHASE.ROLLED_BACK)
-    versions = rollouts.find_versions(ORDER, back, {"v1"})
+    versions = rollouts.determine_allowed_versions(ORDER, back, {"v1"})
     assert versions is not None
     assert versions.allows("v1")
     assert not versions.allows("v2")
@@ -189,7 +189,7 @@
 
 def test_a_second_order_bars_the_target_of_the_first_one() -> None:
     second = rollout_types.Order("s", "v3", 12.0, 20)
-    versions = rollouts.find_versions(second, RECORD, {"v1", "v2"})
+    versions = rollouts.determine_allowed_versions(second, RECORD, {"v1", "v2"})
     assert versions is not None
     assert versions.target == "v3"
     assert not versions.allows("v2")
