--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -117,7 +117,7 @@
         old, barred = policy.start(order, before, versions)
         phase = rollout_drive.TRIAL
         reason = "it begins"
-        if policy.is_present(order, before, versions):
+        if policy.is_already_running(order, before, versions):
             phase = rollout_types.Phase.COMPLETED
             reason = "the service runs this version already"
         record = rollout_types.Record(
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -310,12 +310,12 @@
     if order is None:
         return None
     barred = get_barred(record) - {order.target}
-    if is_present(order, record, present):
+    if is_already_running(order, record, present):
         return AllowedVersions("", barred) if barred else None
     return AllowedVersions(order.target, barred)
 
 
-def is_present(
+def is_already_running(
     order: rollout_types.Order,
     before: rollout_types.Record | None,
     present: Collection[str],
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -164,8 +164,8 @@
 
 def test_a_service_that_already_runs_the_version_keeps_it() -> None:
     assert rollouts.determine_allowed_versions(ORDER, None, {"v2"}) is None
-    assert rollouts.is_present(ORDER, None, {"v2"})
-    assert not rollouts.is_present(ORDER, None, {"v1", "v2"})
+    assert rollouts.is_already_running(ORDER, None, {"v2"})
+    assert not rollouts.is_already_running(ORDER, None, {"v1", "v2"})
 
 
 def test_a_service_without_searchers_waits_for_its_canary_phase() -> None:
