--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -114,7 +114,7 @@
             now_s: The current time, in seconds.
         """
         versions = self._rollouts.get_versions_at_order(order.service)
-        old, barred = policy.start(order, before, versions)
+        old, barred = policy.list_initial_versions(order, before, versions)
         phase = rollout_drive.TRIAL
         reason = "it begins"
         if policy.is_already_running(order, before, versions):
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -351,7 +351,7 @@
     return AllowedVersions(record.order.target, frozenset(record.barred))
 
 
-def start(
+def list_initial_versions(
     order: rollout_types.Order,
     before: rollout_types.Record | None,
     present: Collection[str],
--- a/tests/policy/test_rollouts.py
+++ b/tests/policy/test_rollouts.py
@@ -193,19 +193,22 @@
     assert versions is not None
     assert versions.target == "v3"
     assert not versions.allows("v2")
-    assert rollouts.start(second, RECORD, {"v1", "v2"}) == (("v1",), ("v2",))
+    assert rollouts.list_initial_versions(second, RECORD, {"v1", "v2"}) == (
+        ("v1",),
+        ("v2",),
+    )
 
 
 def test_a_version_that_was_rolled_back_may_be_ordered_again() -> None:
     back = dataclasses.replace(RECORD, phase=PHASE.ROLLED_BACK)
     again = dataclasses.replace(ORDER, revision=20)
-    assert rollouts.start(again, back, {"v1"}) == (("v1",), ())
+    assert rollouts.list_initial_versions(again, back, {"v1"}) == (("v1",), ())
 
 
 def test_a_roll_out_of_the_barred_old_version_allows_it() -> None:
     done = dataclasses.replace(RECORD, phase=PHASE.COMPLETED)
     back = rollout_types.Order("s", "v1", 12.0, 20)
-    assert rollouts.start(back, done, {"v2"}) == (("v2",), ())
+    assert rollouts.list_initial_versions(back, done, {"v2"}) == (("v2",), ())
 
 
 def test_drivers_are_ranked_by_cores_without_leaving_vms() -> None:
