--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -136,7 +136,7 @@
             vm: The other VM.
         """
         follower = self._followers.get(vm)
-        return follower is not None and follower.written is not None
+        return follower is not None and follower.written_revision is not None
 
     async def run(self) -> None:
         """Writes pending changes periodically. Never returns."""
@@ -257,7 +257,7 @@
         for update in batch:
             follower = self._followers.get(update.vm)
             if follower is not None and update.member is not None:
-                follower.written = revision
+                follower.written_revision = revision
         removed = sum(update.member is None for update in batch)
         _logger.info(
             "wrote {} and deleted {} entries of VMs at revision {}",
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -30,15 +30,15 @@
     Attributes:
         member: The member entry to write for it.
         until_s: When it is no longer treated as running, in seconds.
-        written: The revision of this VM's latest write of the entry; None if
-            it has not written it.
+        written_revision: The revision of this VM's latest write of the entry;
+            None if it has not written it.
         attempted: The store's revision before a write whose answer was lost;
             None if there is none.
     """
 
     member: catalog.Member
     until_s: float
-    written: int | None = None
+    written_revision: int | None = None
     attempted: int | None = None
 
 
@@ -90,7 +90,7 @@
     """
     for vm, follower in list(followers.items()):
         _confirm_write(follower, present.get(vm))
-        written = follower.written
+        written = follower.written_revision
         lost = False
         if written is not None and written <= revision:
             current = present.get(vm)
@@ -118,12 +118,15 @@
     """
     updates: list[Update] = []
     for vm, follower in followers.items():
-        if follower.written is not None and follower.written > revision:
+        if (
+            follower.written_revision is not None
+            and follower.written_revision > revision
+        ):
             # The copy doesn't contain this VM's last write yet.
             continue
         current = present.get(vm)
         if (
-            follower.written is None
+            follower.written_revision is None
             or current is None
             or current.member != follower.member
         ):
@@ -145,5 +148,5 @@
         current.revision > follower.attempted
         and current.member == follower.member
     ):
-        follower.written = current.revision
+        follower.written_revision = current.revision
         follower.attempted = None
