--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -236,7 +236,7 @@
             for update in batch:
                 follower = self._followers.get(update.vm)
                 if follower is not None:
-                    follower.attempted = self._copy.revision
+                    follower.attempt_revision = self._copy.revision
             await asyncio.sleep(UNKNOWN_OUTCOME_PAUSE_S)
         return False
 
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -32,14 +32,14 @@
         until_s: When it is no longer treated as running, in seconds.
         written_revision: The revision of this VM's latest write of the entry;
             None if it has not written it.
-        attempted: The store's revision before a write whose answer was lost;
-            None if there is none.
+        attempt_revision: The store's revision before a write whose answer was
+            lost; None if there is none.
     """
 
     member: catalog.Member
     until_s: float
     written_revision: int | None = None
-    attempted: int | None = None
+    attempt_revision: int | None = None
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -142,11 +142,11 @@
 
 def _confirm_write(follower: Follower, current: Present | None) -> None:
     """Treats a write whose answer was lost as done if the copy contains it."""
-    if follower.attempted is None or current is None:
+    if follower.attempt_revision is None or current is None:
         return
     if (
-        current.revision > follower.attempted
+        current.revision > follower.attempt_revision
         and current.member == follower.member
     ):
         follower.written_revision = current.revision
-        follower.attempted = None
+        follower.attempt_revision = None
--- a/tests/policy/test_roster.py
+++ b/tests/policy/test_roster.py
@@ -80,7 +80,7 @@
 
 def test_a_write_with_a_lost_answer_counts_once_the_copy_has_it() -> None:
     followers = {"vm-1": make_follower("vm-1")}
-    followers["vm-1"].attempted = 8
+    followers["vm-1"].attempt_revision = 8
     older = {"vm-1": roster.Present(make_member("vm-1"), 8)}
     roster.drop_lost(followers, older, 9, NOW_S)
     assert len(roster.plan(KEEPER, followers, older, 9)) == 1
