--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -246,9 +246,9 @@
         """Encodes an update as a change of the store."""
         key = self._make_key(update.vm)
         if update.member is None:
-            return store_api.Change(key, None, update.expected)
+            return store_api.Change(key, None, update.expected_revision)
         value = self._encode(update.member)
-        return store_api.Change(key, value, update.expected, lease)
+        return store_api.Change(key, value, update.expected_revision, lease)
 
     def _record_written(
         self, batch: list[policy.Update], revision: int
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -62,12 +62,12 @@
     Attributes:
         vm: The VM that the entry describes.
         member: The content to write; None to delete the entry.
-        expected: The entry's current revision; 0 if there is none.
+        expected_revision: The entry's current revision; 0 if there is none.
     """
 
     vm: str
     member: catalog.Member | None
-    expected: int
+    expected_revision: int
 
 
 def drop_lost(
