--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -106,7 +106,7 @@
         until_s = asyncio.get_running_loop().time() + policy.SILENT_S
         follower = self._followers.get(vm)
         if follower is not None:
-            follower.until_s = until_s
+            follower.alive_until_s = until_s
         if member is None:
             return
         announced = dataclasses.replace(member, keeper=self._board.identity.vm)
@@ -127,7 +127,7 @@
         follower = self._followers.get(vm)
         if follower is not None:
             until_s = asyncio.get_running_loop().time() + policy.CUT_S
-            follower.until_s = min(follower.until_s, until_s)
+            follower.alive_until_s = min(follower.alive_until_s, until_s)
 
     def is_announced(self, vm: str) -> bool:
         """Returns True if this VM has written another VM's entry.
@@ -169,7 +169,7 @@
         """
         until_s = asyncio.get_running_loop().time() + policy.SILENT_S
         for follower in self._followers.values():
-            follower.until_s = until_s
+            follower.alive_until_s = until_s
 
     async def _write(self) -> None:
         """Writes all pending changes in as few batches as possible."""
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -29,7 +29,7 @@
 
     Attributes:
         member: The member entry to write for it.
-        until_s: When it is no longer treated as running, in seconds.
+        alive_until_s: When it is no longer treated as running, in seconds.
         written_revision: The revision of this VM's latest write of the entry;
             None if it has not written it.
         attempt_revision: The store's revision before a write whose answer was
@@ -37,7 +37,7 @@
     """
 
     member: catalog.Member
-    until_s: float
+    alive_until_s: float
     written_revision: int | None = None
     attempt_revision: int | None = None
 
@@ -95,7 +95,7 @@
         if written is not None and written <= revision:
             current = present.get(vm)
             lost = current is None or current.revision > written
-        if lost or follower.until_s <= now_s:
+        if lost or follower.alive_until_s <= now_s:
             del followers[vm]
 
 
--- a/tests/policy/test_roster.py
+++ b/tests/policy/test_roster.py
@@ -68,7 +68,7 @@
         vm: make_follower(vm, written=8)
         for vm in ("kept", "silent", "removed", "taken")
     }
-    followers["silent"].until_s = NOW_S
+    followers["silent"].alive_until_s = NOW_S
     present = {
         "kept": roster.Present(make_member("kept"), 8),
         "silent": roster.Present(make_member("silent"), 8),
