--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -103,7 +103,7 @@
             member: The entry to announce for it; None if it announces itself.
                 An entry that this VM wrote for it stays until it is replaced.
         """
-        until_s = asyncio.get_running_loop().time() + policy.SILENT_S
+        until_s = asyncio.get_running_loop().time() + policy.FOLLOWER_TIMEOUT_S
         follower = self._followers.get(vm)
         if follower is not None:
             follower.alive_until_s = until_s
@@ -167,7 +167,7 @@
 
         It has not yet read the requests that arrived during the pause.
         """
-        until_s = asyncio.get_running_loop().time() + policy.SILENT_S
+        until_s = asyncio.get_running_loop().time() + policy.FOLLOWER_TIMEOUT_S
         for follower in self._followers.values():
             follower.alive_until_s = until_s
 
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -13,7 +13,7 @@
 
 from azureramp import catalog
 
-SILENT_S = 2.6
+FOLLOWER_TIMEOUT_S = 2.6
 """How long a VM that sends no request is still treated as running, in seconds:
 two of its requests may be lost."""
 
