--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -126,7 +126,9 @@
         """
         follower = self._followers.get(vm)
         if follower is not None:
-            until_s = asyncio.get_running_loop().time() + policy.CUT_S
+            until_s = (
+                asyncio.get_running_loop().time() + policy.DISCONNECT_TIMEOUT_S
+            )
             follower.alive_until_s = min(follower.alive_until_s, until_s)
 
     def is_announced(self, vm: str) -> bool:
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -17,7 +17,7 @@
 """How long a VM that sends no request is still treated as running, in seconds:
 two of its requests may be lost."""
 
-CUT_S = 0.7
+DISCONNECT_TIMEOUT_S = 0.7
 """The same after the connection of its request was closed, in seconds: this is
 how a killed process is detected, and a running one soon sends another
 request."""
