--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -268,14 +268,14 @@
             revision,
         )
 
-    def _list_present(self) -> dict[str, policy.Present]:
+    def _list_present(self) -> dict[str, policy.StoredEntry]:
         """Returns the entries of followers and those written by this VM."""
-        present: dict[str, policy.Present] = {}
+        present: dict[str, policy.StoredEntry] = {}
         keeper = self._board.identity.vm
         for vm, member in self._board.members.items():
             if vm not in self._followers and member.keeper != keeper:
                 continue
             revision = self._copy.get_revision(self._make_key(vm))
             if revision != store_api.CREATE:
-                present[vm] = policy.Present(member, revision)
+                present[vm] = policy.StoredEntry(member, revision)
         return present
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Present:
+class StoredEntry:
     """A VM's entry in this VM's copy of the store.
 
     Attributes:
@@ -72,7 +72,7 @@
 
 def drop_lost(
     followers: dict[str, Follower],
-    present: Mapping[str, Present],
+    present: Mapping[str, StoredEntry],
     revision: int,
     now_s: float,
 ) -> None:
@@ -102,7 +102,7 @@
 def plan(
     keeper: str,
     followers: Mapping[str, Follower],
-    present: Mapping[str, Present],
+    present: Mapping[str, StoredEntry],
     revision: int,
 ) -> list[Update]:
     """Plans the writes that bring the store in line with the followers.
@@ -140,7 +140,7 @@
     return updates
 
 
-def _confirm_write(follower: Follower, current: Present | None) -> None:
+def _confirm_write(follower: Follower, current: StoredEntry | None) -> None:
     """Treats a write whose answer was lost as done if the copy contains it."""
     if follower.attempt_revision is None or current is None:
         return
--- a/tests/policy/test_roster.py
+++ b/tests/policy/test_roster.py
@@ -23,7 +23,7 @@
 
 def test_a_new_follower_s_entry_replaces_any_existing_one() -> None:
     followers = {vm: make_follower(vm) for vm in ("vm-1", "vm-2")}
-    present = {"vm-2": roster.Present(make_member("vm-2", keeper=""), 7)}
+    present = {"vm-2": roster.StoredEntry(make_member("vm-2", keeper=""), 7)}
     assert roster.plan(KEEPER, followers, present, 9) == [
         roster.Update("vm-1", make_member("vm-1"), 0),
         roster.Update("vm-2", make_member("vm-2"), 7),
@@ -32,7 +32,7 @@
 
 def test_unchanged_entries_are_not_written() -> None:
     followers = {"vm-1": make_follower("vm-1", written=8)}
-    present = {"vm-1": roster.Present(make_member("vm-1"), 8)}
+    present = {"vm-1": roster.StoredEntry(make_member("vm-1"), 8)}
     assert roster.plan(KEEPER, followers, present, 9) == []
 
 
@@ -45,7 +45,7 @@
 
 def test_a_changed_follower_s_entry_is_written() -> None:
     followers = {"vm-1": make_follower("vm-1", written=8)}
-    present = {"vm-1": roster.Present(make_member("vm-1"), 8)}
+    present = {"vm-1": roster.StoredEntry(make_member("vm-1"), 8)}
     busy = dataclasses.replace(make_member("vm-1"), busy=True)
     followers["vm-1"].member = busy
     (update,) = roster.plan(KEEPER, followers, present, 9)
@@ -55,8 +55,8 @@
 def test_an_entry_without_a_follower_is_deleted() -> None:
     """Guards against a stopped VM's entry that stays until its keeper stops."""
     present = {
-        "vm-1": roster.Present(make_member("vm-1"), 8),
-        "vm-2": roster.Present(make_member("vm-2", keeper="vm-9"), 8),
+        "vm-1": roster.StoredEntry(make_member("vm-1"), 8),
+        "vm-2": roster.StoredEntry(make_member("vm-2", keeper="vm-9"), 8),
     }
     (update,) = roster.plan(KEEPER, {}, present, 9)
     assert update == roster.Update("vm-1", None, 8)
@@ -70,9 +70,9 @@
     }
     followers["silent"].alive_until_s = NOW_S
     present = {
-        "kept": roster.Present(make_member("kept"), 8),
-        "silent": roster.Present(make_member("silent"), 8),
-        "taken": roster.Present(make_member("taken", keeper="vm-9"), 9),
+        "kept": roster.StoredEntry(make_member("kept"), 8),
+        "silent": roster.StoredEntry(make_member("silent"), 8),
+        "taken": roster.StoredEntry(make_member("taken", keeper="vm-9"), 9),
     }
     roster.drop_lost(followers, present, 10, NOW_S)
     assert list(followers) == ["kept"]
@@ -81,9 +81,9 @@
 def test_a_write_with_a_lost_answer_counts_once_the_copy_has_it() -> None:
     followers = {"vm-1": make_follower("vm-1")}
     followers["vm-1"].attempt_revision = 8
-    older = {"vm-1": roster.Present(make_member("vm-1"), 8)}
+    older = {"vm-1": roster.StoredEntry(make_member("vm-1"), 8)}
     roster.drop_lost(followers, older, 9, NOW_S)
     assert len(roster.plan(KEEPER, followers, older, 9)) == 1
-    present = {"vm-1": roster.Present(make_member("vm-1"), 9)}
+    present = {"vm-1": roster.StoredEntry(make_member("vm-1"), 9)}
     roster.drop_lost(followers, present, 9, NOW_S)
     assert roster.plan(KEEPER, followers, present, 9) == []
