--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -192,7 +192,7 @@
                 return
 
     async def _write_batch(
-        self, batch: list[policy.Update], lease: str
+        self, batch: list[policy.EntryUpdate], lease: str
     ) -> bool:
         """Writes a batch.
 
@@ -218,7 +218,7 @@
                 return False
 
     async def _handle_failure(
-        self, failure: errors.Failure, batch: list[policy.Update]
+        self, failure: errors.Failure, batch: list[policy.EntryUpdate]
     ) -> bool:
         """Handles a failed batch.
 
@@ -243,7 +243,7 @@
         return False
 
     def _encode_update(
-        self, update: policy.Update, lease: str
+        self, update: policy.EntryUpdate, lease: str
     ) -> store_api.Change:
         """Encodes an update as a change of the store."""
         key = self._make_key(update.vm)
@@ -253,7 +253,7 @@
         return store_api.Change(key, value, update.expected_revision, lease)
 
     def _record_written(
-        self, batch: list[policy.Update], revision: int
+        self, batch: list[policy.EntryUpdate], revision: int
     ) -> None:
         """Records that a batch was written at a revision."""
         for update in batch:
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Update:
+class EntryUpdate:
     """An entry to write or delete.
 
     Attributes:
@@ -104,7 +104,7 @@
     followers: Mapping[str, Follower],
     present: Mapping[str, StoredEntry],
     revision: int,
-) -> list[Update]:
+) -> list[EntryUpdate]:
     """Plans the writes that bring the store in line with the followers.
 
     An entry whose keeper is this VM is deleted if its VM no longer sends
@@ -116,7 +116,7 @@
         present: The entries in the store by VM.
         revision: The store's revision that `present` reflects.
     """
-    updates: list[Update] = []
+    updates: list[EntryUpdate] = []
     for vm, follower in followers.items():
         if (
             follower.written_revision is not None
@@ -131,9 +131,9 @@
             or current.member != follower.member
         ):
             expected = 0 if current is None else current.revision
-            updates.append(Update(vm, follower.member, expected))
+            updates.append(EntryUpdate(vm, follower.member, expected))
     updates += [
-        Update(vm, None, current.revision)
+        EntryUpdate(vm, None, current.revision)
         for vm, current in present.items()
         if current.member.keeper == keeper and vm not in followers
     ]
--- a/tests/policy/test_roster.py
+++ b/tests/policy/test_roster.py
@@ -25,8 +25,8 @@
     followers = {vm: make_follower(vm) for vm in ("vm-1", "vm-2")}
     present = {"vm-2": roster.StoredEntry(make_member("vm-2", keeper=""), 7)}
     assert roster.plan(KEEPER, followers, present, 9) == [
-        roster.Update("vm-1", make_member("vm-1"), 0),
-        roster.Update("vm-2", make_member("vm-2"), 7),
+        roster.EntryUpdate("vm-1", make_member("vm-1"), 0),
+        roster.EntryUpdate("vm-2", make_member("vm-2"), 7),
     ]
 
 
@@ -49,7 +49,7 @@
     busy = dataclasses.replace(make_member("vm-1"), busy=True)
     followers["vm-1"].member = busy
     (update,) = roster.plan(KEEPER, followers, present, 9)
-    assert update == roster.Update("vm-1", busy, 8)
+    assert update == roster.EntryUpdate("vm-1", busy, 8)
 
 
 def test_an_entry_without_a_follower_is_deleted() -> None:
@@ -59,7 +59,7 @@
         "vm-2": roster.StoredEntry(make_member("vm-2", keeper="vm-9"), 8),
     }
     (update,) = roster.plan(KEEPER, {}, present, 9)
-    assert update == roster.Update("vm-1", None, 8)
+    assert update == roster.EntryUpdate("vm-1", None, 8)
 
 
 def test_followers_that_stopped_or_have_another_keeper_are_dropped() -> None:
