--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -180,7 +180,9 @@
             return
         revision = self._copy.revision
         now_s = asyncio.get_running_loop().time()
-        policy.drop_lost(self._followers, present, revision, now_s)
+        policy.drop_inactive_followers(
+            self._followers, present, revision, now_s
+        )
         vm = self._board.identity.vm
         updates = policy.plan(vm, self._followers, present, revision)
         for begin in range(0, len(updates), store_api.MAX_BATCH):
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -70,7 +70,7 @@
     expected_revision: int
 
 
-def drop_lost(
+def drop_inactive_followers(
     followers: dict[str, Follower],
     present: Mapping[str, StoredEntry],
     revision: int,
--- a/tests/policy/test_roster.py
+++ b/tests/policy/test_roster.py
@@ -39,7 +39,7 @@
 def test_a_write_is_not_repeated_while_the_copy_lags() -> None:
     followers = {"vm-1": make_follower("vm-1", written=8)}
     assert roster.plan(KEEPER, followers, {}, 7) == []
-    roster.drop_lost(followers, {}, 7, NOW_S)
+    roster.drop_inactive_followers(followers, {}, 7, NOW_S)
     assert "vm-1" in followers
 
 
@@ -74,7 +74,7 @@
         "silent": roster.StoredEntry(make_member("silent"), 8),
         "taken": roster.StoredEntry(make_member("taken", keeper="vm-9"), 9),
     }
-    roster.drop_lost(followers, present, 10, NOW_S)
+    roster.drop_inactive_followers(followers, present, 10, NOW_S)
     assert list(followers) == ["kept"]
 
 
@@ -82,8 +82,8 @@
     followers = {"vm-1": make_follower("vm-1")}
     followers["vm-1"].attempt_revision = 8
     older = {"vm-1": roster.StoredEntry(make_member("vm-1"), 8)}
-    roster.drop_lost(followers, older, 9, NOW_S)
+    roster.drop_inactive_followers(followers, older, 9, NOW_S)
     assert len(roster.plan(KEEPER, followers, older, 9)) == 1
     present = {"vm-1": roster.StoredEntry(make_member("vm-1"), 9)}
-    roster.drop_lost(followers, present, 9, NOW_S)
+    roster.drop_inactive_followers(followers, present, 9, NOW_S)
     assert roster.plan(KEEPER, followers, present, 9) == []
