--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -184,7 +184,7 @@
             self._followers, present, revision, now_s
         )
         vm = self._board.identity.vm
-        updates = policy.plan(vm, self._followers, present, revision)
+        updates = policy.plan_updates(vm, self._followers, present, revision)
         for begin in range(0, len(updates), store_api.MAX_BATCH):
             lease = self._board.lease
             if not lease or not self._board.follows_store:
--- a/src/azureramp/policy/roster.py
+++ b/src/azureramp/policy/roster.py
@@ -99,7 +99,7 @@
             del followers[vm]
 
 
-def plan(
+def plan_updates(
     keeper: str,
     followers: Mapping[str, Follower],
     present: Mapping[str, StoredEntry],
--- a/tests/policy/test_roster.py
+++ b/tests/policy/test_roster.py
@@ -24,7 +24,7 @@
 def test_a_new_follower_s_entry_replaces_any_existing_one() -> None:
     followers = {vm: make_follower(vm) for vm in ("vm-1", "vm-2")}
     present = {"vm-2": roster.StoredEntry(make_member("vm-2", keeper=""), 7)}
-    assert roster.plan(KEEPER, followers, present, 9) == [
+    assert roster.plan_updates(KEEPER, followers, present, 9) == [
         roster.EntryUpdate("vm-1", make_member("vm-1"), 0),
         roster.EntryUpdate("vm-2", make_member("vm-2"), 7),
     ]
@@ -33,12 +33,12 @@
 def test_unchanged_entries_are_not_written() -> None:
     followers = {"vm-1": make_follower("vm-1", written=8)}
     present = {"vm-1": roster.StoredEntry(make_member("vm-1"), 8)}
-    assert roster.plan(KEEPER, followers, present, 9) == []
+    assert roster.plan_updates(KEEPER, followers, present, 9) == []
 
 
 def test_a_write_is_not_repeated_while_the_copy_lags() -> None:
     followers = {"vm-1": make_follower("vm-1", written=8)}
-    assert roster.plan(KEEPER, followers, {}, 7) == []
+    assert roster.plan_updates(KEEPER, followers, {}, 7) == []
     roster.drop_inactive_followers(followers, {}, 7, NOW_S)
     assert "vm-1" in followers
 
@@ -48,7 +48,7 @@
     present = {"vm-1": roster.StoredEntry(make_member("vm-1"), 8)}
     busy = dataclasses.replace(make_member("vm-1"), busy=True)
     followers["vm-1"].member = busy
-    (update,) = roster.plan(KEEPER, followers, present, 9)
+    (update,) = roster.plan_updates(KEEPER, followers, present, 9)
     assert update == roster.EntryUpdate("vm-1", busy, 8)
 
 
@@ -58,7 +58,7 @@
         "vm-1": roster.StoredEntry(make_member("vm-1"), 8),
         "vm-2": roster.StoredEntry(make_member("vm-2", keeper="vm-9"), 8),
     }
-    (update,) = roster.plan(KEEPER, {}, present, 9)
+    (update,) = roster.plan_updates(KEEPER, {}, present, 9)
     assert update == roster.EntryUpdate("vm-1", None, 8)
 
 
@@ -83,7 +83,7 @@
     followers["vm-1"].attempt_revision = 8
     older = {"vm-1": roster.StoredEntry(make_member("vm-1"), 8)}
     roster.drop_inactive_followers(followers, older, 9, NOW_S)
-    assert len(roster.plan(KEEPER, followers, older, 9)) == 1
+    assert len(roster.plan_updates(KEEPER, followers, older, 9)) == 1
     present = {"vm-1": roster.StoredEntry(make_member("vm-1"), 9)}
     roster.drop_inactive_followers(followers, present, 9, NOW_S)
-    assert roster.plan(KEEPER, followers, present, 9) == []
+    assert roster.plan_updates(KEEPER, followers, present, 9) == []
