--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -158,7 +158,7 @@
         ):
             return
         board.configuration = new
-        board.table = routing.Table(new)
+        board.table = routing.RoutingTable(new)
         _logger.info("configuration {} is in force", new.version)
         if self.on_configuration is not None:
             self.on_configuration(new)
--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -191,7 +191,7 @@
         self.bounds = bounds
         self.started_s = now_s
         self.configuration: catalog.Configuration | None = None
-        self.table: routing.Table | None = None
+        self.table: routing.RoutingTable | None = None
         self.targets: dict[str, Target] = {}
         self.by_service: dict[str, dict[str, Target]] = {}
         self.zones_out: set[str] = set()
--- a/src/azureramp/policy/routing.py
+++ b/src/azureramp/policy/routing.py
@@ -11,7 +11,7 @@
 weights adds one."""
 
 
-class Table:
+class RoutingTable:
     """The routing table of one configuration.
 
     Prefixes end with a slash, so a lookup shortens the path slash by slash from
--- a/src/azureramp_standins/soak/mutants.py
+++ b/src/azureramp_standins/soak/mutants.py
@@ -116,12 +116,12 @@
 
 def refuse_known_routes() -> None:
     """Answers 404 for a configured route."""
-    find = routing.Table.find
+    find = routing.RoutingTable.find
 
     def find_some(self: Any, host: str, path: str) -> Any:
         return None if path.startswith("/one/") else find(self, host, path)
 
-    patch(routing.Table, "find", find_some)
+    patch(routing.RoutingTable, "find", find_some)
 
 
 def name_the_dead() -> None:
