--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -56,7 +56,7 @@
         self._crash_tracker = crash_tracker
         self._log = request_log.RequestLog(board)
         self._timings = pacing.Paces()
-        self._splitter = routing.Splitter()
+        self._splitter = routing.WeightedRoundRobin()
 
     async def handle(
         self, request: requests.Incoming | requests.Malformed
--- a/src/azureramp/policy/routing.py
+++ b/src/azureramp/policy/routing.py
@@ -50,7 +50,7 @@
         return None
 
 
-class Splitter:
+class WeightedRoundRobin:
     """Distributes a route's requests over its services by their weights.
 
     It uses smooth weighted round robin: each VM's own sequence deviates from
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -45,7 +45,7 @@
 
 
 def test_splits_deviate_from_the_weights_by_at_most_one_request() -> None:
-    splitter = routing.Splitter()
+    splitter = routing.WeightedRoundRobin()
     choices = (
         catalog.Weighted("a", 0.7),
         catalog.Weighted("b", 0.3),
