--- a/src/azureramp/controllers/forwarding/change_log.py
+++ b/src/azureramp/controllers/forwarding/change_log.py
@@ -59,7 +59,7 @@
             text: The line.
             now_s: The current time, in seconds.
         """
-        if not self._sampler.take(now_s):
+        if not self._sampler.allow(now_s):
             return
         left_out = self._sampler.take_left_out()
         channel.info(
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -69,7 +69,7 @@
         late = route is not None and total_ms > route.target_s * 1000
         good = outcome in GOOD_OUTCOMES and not late
         sampler = self._sampler if good else self._bad_sampler
-        if not sampler.take(now_s):
+        if not sampler.allow(now_s):
             return
         line: dict[str, Any] = {
             "request": request.id,
--- a/src/azureramp/policy/sampling.py
+++ b/src/azureramp/policy/sampling.py
@@ -25,7 +25,7 @@
         self._updated_s = 0.0
         self.left_out = 0
 
-    def take(self, now_s: float) -> bool:
+    def allow(self, now_s: float) -> bool:
         """Returns True if a line may be written now."""
         earned = (now_s - self._updated_s) * self._per_s
         self._tokens = min(self._burst, self._tokens + max(0.0, earned))
