--- a/src/azureramp/controllers/forwarding/change_log.py
+++ b/src/azureramp/controllers/forwarding/change_log.py
@@ -61,7 +61,7 @@
         """
         if not self._sampler.allow(now_s):
             return
-        left_out = self._sampler.take_left_out()
+        left_out = self._sampler.pop_skipped_count()
         channel.info(
             text, extra={"lines_left_out": left_out} if left_out else {}
         )
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -100,7 +100,7 @@
                 line["not_ready"] = not_ready
         else:
             line["extra_calls"] = sum(each.count_extra() for each in parts)
-        skipped = sampler.take_left_out()
+        skipped = sampler.pop_skipped_count()
         if skipped:
             line["lines_left_out"] = skipped
         _logger.info("request", extra=line)
--- a/src/azureramp/policy/sampling.py
+++ b/src/azureramp/policy/sampling.py
@@ -7,7 +7,7 @@
     """A token bucket that counts the log lines it rejects.
 
     Attributes:
-        left_out: Lines left out since `take_left_out` was last called.
+        left_out: Lines left out since `pop_skipped_count` was last called.
     """
 
     __slots__ = ("_burst", "_per_s", "_tokens", "_updated_s", "left_out")
@@ -36,7 +36,7 @@
         self._tokens -= 1.0
         return True
 
-    def take_left_out(self) -> int:
+    def pop_skipped_count(self) -> int:
         """Returns the number of lines left out and resets it to 0."""
         left_out, self.left_out = self.left_out, 0
         return left_out
