--- a/src/azureramp/policy/sampling.py
+++ b/src/azureramp/policy/sampling.py
@@ -7,10 +7,10 @@
     """A token bucket that counts the log lines it rejects.
 
     Attributes:
-        left_out: Lines left out since `pop_skipped_count` was last called.
+        skipped: Lines left out since `pop_skipped_count` was last called.
     """
 
-    __slots__ = ("_burst", "_per_s", "_tokens", "_updated_s", "left_out")
+    __slots__ = ("_burst", "_per_s", "_tokens", "_updated_s", "skipped")
 
     def __init__(self, per_s: float, burst: float) -> None:
         """Creates a full bucket.
@@ -23,7 +23,7 @@
         self._burst = burst
         self._tokens = burst
         self._updated_s = 0.0
-        self.left_out = 0
+        self.skipped = 0
 
     def allow(self, now_s: float) -> bool:
         """Returns True if a line may be written now."""
@@ -31,12 +31,12 @@
         self._tokens = min(self._burst, self._tokens + max(0.0, earned))
         self._updated_s = now_s
         if self._tokens < 1.0:
-            self.left_out += 1
+            self.skipped += 1
             return False
         self._tokens -= 1.0
         return True
 
     def pop_skipped_count(self) -> int:
         """Returns the number of lines left out and resets it to 0."""
-        left_out, self.left_out = self.left_out, 0
+        left_out, self.skipped = self.skipped, 0
         return left_out
