--- a/src/azureramp/controllers/forwarding/change_log.py
+++ b/src/azureramp/controllers/forwarding/change_log.py
@@ -45,7 +45,7 @@
         self._counts: collections.Counter[Change] = collections.Counter()
         self._due_s = 0.0
         self._logger = logbook.Logger("azureramp.changes")
-        self._sampler = sampling.Sampler(LINES_PER_S, LINE_BURST)
+        self._sampler = sampling.LogLimiter(LINES_PER_S, LINE_BURST)
 
     def count(self, change: Change) -> None:
         """Counts a change for the next line with counts."""
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -40,8 +40,10 @@
     def __init__(self, board: board_module.Board) -> None:
         """Creates the log of one process."""
         self._board = board
-        self._sampler = sampling.Sampler(GOOD_LINES_PER_S, GOOD_LINES_BURST)
-        self._bad_sampler = sampling.Sampler(BAD_LINES_PER_S, BAD_LINES_BURST)
+        self._sampler = sampling.LogLimiter(GOOD_LINES_PER_S, GOOD_LINES_BURST)
+        self._bad_sampler = sampling.LogLimiter(
+            BAD_LINES_PER_S, BAD_LINES_BURST
+        )
 
     def write(
         self,
--- a/src/azureramp/policy/sampling.py
+++ b/src/azureramp/policy/sampling.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Sampler:
+class LogLimiter:
     """A token bucket that counts the log lines it rejects.
 
     Attributes:
