--- a/src/azureramp/controllers/forwarding/pacing.py
+++ b/src/azureramp/controllers/forwarding/pacing.py
@@ -63,7 +63,7 @@
         """
         late_ms = self._sketch.get_quantile_ms()
         late_s = None if late_ms is None else late_ms / 1000
-        return second_calls.choose_time_s(
+        return second_calls.compute_hedge_delay_s(
             late_s, self.get_usual_s(), target_s, left_s
         )
 
--- a/src/azureramp/policy/second_calls.py
+++ b/src/azureramp/policy/second_calls.py
@@ -27,7 +27,7 @@
 With less, calls of normal duration would be hedged."""
 
 
-def choose_time_s(
+def compute_hedge_delay_s(
     late_s: float | None, usual_s: float, target_s: float, left_s: float
 ) -> float:
     """Returns the delay after which a call is hedged, in seconds.
