--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -67,7 +67,7 @@
 
     Attributes:
         slots: Number of requests that it runs concurrently.
-        near: True if it is in this VM's availability zone.
+        same_zone: True if it is in this VM's availability zone.
         in_flight: Number of this VM's calls in flight.
         overdue: Number of these that are overdue.
         slowness: Average duration of its calls relative to the usual one; 1 is
@@ -85,7 +85,7 @@
     """
 
     slots: int
-    near: bool
+    same_zone: bool
     in_flight: int = 0
     overdue: int = 0
     slowness: float = 1.0
@@ -201,12 +201,12 @@
     # While slots are free, concurrent calls hardly delay each other. A call
     # beyond the slots waits for the duration of a whole call.
     slowness = _get_slowness(record, now_s)
-    if record.near:
+    if record.same_zone:
         slowness = max(min(slowness, 1.0), slowness - SAME_ZONE_TOLERANCE)
     cost = slowness * (1.0 + (load / max(1, record.slots)) ** 2)
     cost += OVERDUE_COST * record.overdue
     cost += FAILURE_COST * record.failure_rate * _compute_decay(record, now_s)
-    if not record.near:
+    if not record.same_zone:
         cost += CROSS_ZONE_COST
     return cost
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -21,24 +21,24 @@
     another searcher, even in another zone.
     """
     records = {
-        "paused": selection.Record(2, near=True, in_flight=1, overdue=1),
-        "other": selection.Record(2, near=False, in_flight=1),
+        "paused": selection.Record(2, same_zone=True, in_flight=1, overdue=1),
+        "other": selection.Record(2, same_zone=False, in_flight=1),
     }
     assert choose(records) == "other"
 
 
 def test_a_slow_searcher_is_avoided_until_its_slowness_decays() -> None:
-    slow = selection.Record(2, near=True)
+    slow = selection.Record(2, same_zone=True)
     for _ in range(5):
         slow.add_time(8.0, 10.0)
-    records = {"slow": slow, "other": selection.Record(2, near=False)}
+    records = {"slow": slow, "other": selection.Record(2, same_zone=False)}
     assert choose(records, 10.0) == "other"
     assert selection.rate(slow, 30.0) < selection.rate(slow, 10.0) / 2
 
 
 def test_the_same_zone_is_preferred_until_its_slots_are_in_use() -> None:
-    near = selection.Record(2, near=True)
-    records = {"near": near, "far": selection.Record(2, near=False)}
+    near = selection.Record(2, same_zone=True)
+    records = {"near": near, "far": selection.Record(2, same_zone=False)}
     assert choose(records) == "near"
     near.in_flight = 1
     assert choose(records) == "near", "a slot is free"
@@ -54,15 +54,15 @@
     request to many shards waits for the slowest of them anyway, so only a
     searcher that stays slow is avoided.
     """
-    near = selection.Record(2, near=True, slowness=2.2, measured_s=10.0)
-    records = {"near": near, "far": selection.Record(2, near=False)}
+    near = selection.Record(2, same_zone=True, slowness=2.2, measured_s=10.0)
+    records = {"near": near, "far": selection.Record(2, same_zone=False)}
     assert choose(records) == "near"
     near.slowness = 6.0
     assert choose(records) == "far"
 
 
 def test_the_estimate_includes_the_wait_beyond_the_slots() -> None:
-    record = selection.Record(2, near=True, slowness=7.0, measured_s=10.0)
+    record = selection.Record(2, same_zone=True, slowness=7.0, measured_s=10.0)
     idle = selection.estimate(record, 10.0)
     record.in_flight = 1
     assert selection.estimate(record, 10.0) == idle
@@ -71,7 +71,7 @@
 
 
 def test_a_queue_exists_if_calls_exceed_the_slots() -> None:
-    record = selection.Record(2, near=True, in_flight=2)
+    record = selection.Record(2, same_zone=True, in_flight=2)
     assert not selection.has_queue(record, 10.0)
     record.waiting, record.reported_s = 1.0, 10.0
     assert selection.has_queue(record, 10.0)
@@ -84,8 +84,8 @@
     An unresponsive searcher is now probed by a new connection; one that answers
     with errors is still probed by a call.
     """
-    silent = selection.Record(2, near=True)
-    failing = selection.Record(2, near=True)
+    silent = selection.Record(2, same_zone=True)
+    failing = selection.Record(2, same_zone=True)
     for _ in range(2):
         silent.add_failure(10.0, sent=True, silent=True)
         failing.add_failure(10.0)
@@ -99,7 +99,7 @@
 
 
 def test_a_possibly_recovered_searcher_is_probed_if_alone() -> None:
-    records = {name: selection.Record(2, near=True) for name in ("a", "b")}
+    records = {name: selection.Record(2, same_zone=True) for name in ("a", "b")}
     for record in records.values():
         for _ in range(2):
             record.add_failure(10.0, sent=False)
@@ -115,7 +115,7 @@
     It gets no calls during the backoff and then a single probe, whose failure
     starts a longer backoff and whose success ends it.
     """
-    record = selection.Record(2, near=True)
+    record = selection.Record(2, same_zone=True)
     record.add_failure(10.0)
     assert not record.rests(10.0)
     record.add_failure(10.0)
@@ -130,7 +130,7 @@
 
 
 def test_no_searcher_is_chosen_if_all_are_in_backoff() -> None:
-    record = selection.Record(2, near=True)
+    record = selection.Record(2, same_zone=True)
     for _ in range(3):
         record.add_failure(10.0)
     records = {"a": record}
@@ -143,23 +143,26 @@
     Each loss costs the request a retry. The healthy searcher is preferred until
     the failures have decayed.
     """
-    faulty = selection.Record(2, near=True)
+    faulty = selection.Record(2, same_zone=True)
     for number in range(20):
         if number % 5 < 2:
             faulty.add_failure(10.0)
         else:
             faulty.add_success()
         faulty.measured_s = 10.0
-    records = {"faulty": faulty, "healthy": selection.Record(2, near=False)}
+    records = {
+        "faulty": faulty,
+        "healthy": selection.Record(2, same_zone=False),
+    }
     assert choose(records, 10.0) == "healthy"
     assert choose(records, 40.0) == "faulty"
 
 
 def test_a_recovered_searcher_has_its_usual_cost() -> None:
-    record = selection.Record(2, near=True)
+    record = selection.Record(2, same_zone=True)
     for _ in range(4):
         record.add_failure(10.0, sent=False)
-    before = selection.rate(selection.Record(2, near=True), 12.0)
+    before = selection.rate(selection.Record(2, same_zone=True), 12.0)
     assert selection.rate(record, 12.0) == before
 
 
@@ -170,9 +173,9 @@
     3 of 5 lookups. A searcher that can't be reached or does not respond is not
     used, since it would only delay them.
     """
-    lossy = selection.Record(2, near=True)
-    silent = selection.Record(2, near=True)
-    down = selection.Record(2, near=True)
+    lossy = selection.Record(2, same_zone=True)
+    silent = selection.Record(2, same_zone=True)
+    down = selection.Record(2, same_zone=True)
     for _ in range(2):
         lossy.add_failure(10.0)
         silent.add_failure(10.0, silent=True)
