--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -230,7 +230,7 @@
         return sum(
             self._is_usable(target, sides)
             and (
-                target.record.alive
+                target.record.responsive
                 or not target.record.rests(now_s)
                 or target.record.needs_proof(now_s)
             )
@@ -243,7 +243,7 @@
         def handle_probe(result: pool.ProbeResult) -> None:
             target.probing = False
             if result is pool.ProbeResult.OPENED:
-                target.record.alive = True
+                target.record.responsive = True
 
         if not target.probing:
             target.probing = True
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -74,8 +74,9 @@
             usual.
         measured_s: When a call last updated the measurements, in seconds.
         failures: Number of consecutive failures.
-        alive: False if the last failure shows that the searcher may be down:
-            it could not be reached, or did not respond for long. True after an
+        responsive: False if the last failure shows that the searcher may be
+            down: it could not be reached, or did not respond for long. True
+                after an
             error or a lost answer.
         failure_rate: Moving average of the share of failed calls, 0 to 1.
         backoff_until_s: When its backoff ends, in seconds.
@@ -91,7 +92,7 @@
     slowness: float = 1.0
     measured_s: float = 0.0
     failures: int = 0
-    alive: bool = True
+    responsive: bool = True
     failure_rate: float = 0.0
     backoff_until_s: float = 0.0
     trial: bool = False
@@ -129,7 +130,7 @@
             silent: True if the searcher did not respond for long.
         """
         self.failures += 1
-        self.alive = sent and not silent
+        self.responsive = sent and not silent
         if sent:
             self.failure_rate += FAILURE_SMOOTHING * (1.0 - self.failure_rate)
             self.measured_s = now_s
@@ -148,7 +149,7 @@
         """
         if self.failures < FAILURES_TO_BACKOFF:
             return False
-        return not self.alive or now_s < self.backoff_until_s or self.trial
+        return not self.responsive or now_s < self.backoff_until_s or self.trial
 
     def needs_proof(self, now_s: float) -> bool:
         """Returns True if it may be down and its backoff has ended."""
@@ -156,7 +157,7 @@
             self.failures >= FAILURES_TO_BACKOFF
             and now_s >= self.backoff_until_s
         )
-        return backoff_ended and not self.alive
+        return backoff_ended and not self.responsive
 
 
 def estimate(record: Record, now_s: float) -> float:
@@ -277,6 +278,6 @@
         The id of the best searcher; None if all may be down.
     """
     failing = [
-        (rate(each, now_s), name) for name, each in records if each.alive
+        (rate(each, now_s), name) for name, each in records if each.responsive
     ]
     return min(failing)[1] if failing else None
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -94,7 +94,7 @@
     assert silent.rests(12.0)
     assert not failing.needs_proof(12.0)
     assert not failing.rests(12.0)
-    silent.alive = True
+    silent.responsive = True
     assert not silent.rests(12.0)
 
 
