--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -271,7 +271,7 @@
         near = searcher.zone == self._board.identity.zone
         record = selection.Record(searcher.slots, near)
         if searcher.cold_s > 0:
-            record.slowness = COLD_SLOWNESS
+            record.relative_time = COLD_SLOWNESS
             record.measured_s = asyncio.get_running_loop().time()
 
         def handle_unreachable() -> None:
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -70,8 +70,8 @@
         same_zone: True if it is in this VM's availability zone.
         in_flight: Number of this VM's calls in flight.
         overdue: Number of these that are overdue.
-        slowness: Average duration of its calls relative to the usual one; 1 is
-            usual.
+        relative_time: Average duration of its calls relative to the usual one;
+            1 is usual.
         measured_s: When a call last updated the measurements, in seconds.
         failures: Number of consecutive failures.
         responsive: False if the last failure shows that the searcher may be
@@ -89,7 +89,7 @@
     same_zone: bool
     in_flight: int = 0
     overdue: int = 0
-    slowness: float = 1.0
+    relative_time: float = 1.0
     measured_s: float = 0.0
     failures: int = 0
     responsive: bool = True
@@ -107,7 +107,7 @@
             now_s: The current time, in seconds.
         """
         ratio = min(ratio, 20.0)
-        self.slowness += SMOOTHING * (ratio - self.slowness)
+        self.relative_time += SMOOTHING * (ratio - self.relative_time)
         self.measured_s = now_s
 
     def add_success(self) -> None:
@@ -177,9 +177,9 @@
 
 def _get_slowness(record: Record, now_s: float) -> float:
     """Returns a searcher's relative duration, decayed toward the usual one."""
-    if record.slowness < 1.0:
-        return record.slowness
-    return 1.0 + (record.slowness - 1.0) * _compute_decay(record, now_s)
+    if record.relative_time < 1.0:
+        return record.relative_time
+    return 1.0 + (record.relative_time - 1.0) * _compute_decay(record, now_s)
 
 
 def _compute_decay(record: Record, now_s: float) -> float:
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -54,15 +54,19 @@
     request to many shards waits for the slowest of them anyway, so only a
     searcher that stays slow is avoided.
     """
-    near = selection.Record(2, same_zone=True, slowness=2.2, measured_s=10.0)
+    near = selection.Record(
+        2, same_zone=True, relative_time=2.2, measured_s=10.0
+    )
     records = {"near": near, "far": selection.Record(2, same_zone=False)}
     assert choose(records) == "near"
-    near.slowness = 6.0
+    near.relative_time = 6.0
     assert choose(records) == "far"
 
 
 def test_the_estimate_includes_the_wait_beyond_the_slots() -> None:
-    record = selection.Record(2, same_zone=True, slowness=7.0, measured_s=10.0)
+    record = selection.Record(
+        2, same_zone=True, relative_time=7.0, measured_s=10.0
+    )
     idle = selection.estimate(record, 10.0)
     record.in_flight = 1
     assert selection.estimate(record, 10.0) == idle
