--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -273,7 +273,7 @@
         self._tried.add(target.searcher.id)
         record = target.record
         record.in_flight += 1
-        record.trial = record.failures > 0
+        record.probing = record.failures > 0
         self._searchers.record_call(target, now_s)
         call = api.Call(self._context.message, target.searcher.id, left_s)
         attempt.pending_call = target.pool.submit(
@@ -312,7 +312,7 @@
         attempt.ended = True
         record = attempt.target.record
         record.in_flight -= 1
-        record.trial = False
+        record.probing = False
         if attempt.overdue:
             record.overdue -= 1
 
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -80,7 +80,7 @@
             error or a lost answer.
         failure_rate: Moving average of the share of failed calls, 0 to 1.
         backoff_until_s: When its backoff ends, in seconds.
-        trial: True while a single call probes whether it has recovered.
+        probing: True while a single call probes whether it has recovered.
         waiting: Reported number of other VMs' requests queued or running.
         reported_s: When this was reported, in seconds.
     """
@@ -95,7 +95,7 @@
     responsive: bool = True
     failure_rate: float = 0.0
     backoff_until_s: float = 0.0
-    trial: bool = False
+    probing: bool = False
     waiting: float = 0.0
     reported_s: float = -1e9
 
@@ -115,7 +115,7 @@
         self.failures = 0
         self.failure_rate *= 1.0 - FAILURE_SMOOTHING
         self.backoff_until_s = 0.0
-        self.trial = False
+        self.probing = False
 
     def add_failure(
         self, now_s: float, sent: bool = True, silent: bool = False
@@ -134,7 +134,7 @@
         if sent:
             self.failure_rate += FAILURE_SMOOTHING * (1.0 - self.failure_rate)
             self.measured_s = now_s
-        self.trial = False
+        self.probing = False
         if self.failures >= FAILURES_TO_BACKOFF:
             doublings = min(self.failures - FAILURES_TO_BACKOFF, 8)
             backoff_s = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2**doublings)
@@ -149,7 +149,9 @@
         """
         if self.failures < FAILURES_TO_BACKOFF:
             return False
-        return not self.responsive or now_s < self.backoff_until_s or self.trial
+        return (
+            not self.responsive or now_s < self.backoff_until_s or self.probing
+        )
 
     def needs_proof(self, now_s: float) -> bool:
         """Returns True if it may be down and its backoff has ended."""
@@ -256,7 +258,7 @@
     recovering = [
         (rate(each, now_s), name)
         for name, each in records
-        if each.needs_proof(now_s) and not each.trial
+        if each.needs_proof(now_s) and not each.probing
     ]
     return min(recovering)[1] if recovering else None
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -109,7 +109,7 @@
             record.add_failure(10.0, sent=False)
     assert selection.choose_unproven(records.items(), 10.1) is None
     assert selection.choose_unproven(records.items(), 12.0) == "a"
-    records["a"].trial = True
+    records["a"].probing = True
     assert selection.choose_unproven(records.items(), 12.0) == "b"
 
 
@@ -125,7 +125,7 @@
     record.add_failure(10.0)
     assert record.rests(10.1)
     assert not record.rests(10.3)
-    record.trial = True
+    record.probing = True
     assert record.rests(10.3)
     record.add_failure(10.4)
     assert record.rests(10.8)
