--- a/src/azureramp/controllers/forwarding/learning.py
+++ b/src/azureramp/controllers/forwarding/learning.py
@@ -36,7 +36,7 @@
         return
     if reply.load is not None:
         total = reply.load.running + reply.load.waiting
-        record.waiting = max(0, total - record.in_flight - 1)
+        record.reported_load = max(0, total - record.in_flight - 1)
         record.reported_s = now_s
     if reply.cold_s:
         target.cold_until_s = max(target.cold_until_s, now_s + reply.cold_s)
@@ -45,7 +45,7 @@
         record.add_time(timings.add(took_s), now_s)
     elif reply.ran is api.Ran.NO:
         # The searcher is full, not faulty: it is skipped briefly.
-        record.waiting = max(record.waiting, record.slots)
+        record.reported_load = max(record.reported_load, record.slots)
         record.reported_s = now_s
         record.add_time(REJECTED_SLOWNESS, now_s)
     elif reply.status >= 500:
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -81,7 +81,7 @@
         failure_rate: Moving average of the share of failed calls, 0 to 1.
         backoff_until_s: When its backoff ends, in seconds.
         probing: True while a single call probes whether it has recovered.
-        waiting: Reported number of other VMs' requests queued or running.
+        reported_load: Reported number of other VMs' requests queued or running.
         reported_s: When this was reported, in seconds.
     """
 
@@ -96,7 +96,7 @@
     failure_rate: float = 0.0
     backoff_until_s: float = 0.0
     probing: bool = False
-    waiting: float = 0.0
+    reported_load: float = 0.0
     reported_s: float = -1e9
 
     def add_time(self, ratio: float, now_s: float) -> None:
@@ -194,7 +194,7 @@
     """Returns the known number of calls that a searcher has."""
     load = float(record.in_flight)
     if now_s - record.reported_s < MAX_REPORT_AGE_S:
-        load += record.waiting
+        load += record.reported_load
     return load
 
 
