--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -272,7 +272,7 @@
         record = selection.Record(searcher.slots, near)
         if searcher.cold_s > 0:
             record.relative_time = COLD_SLOWNESS
-            record.measured_s = asyncio.get_running_loop().time()
+            record.updated_s = asyncio.get_running_loop().time()
 
         def handle_unreachable() -> None:
             now_s = asyncio.get_running_loop().time()
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -72,7 +72,7 @@
         overdue: Number of these that are overdue.
         relative_time: Average duration of its calls relative to the usual one;
             1 is usual.
-        measured_s: When a call last updated the measurements, in seconds.
+        updated_s: When a call last updated the measurements, in seconds.
         failures: Number of consecutive failures.
         responsive: False if the last failure shows that the searcher may be
             down: it could not be reached, or did not respond for long. True
@@ -90,7 +90,7 @@
     in_flight: int = 0
     overdue: int = 0
     relative_time: float = 1.0
-    measured_s: float = 0.0
+    updated_s: float = 0.0
     failures: int = 0
     responsive: bool = True
     failure_rate: float = 0.0
@@ -108,7 +108,7 @@
         """
         ratio = min(ratio, 20.0)
         self.relative_time += SMOOTHING * (ratio - self.relative_time)
-        self.measured_s = now_s
+        self.updated_s = now_s
 
     def add_success(self) -> None:
         """Records an answer of any kind that shows that the searcher is up."""
@@ -133,7 +133,7 @@
         self.responsive = sent and not silent
         if sent:
             self.failure_rate += FAILURE_SMOOTHING * (1.0 - self.failure_rate)
-            self.measured_s = now_s
+            self.updated_s = now_s
         self.probing = False
         if self.failures >= FAILURES_TO_BACKOFF:
             doublings = min(self.failures - FAILURES_TO_BACKOFF, 8)
@@ -186,7 +186,7 @@
 
 def _compute_decay(record: Record, now_s: float) -> float:
     """Returns the weight of the measurements by their age, 0 to 1."""
-    idle_s = max(0.0, now_s - record.measured_s)
+    idle_s = max(0.0, now_s - record.updated_s)
     return math.pow(0.5, idle_s / HALF_LIFE_S)
 
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -55,7 +55,7 @@
     searcher that stays slow is avoided.
     """
     near = selection.Record(
-        2, same_zone=True, relative_time=2.2, measured_s=10.0
+        2, same_zone=True, relative_time=2.2, updated_s=10.0
     )
     records = {"near": near, "far": selection.Record(2, same_zone=False)}
     assert choose(records) == "near"
@@ -65,7 +65,7 @@
 
 def test_the_estimate_includes_the_wait_beyond_the_slots() -> None:
     record = selection.Record(
-        2, same_zone=True, relative_time=7.0, measured_s=10.0
+        2, same_zone=True, relative_time=7.0, updated_s=10.0
     )
     idle = selection.estimate(record, 10.0)
     record.in_flight = 1
@@ -153,7 +153,7 @@
             faulty.add_failure(10.0)
         else:
             faulty.add_success()
-        faulty.measured_s = 10.0
+        faulty.updated_s = 10.0
     records = {
         "faulty": faulty,
         "healthy": selection.Record(2, same_zone=False),
