--- a/src/azureramp/controllers/forwarding/learning.py
+++ b/src/azureramp/controllers/forwarding/learning.py
@@ -42,12 +42,12 @@
         target.cold_until_s = max(target.cold_until_s, now_s + reply.cold_s)
     if reply.is_success():
         record.add_success()
-        record.add_time(timings.add(took_s), now_s)
+        record.record_time(timings.add(took_s), now_s)
     elif reply.ran is api.Ran.NO:
         # The searcher is full, not faulty: it is skipped briefly.
         record.reported_load = max(record.reported_load, record.slots)
         record.reported_s = now_s
-        record.add_time(REJECTED_SLOWNESS, now_s)
+        record.record_time(REJECTED_SLOWNESS, now_s)
     elif reply.status >= 500:
         record.add_failure(now_s)
 
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -99,7 +99,7 @@
     reported_load: float = 0.0
     reported_s: float = -1e9
 
-    def add_time(self, ratio: float, now_s: float) -> None:
+    def record_time(self, ratio: float, now_s: float) -> None:
         """Records the duration of a call.
 
         Args:
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -30,7 +30,7 @@
 def test_a_slow_searcher_is_avoided_until_its_slowness_decays() -> None:
     slow = selection.Record(2, same_zone=True)
     for _ in range(5):
-        slow.add_time(8.0, 10.0)
+        slow.record_time(8.0, 10.0)
     records = {"slow": slow, "other": selection.Record(2, same_zone=False)}
     assert choose(records, 10.0) == "other"
     assert selection.rate(slow, 30.0) < selection.rate(slow, 10.0) / 2
