--- a/src/azureramp/controllers/forwarding/learning.py
+++ b/src/azureramp/controllers/forwarding/learning.py
@@ -41,7 +41,7 @@
     if reply.cold_s:
         target.cold_until_s = max(target.cold_until_s, now_s + reply.cold_s)
     if reply.is_success():
-        record.add_success()
+        record.record_success()
         record.record_time(timings.add(took_s), now_s)
     elif reply.ran is api.Ran.NO:
         # The searcher is full, not faulty: it is skipped briefly.
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -110,7 +110,7 @@
         self.relative_time += SMOOTHING * (ratio - self.relative_time)
         self.updated_s = now_s
 
-    def add_success(self) -> None:
+    def record_success(self) -> None:
         """Records an answer of any kind that shows that the searcher is up."""
         self.failures = 0
         self.failure_rate *= 1.0 - FAILURE_SMOOTHING
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -129,7 +129,7 @@
     assert record.rests(10.3)
     record.add_failure(10.4)
     assert record.rests(10.8)
-    record.add_success()
+    record.record_success()
     assert not record.rests(10.9)
 
 
@@ -152,7 +152,7 @@
         if number % 5 < 2:
             faulty.add_failure(10.0)
         else:
-            faulty.add_success()
+            faulty.record_success()
         faulty.updated_s = 10.0
     records = {
         "faulty": faulty,
