--- a/src/azureramp/controllers/forwarding/learning.py
+++ b/src/azureramp/controllers/forwarding/learning.py
@@ -49,7 +49,7 @@
         record.reported_s = now_s
         record.record_time(REJECTED_SLOWNESS, now_s)
     elif reply.status >= 500:
-        record.add_failure(now_s)
+        record.record_failure(now_s)
 
 
 def record_loss(
@@ -65,4 +65,4 @@
     silent = took_s >= MIN_SILENCE_S
     if silent:
         target.pool.close_stale(now_s - took_s)
-    target.record.add_failure(now_s, silent=silent)
+    target.record.record_failure(now_s, silent=silent)
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -276,7 +276,7 @@
 
         def handle_unreachable() -> None:
             now_s = asyncio.get_running_loop().time()
-            record.add_failure(now_s, sent=False)
+            record.record_failure(now_s, sent=False)
 
         return board_module.Target(
             searcher,
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -117,7 +117,7 @@
         self.backoff_until_s = 0.0
         self.probing = False
 
-    def add_failure(
+    def record_failure(
         self, now_s: float, sent: bool = True, silent: bool = False
     ) -> None:
         """Records a call that failed because of the searcher.
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -91,8 +91,8 @@
     silent = selection.Record(2, same_zone=True)
     failing = selection.Record(2, same_zone=True)
     for _ in range(2):
-        silent.add_failure(10.0, sent=True, silent=True)
-        failing.add_failure(10.0)
+        silent.record_failure(10.0, sent=True, silent=True)
+        failing.record_failure(10.0)
     assert not silent.needs_proof(10.1)
     assert silent.needs_proof(12.0)
     assert silent.rests(12.0)
@@ -106,7 +106,7 @@
     records = {name: selection.Record(2, same_zone=True) for name in ("a", "b")}
     for record in records.values():
         for _ in range(2):
-            record.add_failure(10.0, sent=False)
+            record.record_failure(10.0, sent=False)
     assert selection.choose_unproven(records.items(), 10.1) is None
     assert selection.choose_unproven(records.items(), 12.0) == "a"
     records["a"].probing = True
@@ -120,14 +120,14 @@
     starts a longer backoff and whose success ends it.
     """
     record = selection.Record(2, same_zone=True)
-    record.add_failure(10.0)
+    record.record_failure(10.0)
     assert not record.rests(10.0)
-    record.add_failure(10.0)
+    record.record_failure(10.0)
     assert record.rests(10.1)
     assert not record.rests(10.3)
     record.probing = True
     assert record.rests(10.3)
-    record.add_failure(10.4)
+    record.record_failure(10.4)
     assert record.rests(10.8)
     record.record_success()
     assert not record.rests(10.9)
@@ -136,7 +136,7 @@
 def test_no_searcher_is_chosen_if_all_are_in_backoff() -> None:
     record = selection.Record(2, same_zone=True)
     for _ in range(3):
-        record.add_failure(10.0)
+        record.record_failure(10.0)
     records = {"a": record}
     assert selection.choose(records.items(), 10.1, random.Random(1)) is None
 
@@ -150,7 +150,7 @@
     faulty = selection.Record(2, same_zone=True)
     for number in range(20):
         if number % 5 < 2:
-            faulty.add_failure(10.0)
+            faulty.record_failure(10.0)
         else:
             faulty.record_success()
         faulty.updated_s = 10.0
@@ -165,7 +165,7 @@
 def test_a_recovered_searcher_has_its_usual_cost() -> None:
     record = selection.Record(2, same_zone=True)
     for _ in range(4):
-        record.add_failure(10.0, sent=False)
+        record.record_failure(10.0, sent=False)
     before = selection.rate(selection.Record(2, same_zone=True), 12.0)
     assert selection.rate(record, 12.0) == before
 
@@ -181,9 +181,9 @@
     silent = selection.Record(2, same_zone=True)
     down = selection.Record(2, same_zone=True)
     for _ in range(2):
-        lossy.add_failure(10.0)
-        silent.add_failure(10.0, silent=True)
-        down.add_failure(10.0, sent=False)
+        lossy.record_failure(10.0)
+        silent.record_failure(10.0, silent=True)
+        down.record_failure(10.0, sent=False)
     records = {"lossy": lossy, "silent": silent, "down": down}
     rng = random.Random(1)
     assert selection.choose(records.items(), 10.1, rng) is None
