--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -74,7 +74,7 @@
             if each.searcher.state is catalog.SearcherState.READY
             and each.searcher.zone not in self._board.zones_out
             and not each.misdirected
-            and (each.record.responsive or not each.record.rests(now_s))
+            and (each.record.responsive or not each.record.is_excluded(now_s))
         ]
         new_usable = usable.count(order.target)
         old = set(drive.record.old)
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -231,7 +231,7 @@
             self._is_usable(target, sides)
             and (
                 target.record.responsive
-                or not target.record.rests(now_s)
+                or not target.record.is_excluded(now_s)
                 or target.record.needs_proof(now_s)
             )
             for target in targets.values()
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -140,7 +140,7 @@
             backoff_s = min(MAX_BACKOFF_S, BASE_BACKOFF_S * 2**doublings)
             self.backoff_until_s = now_s + backoff_s
 
-    def rests(self, now_s: float) -> bool:
+    def is_excluded(self, now_s: float) -> bool:
         """Returns True if the searcher must not get calls now.
 
         After the backoff, one call at a time probes whether it has recovered.
@@ -230,7 +230,7 @@
     best: str | None = None
     best_cost = 0.0
     for searcher, record in records:
-        if record.rests(now_s):
+        if record.is_excluded(now_s):
             continue
         cost = rate(record, now_s) * (1.0 + 0.1 * rng.random())
         if best is None or cost < best_cost:
--- a/tests/forwarding/test_dark_searchers.py
+++ b/tests/forwarding/test_dark_searchers.py
@@ -81,7 +81,7 @@
         dark.script = searcher.Act(then="hang").do
         record = scene.programs["vm-0"].board.targets["statements-0"].record
         for _ in range(300):
-            if record.rests(loop.time()):
+            if record.is_excluded(loop.time()):
                 break
             await scene.ask("vm-0", "/one/x")
             await asyncio.sleep(0.03)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -95,11 +95,11 @@
         failing.record_failure(10.0)
     assert not silent.needs_proof(10.1)
     assert silent.needs_proof(12.0)
-    assert silent.rests(12.0)
+    assert silent.is_excluded(12.0)
     assert not failing.needs_proof(12.0)
-    assert not failing.rests(12.0)
+    assert not failing.is_excluded(12.0)
     silent.responsive = True
-    assert not silent.rests(12.0)
+    assert not silent.is_excluded(12.0)
 
 
 def test_a_possibly_recovered_searcher_is_probed_if_alone() -> None:
@@ -121,16 +121,16 @@
     """
     record = selection.Record(2, same_zone=True)
     record.record_failure(10.0)
-    assert not record.rests(10.0)
+    assert not record.is_excluded(10.0)
     record.record_failure(10.0)
-    assert record.rests(10.1)
-    assert not record.rests(10.3)
+    assert record.is_excluded(10.1)
+    assert not record.is_excluded(10.3)
     record.probing = True
-    assert record.rests(10.3)
+    assert record.is_excluded(10.3)
     record.record_failure(10.4)
-    assert record.rests(10.8)
+    assert record.is_excluded(10.8)
     record.record_success()
-    assert not record.rests(10.9)
+    assert not record.is_excluded(10.9)
 
 
 def test_no_searcher_is_chosen_if_all_are_in_backoff() -> None:
