--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -182,7 +182,7 @@
         """
         targets = self._board.by_service.get(service, {})
         for target in targets.values():
-            if target.record.needs_proof(now_s):
+            if target.record.needs_probe(now_s):
                 self._probe(target)
         for side in self.rollouts.list_sides(service, is_first, now_s):
             chosen = self._choose_from(
@@ -232,7 +232,7 @@
             and (
                 target.record.responsive
                 or not target.record.is_excluded(now_s)
-                or target.record.needs_proof(now_s)
+                or target.record.needs_probe(now_s)
             )
             for target in targets.values()
         )
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -153,7 +153,7 @@
             not self.responsive or now_s < self.backoff_until_s or self.probing
         )
 
-    def needs_proof(self, now_s: float) -> bool:
+    def needs_probe(self, now_s: float) -> bool:
         """Returns True if it may be down and its backoff has ended."""
         backoff_ended = (
             self.failures >= FAILURES_TO_BACKOFF
@@ -258,7 +258,7 @@
     recovering = [
         (rate(each, now_s), name)
         for name, each in records
-        if each.needs_proof(now_s) and not each.probing
+        if each.needs_probe(now_s) and not each.probing
     ]
     return min(recovering)[1] if recovering else None
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -93,10 +93,10 @@
     for _ in range(2):
         silent.record_failure(10.0, sent=True, silent=True)
         failing.record_failure(10.0)
-    assert not silent.needs_proof(10.1)
-    assert silent.needs_proof(12.0)
+    assert not silent.needs_probe(10.1)
+    assert silent.needs_probe(12.0)
     assert silent.is_excluded(12.0)
-    assert not failing.needs_proof(12.0)
+    assert not failing.needs_probe(12.0)
     assert not failing.is_excluded(12.0)
     silent.responsive = True
     assert not silent.is_excluded(12.0)
