--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -189,10 +189,10 @@
         name = owned.get_name()
         if not reported_cold or not owned.is_cold():
             self._cold_since_s.pop(name, None)
-            owned.ramp.held = False
+            owned.ramp.reports_cold = False
             return
         since_s = self._cold_since_s.setdefault(name, _now_s())
-        owned.ramp.held = _now_s() - since_s < MAX_REPORTED_COLD_S
+        owned.ramp.reports_cold = _now_s() - since_s < MAX_REPORTED_COLD_S
 
     def _get_usual_of_others(self, owned: OwnedSearcher) -> float:
         """Returns the usual service time of other searchers of the service.
--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -66,8 +66,9 @@
         reason: A one-word reason for the current state.
         epoch: Number of resets to cold. Results of calls that began in an
             earlier epoch are ignored.
-        held: True while the searcher reports that it is cold and the report is
-            accepted; it delays the ramp only if no usual latency is known.
+        reports_cold: True while the searcher reports that it is cold and the
+            report is accepted; it delays the ramp only if no usual latency is
+            known.
     """
 
     __slots__ = (
@@ -82,9 +83,9 @@
         "_streak",
         "_usual_ms",
         "epoch",
-        "held",
         "limit",
         "reason",
+        "reports_cold",
         "state",
     )
 
@@ -115,7 +116,7 @@
         self.state = State.COLD
         self.reason = "new"
         self.epoch = 0
-        self.held = False
+        self.reports_cold = False
 
     def restore(self, limit: int, usual_ms: float, slow: int = 0) -> None:
         """Continues from the state of another owner's ramp.
@@ -282,7 +283,7 @@
     def _has_settled(self) -> bool:
         """Returns True if a cold searcher's latencies have stopped falling."""
         needed = RELEARNING_CALLS if self._usual_ms else SETTLING_CALLS
-        if self.held or len(self._cold_latencies_ms) < needed:
+        if self.reports_cold or len(self._cold_latencies_ms) < needed:
             return False
         latencies = list(self._cold_latencies_ms)
         middle = len(latencies) // 2
--- a/tests/policy/test_ramps.py
+++ b/tests/policy/test_ramps.py
@@ -180,7 +180,7 @@
     known = make_warm(slots=2)
     known.reset_to_cold("lost")
     for ramp in (unknown, known):
-        ramp.held = True
+        ramp.reports_cold = True
         for _ in range(40):
             ramp.record_success(USUAL_MS, ramp.epoch)
 
