--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -80,7 +80,7 @@
     """
 
     searcher: catalog.Searcher
-    record: selection.Record
+    record: selection.SearcherStats
     pool: pool.Pool
     cold_until_s: float = -math.inf
     misdirected: bool = False
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -282,7 +282,7 @@
         return True
 
     def _is_worth_hedging(
-        self, record: selection.Record, now_s: float, within_s: float
+        self, record: selection.SearcherStats, now_s: float, within_s: float
     ) -> bool:
         """Returns True if a hedge is likely to be answered in time."""
         expected_s = self._timings.get_usual_s() * selection.estimate(
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -269,7 +269,7 @@
     def _make_target(self, searcher: catalog.Searcher) -> board_module.Target:
         """Creates the state of a newly announced searcher."""
         near = searcher.zone == self._board.identity.zone
-        record = selection.Record(searcher.slots, near)
+        record = selection.SearcherStats(searcher.slots, near)
         if searcher.cold_s > 0:
             record.relative_time = COLD_SLOWNESS
             record.updated_s = asyncio.get_running_loop().time()
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Record:
+class SearcherStats:
     """This VM's measurements of one searcher.
 
     Attributes:
@@ -162,7 +162,7 @@
         return backoff_ended and not self.responsive
 
 
-def estimate(record: Record, now_s: float) -> float:
+def estimate(record: SearcherStats, now_s: float) -> float:
     """Estimates the duration of one more call, relative to the usual one.
 
     The estimate includes the wait for a slot if all are in use.
@@ -172,25 +172,25 @@
     return _get_slowness(record, now_s) * (1.0 + ahead / slots)
 
 
-def has_queue(record: Record, now_s: float) -> bool:
+def has_queue(record: SearcherStats, now_s: float) -> bool:
     """Returns True if calls are waiting for a slot."""
     return _get_load(record, now_s) > record.slots
 
 
-def _get_slowness(record: Record, now_s: float) -> float:
+def _get_slowness(record: SearcherStats, now_s: float) -> float:
     """Returns a searcher's relative duration, decayed toward the usual one."""
     if record.relative_time < 1.0:
         return record.relative_time
     return 1.0 + (record.relative_time - 1.0) * _compute_decay(record, now_s)
 
 
-def _compute_decay(record: Record, now_s: float) -> float:
+def _compute_decay(record: SearcherStats, now_s: float) -> float:
     """Returns the weight of the measurements by their age, 0 to 1."""
     idle_s = max(0.0, now_s - record.updated_s)
     return math.pow(0.5, idle_s / HALF_LIFE_S)
 
 
-def _get_load(record: Record, now_s: float) -> float:
+def _get_load(record: SearcherStats, now_s: float) -> float:
     """Returns the known number of calls that a searcher has."""
     load = float(record.in_flight)
     if now_s - record.reported_s < MAX_REPORT_AGE_S:
@@ -198,7 +198,7 @@
     return load
 
 
-def rate(record: Record, now_s: float) -> float:
+def rate(record: SearcherStats, now_s: float) -> float:
     """Returns a searcher's cost for one more call; lower is better."""
     load = _get_load(record, now_s)
     # While slots are free, concurrent calls hardly delay each other. A call
@@ -215,7 +215,9 @@
 
 
 def choose(
-    records: Iterable[tuple[str, Record]], now_s: float, rng: random.Random
+    records: Iterable[tuple[str, SearcherStats]],
+    now_s: float,
+    rng: random.Random,
 ) -> str | None:
     """Chooses the best searcher.
 
@@ -239,7 +241,7 @@
 
 
 def choose_unproven(
-    records: Iterable[tuple[str, Record]], now_s: float
+    records: Iterable[tuple[str, SearcherStats]], now_s: float
 ) -> str | None:
     """Chooses among searchers that may have recovered, if there are no others.
 
@@ -264,7 +266,7 @@
 
 
 def choose_faulty(
-    records: Iterable[tuple[str, Record]], now_s: float
+    records: Iterable[tuple[str, SearcherStats]], now_s: float
 ) -> str | None:
     """Chooses among searchers in backoff, as a last resort.
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -7,7 +7,9 @@
 from azureramp.policy import selection
 
 
-def choose(records: dict[str, selection.Record], now_s: float = 10.0) -> str:
+def choose(
+    records: dict[str, selection.SearcherStats], now_s: float = 10.0
+) -> str:
     chosen = selection.choose(records.items(), now_s, random.Random(1))
     assert chosen is not None
     return chosen
@@ -21,24 +23,29 @@
     another searcher, even in another zone.
     """
     records = {
-        "paused": selection.Record(2, same_zone=True, in_flight=1, overdue=1),
-        "other": selection.Record(2, same_zone=False, in_flight=1),
+        "paused": selection.SearcherStats(
+            2, same_zone=True, in_flight=1, overdue=1
+        ),
+        "other": selection.SearcherStats(2, same_zone=False, in_flight=1),
     }
     assert choose(records) == "other"
 
 
 def test_a_slow_searcher_is_avoided_until_its_slowness_decays() -> None:
-    slow = selection.Record(2, same_zone=True)
+    slow = selection.SearcherStats(2, same_zone=True)
     for _ in range(5):
         slow.record_time(8.0, 10.0)
-    records = {"slow": slow, "other": selection.Record(2, same_zone=False)}
+    records = {
+        "slow": slow,
+        "other": selection.SearcherStats(2, same_zone=False),
+    }
     assert choose(records, 10.0) == "other"
     assert selection.rate(slow, 30.0) < selection.rate(slow, 10.0) / 2
 
 
 def test_the_same_zone_is_preferred_until_its_slots_are_in_use() -> None:
-    near = selection.Record(2, same_zone=True)
-    records = {"near": near, "far": selection.Record(2, same_zone=False)}
+    near = selection.SearcherStats(2, same_zone=True)
+    records = {"near": near, "far": selection.SearcherStats(2, same_zone=False)}
     assert choose(records) == "near"
     near.in_flight = 1
     assert choose(records) == "near", "a slot is free"
@@ -54,17 +61,17 @@
     request to many shards waits for the slowest of them anyway, so only a
     searcher that stays slow is avoided.
     """
-    near = selection.Record(
+    near = selection.SearcherStats(
         2, same_zone=True, relative_time=2.2, updated_s=10.0
     )
-    records = {"near": near, "far": selection.Record(2, same_zone=False)}
+    records = {"near": near, "far": selection.SearcherStats(2, same_zone=False)}
     assert choose(records) == "near"
     near.relative_time = 6.0
     assert choose(records) == "far"
 
 
 def test_the_estimate_includes_the_wait_beyond_the_slots() -> None:
-    record = selection.Record(
+    record = selection.SearcherStats(
         2, same_zone=True, relative_time=7.0, updated_s=10.0
     )
     idle = selection.estimate(record, 10.0)
@@ -75,7 +82,7 @@
 
 
 def test_a_queue_exists_if_calls_exceed_the_slots() -> None:
-    record = selection.Record(2, same_zone=True, in_flight=2)
+    record = selection.SearcherStats(2, same_zone=True, in_flight=2)
     assert not selection.has_queue(record, 10.0)
     record.reported_load, record.reported_s = 1.0, 10.0
     assert selection.has_queue(record, 10.0)
@@ -88,8 +95,8 @@
     An unresponsive searcher is now probed by a new connection; one that answers
     with errors is still probed by a call.
     """
-    silent = selection.Record(2, same_zone=True)
-    failing = selection.Record(2, same_zone=True)
+    silent = selection.SearcherStats(2, same_zone=True)
+    failing = selection.SearcherStats(2, same_zone=True)
     for _ in range(2):
         silent.record_failure(10.0, sent=True, silent=True)
         failing.record_failure(10.0)
@@ -103,7 +110,9 @@
 
 
 def test_a_possibly_recovered_searcher_is_probed_if_alone() -> None:
-    records = {name: selection.Record(2, same_zone=True) for name in ("a", "b")}
+    records = {
+        name: selection.SearcherStats(2, same_zone=True) for name in ("a", "b")
+    }
     for record in records.values():
         for _ in range(2):
             record.record_failure(10.0, sent=False)
@@ -119,7 +128,7 @@
     It gets no calls during the backoff and then a single probe, whose failure
     starts a longer backoff and whose success ends it.
     """
-    record = selection.Record(2, same_zone=True)
+    record = selection.SearcherStats(2, same_zone=True)
     record.record_failure(10.0)
     assert not record.is_excluded(10.0)
     record.record_failure(10.0)
@@ -134,7 +143,7 @@
 
 
 def test_no_searcher_is_chosen_if_all_are_in_backoff() -> None:
-    record = selection.Record(2, same_zone=True)
+    record = selection.SearcherStats(2, same_zone=True)
     for _ in range(3):
         record.record_failure(10.0)
     records = {"a": record}
@@ -147,7 +156,7 @@
     Each loss costs the request a retry. The healthy searcher is preferred until
     the failures have decayed.
     """
-    faulty = selection.Record(2, same_zone=True)
+    faulty = selection.SearcherStats(2, same_zone=True)
     for number in range(20):
         if number % 5 < 2:
             faulty.record_failure(10.0)
@@ -156,17 +165,17 @@
         faulty.updated_s = 10.0
     records = {
         "faulty": faulty,
-        "healthy": selection.Record(2, same_zone=False),
+        "healthy": selection.SearcherStats(2, same_zone=False),
     }
     assert choose(records, 10.0) == "healthy"
     assert choose(records, 40.0) == "faulty"
 
 
 def test_a_recovered_searcher_has_its_usual_cost() -> None:
-    record = selection.Record(2, same_zone=True)
+    record = selection.SearcherStats(2, same_zone=True)
     for _ in range(4):
         record.record_failure(10.0, sent=False)
-    before = selection.rate(selection.Record(2, same_zone=True), 12.0)
+    before = selection.rate(selection.SearcherStats(2, same_zone=True), 12.0)
     assert selection.rate(record, 12.0) == before
 
 
@@ -177,9 +186,9 @@
     3 of 5 lookups. A searcher that can't be reached or does not respond is not
     used, since it would only delay them.
     """
-    lossy = selection.Record(2, same_zone=True)
-    silent = selection.Record(2, same_zone=True)
-    down = selection.Record(2, same_zone=True)
+    lossy = selection.SearcherStats(2, same_zone=True)
+    silent = selection.SearcherStats(2, same_zone=True)
+    down = selection.SearcherStats(2, same_zone=True)
     for _ in range(2):
         lossy.record_failure(10.0)
         silent.record_failure(10.0, silent=True)
