--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -285,8 +285,9 @@
         self, record: selection.SearcherStats, now_s: float, within_s: float
     ) -> bool:
         """Returns True if a hedge is likely to be answered in time."""
-        expected_s = self._timings.get_usual_s() * selection.estimate(
-            record, now_s
+        expected_s = (
+            self._timings.get_usual_s()
+            * selection.estimate_relative_time(record, now_s)
         )
         return not record.overdue and expected_s <= within_s
 
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -162,7 +162,7 @@
         return backoff_ended and not self.responsive
 
 
-def estimate(record: SearcherStats, now_s: float) -> float:
+def estimate_relative_time(record: SearcherStats, now_s: float) -> float:
     """Estimates the duration of one more call, relative to the usual one.
 
     The estimate includes the wait for a slot if all are in use.
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -74,11 +74,11 @@
     record = selection.SearcherStats(
         2, same_zone=True, relative_time=7.0, updated_s=10.0
     )
-    idle = selection.estimate(record, 10.0)
+    idle = selection.estimate_relative_time(record, 10.0)
     record.in_flight = 1
-    assert selection.estimate(record, 10.0) == idle
+    assert selection.estimate_relative_time(record, 10.0) == idle
     record.in_flight = 3
-    assert selection.estimate(record, 10.0) == 2 * idle
+    assert selection.estimate_relative_time(record, 10.0) == 2 * idle
 
 
 def test_a_queue_exists_if_calls_exceed_the_slots() -> None:
