--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -198,7 +198,7 @@
     return load
 
 
-def rate(record: SearcherStats, now_s: float) -> float:
+def compute_cost(record: SearcherStats, now_s: float) -> float:
     """Returns a searcher's cost for one more call; lower is better."""
     load = _get_load(record, now_s)
     # While slots are free, concurrent calls hardly delay each other. A call
@@ -234,7 +234,7 @@
     for searcher, record in records:
         if record.is_excluded(now_s):
             continue
-        cost = rate(record, now_s) * (1.0 + 0.1 * rng.random())
+        cost = compute_cost(record, now_s) * (1.0 + 0.1 * rng.random())
         if best is None or cost < best_cost:
             best, best_cost = searcher, cost
     return best
@@ -258,7 +258,7 @@
         being probed; None if there is none.
     """
     recovering = [
-        (rate(each, now_s), name)
+        (compute_cost(each, now_s), name)
         for name, each in records
         if each.needs_probe(now_s) and not each.probing
     ]
@@ -282,6 +282,8 @@
         The id of the best searcher; None if all may be down.
     """
     failing = [
-        (rate(each, now_s), name) for name, each in records if each.responsive
+        (compute_cost(each, now_s), name)
+        for name, each in records
+        if each.responsive
     ]
     return min(failing)[1] if failing else None
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -40,7 +40,10 @@
         "other": selection.SearcherStats(2, same_zone=False),
     }
     assert choose(records, 10.0) == "other"
-    assert selection.rate(slow, 30.0) < selection.rate(slow, 10.0) / 2
+    assert (
+        selection.compute_cost(slow, 30.0)
+        < selection.compute_cost(slow, 10.0) / 2
+    )
 
 
 def test_the_same_zone_is_preferred_until_its_slots_are_in_use() -> None:
@@ -175,8 +178,10 @@
     record = selection.SearcherStats(2, same_zone=True)
     for _ in range(4):
         record.record_failure(10.0, sent=False)
-    before = selection.rate(selection.SearcherStats(2, same_zone=True), 12.0)
-    assert selection.rate(record, 12.0) == before
+    before = selection.compute_cost(
+        selection.SearcherStats(2, same_zone=True), 12.0
+    )
+    assert selection.compute_cost(record, 12.0) == before
 
 
 def test_if_all_fail_often_a_responsive_searcher_is_used() -> None:
