--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -240,7 +240,7 @@
     return best
 
 
-def choose_unproven(
+def choose_for_probe(
     records: Iterable[tuple[str, SearcherStats]], now_s: float
 ) -> str | None:
     """Chooses among searchers that may have recovered, if there are no others.
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -119,10 +119,10 @@
     for record in records.values():
         for _ in range(2):
             record.record_failure(10.0, sent=False)
-    assert selection.choose_unproven(records.items(), 10.1) is None
-    assert selection.choose_unproven(records.items(), 12.0) == "a"
+    assert selection.choose_for_probe(records.items(), 10.1) is None
+    assert selection.choose_for_probe(records.items(), 12.0) == "a"
     records["a"].probing = True
-    assert selection.choose_unproven(records.items(), 12.0) == "b"
+    assert selection.choose_for_probe(records.items(), 12.0) == "b"
 
 
 def test_consecutive_failures_start_a_backoff_that_a_probe_ends() -> None:
