--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -220,7 +220,7 @@
         if chosen is None:
             chosen = selection.choose_for_probe(usable, now_s)
         if chosen is None and allow_faulty:
-            chosen = selection.choose_faulty(usable, now_s)
+            chosen = selection.choose_in_backoff(usable, now_s)
         return None if chosen is None else targets[chosen]
 
     def count_usable(self, service: str, now_s: float) -> int:
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -265,7 +265,7 @@
     return min(recovering)[1] if recovering else None
 
 
-def choose_faulty(
+def choose_in_backoff(
     records: Iterable[tuple[str, SearcherStats]], now_s: float
 ) -> str | None:
     """Chooses among searchers in backoff, as a last resort.
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -201,6 +201,6 @@
     records = {"lossy": lossy, "silent": silent, "down": down}
     rng = random.Random(1)
     assert selection.choose(records.items(), 10.1, rng) is None
-    assert selection.choose_faulty(records.items(), 10.1) == "lossy"
+    assert selection.choose_in_backoff(records.items(), 10.1) == "lossy"
     del records["lossy"]
-    assert selection.choose_faulty(records.items(), 10.1) is None
+    assert selection.choose_in_backoff(records.items(), 10.1) is None
