--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -179,7 +179,7 @@
             if not self._cancel_unsent(attempt, now_s):
                 self._report_end(attempt, rollout_view.End.UNANSWERED, now_s)
                 record = attempt.target.record
-                queues = selection.has_queue(record, now_s)
+                queues = selection.has_queued_calls(record, now_s)
                 attempt.pending_call.abandon(
                     0.0 if queues else ABANDONED_CALL_LINGER_S
                 )
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -172,7 +172,7 @@
     return _get_slowness(record, now_s) * (1.0 + ahead / slots)
 
 
-def has_queue(record: SearcherStats, now_s: float) -> bool:
+def has_queued_calls(record: SearcherStats, now_s: float) -> bool:
     """Returns True if calls are waiting for a slot."""
     return _get_load(record, now_s) > record.slots
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -86,9 +86,9 @@
 
 def test_a_queue_exists_if_calls_exceed_the_slots() -> None:
     record = selection.SearcherStats(2, same_zone=True, in_flight=2)
-    assert not selection.has_queue(record, 10.0)
+    assert not selection.has_queued_calls(record, 10.0)
     record.reported_load, record.reported_s = 1.0, 10.0
-    assert selection.has_queue(record, 10.0)
+    assert selection.has_queued_calls(record, 10.0)
 
 
 def test_an_unresponsive_searcher_gets_no_calls_until_it_recovers() -> None:
