--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -69,7 +69,7 @@
     def get_extra_call_share(self, now_s: float) -> float:
         """Returns this VM's share of the fixed extra calls, 0 to 1."""
         self.update(now_s)
-        return self._extra_share.part
+        return self._extra_share.value
 
     def is_warm_enough(self, target: board_module.Target, now_s: float) -> bool:
         """Returns True if a searcher can take one more call this second.
@@ -88,7 +88,7 @@
         bound = service.cold_per_s * bounds.cold_overage + bounds.cold_slack
         self.update(now_s)
         recent = coldness.count_recent_calls(target, now_s)
-        return recent + 1 <= bound * self._cold_share.part
+        return recent + 1 <= bound * self._cold_share.value
 
     def update(self, now_s: float) -> None:
         """Updates this VM's shares of the limits on all VMs together."""
--- a/src/azureramp/policy/shares.py
+++ b/src/azureramp/policy/shares.py
@@ -31,10 +31,10 @@
     """One VM's share over time: the minimum of a sliding time window.
 
     Attributes:
-        part: The share in force, 0 to 1.
+        value: The share in force, 0 to 1.
     """
 
-    __slots__ = ("_minima", "_span_s", "part")
+    __slots__ = ("_minima", "_span_s", "value")
 
     def __init__(
         self, window_s: float, began_s: float, first_start: bool
@@ -50,7 +50,7 @@
             began_s: When the process started, in seconds.
             first_start: True if the whole tier starts for the first time.
         """
-        self.part = 0.0
+        self.value = 0.0
         self._span_s = window_s + MAX_UPDATE_DELAY_S
         # Times and shares, both ascending. A share that is followed by a lower
         # one can't be the minimum again, so it is dropped.
@@ -73,8 +73,8 @@
         oldest_s = now_s - self._span_s
         while len(self._minima) > 1 and self._minima[0][0] < oldest_s:
             self._minima.popleft()
-        self.part = self._minima[0][1]
-        return self.part
+        self.value = self._minima[0][1]
+        return self.value
 
 
 def compute_part(
