--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -31,10 +31,10 @@
         self._board = board
         self._allowances: dict[str, allowances.Allowance] = {}
         first = board.identity.first_start
-        self._extra_share = shares.Share(
+        self._extra_share = shares.LimitShare(
             board.bounds.extra.window_s, board.started_s, first
         )
-        self._cold_share = shares.Share(
+        self._cold_share = shares.LimitShare(
             coldness.WINDOW_S, board.started_s, first
         )
 
--- a/src/azureramp/policy/shares.py
+++ b/src/azureramp/policy/shares.py
@@ -27,7 +27,7 @@
 seconds; beyond that its contact is stale."""
 
 
-class Share:
+class LimitShare:
     """One VM's share over time: the minimum of a sliding time window.
 
     Attributes:
--- a/tests/policy/test_shares.py
+++ b/tests/policy/test_shares.py
@@ -20,13 +20,16 @@
     """
     part = shares.compute_part(4, 4, is_advertised=True, stale=False)
     assert part == shares.ADVERTISED_SHARE / 4
-    again = shares.Share(WINDOW_S, 0.0, first_start=False)
+    again = shares.LimitShare(WINDOW_S, 0.0, first_start=False)
     assert again.update(part, 3.0) == 0.0
     assert again.update(part, WINDOW_S) == 0.0
     assert (
         again.update(part, WINDOW_S + shares.MAX_UPDATE_DELAY_S + 0.1) == part
     )
-    assert shares.Share(WINDOW_S, 0.0, first_start=True).update(part, 0) == part
+    assert (
+        shares.LimitShare(WINDOW_S, 0.0, first_start=True).update(part, 0)
+        == part
+    )
 
 
 def test_the_advertised_vms_have_nearly_the_whole_limit() -> None:
@@ -43,7 +46,7 @@
 
 
 def test_a_share_shrinks_immediately_and_grows_after_a_window() -> None:
-    share = shares.Share(WINDOW_S, 0.0, first_start=True)
+    share = shares.LimitShare(WINDOW_S, 0.0, first_start=True)
     assert share.update(0.2, 0.0) == 0.2
     assert share.update(0.1, 5.0) == 0.1
     assert share.update(0.3, 6.0) == 0.1
@@ -64,7 +67,7 @@
     rng = random.Random(seed)
     names = [f"vm-{number}" for number in range(12)]
     isolated = names[0]
-    parts = {name: shares.Share(WINDOW_S, 0.0, True) for name in names}
+    parts = {name: shares.LimitShare(WINDOW_S, 0.0, True) for name in names}
     views = {name: set(names[:5]) for name in names}
     lists: list[tuple[float, set[str]]] = [(0.0, set(names[:5]))]
     lag_s = {name: rng.uniform(0, shares.MAX_UPDATE_DELAY_S) for name in names}
