--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -95,7 +95,7 @@
         board = self._board
         members = board.members.keys() | {board.identity.vm}
         stale_s = now_s - board.contact.confirmed_s
-        part = shares.compute_part(
+        part = shares.compute_share(
             len(board.advertised),
             len(members - board.advertised.keys()),
             board.identity.vm in board.advertised,
--- a/src/azureramp/policy/shares.py
+++ b/src/azureramp/policy/shares.py
@@ -77,7 +77,7 @@
         return self.value
 
 
-def compute_part(
+def compute_share(
     advertised: int, others: int, is_advertised: bool, stale: bool
 ) -> float:
     """Returns a VM's share according to the list of VMs that it knows, 0 to 1.
--- a/tests/policy/test_shares.py
+++ b/tests/policy/test_shares.py
@@ -18,7 +18,7 @@
     it waits for one time window and until every VM has received its entry. Only
     at the first start of the tier nothing was used before.
     """
-    part = shares.compute_part(4, 4, is_advertised=True, stale=False)
+    part = shares.compute_share(4, 4, is_advertised=True, stale=False)
     assert part == shares.ADVERTISED_SHARE / 4
     again = shares.LimitShare(WINDOW_S, 0.0, first_start=False)
     assert again.update(part, 3.0) == 0.0
@@ -39,8 +39,8 @@
     extra calls belonged to VMs that hardly get requests, so few calls were
     retried when most searchers of a shard rejected most calls.
     """
-    advertised = shares.compute_part(6, 58, is_advertised=True, stale=False)
-    other = shares.compute_part(6, 58, is_advertised=False, stale=False)
+    advertised = shares.compute_share(6, 58, is_advertised=True, stale=False)
+    other = shares.compute_share(6, 58, is_advertised=False, stale=False)
     assert advertised * 6 + other * 58 == pytest.approx(1.0)
     assert advertised > 9 / 64
 
@@ -87,7 +87,7 @@
                 ]
                 views[name] = seen[-1] if seen else lists[0][1]
             advertised = views[name]
-            listed_part = shares.compute_part(
+            listed_part = shares.compute_share(
                 len(advertised),
                 len(names) - len(advertised),
                 name in advertised,
