--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -99,7 +99,7 @@
             len(board.advertised),
             len(members - board.advertised.keys()),
             board.identity.vm in board.advertised,
-            stale_s > shares.STALE_S,
+            stale_s > shares.STALE_CONTACT_S,
         )
         self._extra_share.update(part, now_s)
         self._cold_share.update(part, now_s)
--- a/src/azureramp/policy/shares.py
+++ b/src/azureramp/policy/shares.py
@@ -15,7 +15,7 @@
 """The total share of the VMs advertised to callers. The rest is for the others,
 which get occasional requests from callers with outdated addresses."""
 
-STALE_S = 3.0
+STALE_CONTACT_S = 3.0
 """A VM that has not reached the store for this time, in seconds, uses half its
 share. This is how long its lease stays valid, so other VMs may have replaced it
 without its knowledge. They may also not have, if no VM can reach the store."""
@@ -86,7 +86,7 @@
         advertised: Number of VMs that are advertised to callers.
         others: Number of VMs that are not advertised.
         is_advertised: True if this VM is advertised.
-        stale: True if this VM has not reached the store for `STALE_S`.
+        stale: True if this VM has not reached the store for `STALE_CONTACT_S`.
     """
     if is_advertised:
         part = ADVERTISED_SHARE / max(1, advertised)
--- a/tests/policy/test_shares.py
+++ b/tests/policy/test_shares.py
@@ -91,7 +91,7 @@
                 len(advertised),
                 len(names) - len(advertised),
                 name in advertised,
-                stale=name == isolated and now_s > 20 + shares.STALE_S,
+                stale=name == isolated and now_s > 20 + shares.STALE_CONTACT_S,
             )
             parts_in_force[name] = parts[name].update(listed_part, now_s)
             used = sum(
