--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -56,7 +56,7 @@
         self,
         wanted: Iterable[assembly.Progress],
         reason: str,
-        replicas: snapshots.Replicas | None = None,
+        replicas: snapshots.UsableReplicas | None = None,
         ahead: bool = False,
     ) -> bool:
         """Sends one more attempt for each given shard where possible.
--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -157,7 +157,7 @@
     def _start_first(
         self,
         waiting: list[assembly.Progress],
-        replicas: snapshots.Replicas | None,
+        replicas: snapshots.UsableReplicas | None,
     ) -> None:
         """Sends first attempts; a shard without a replica is lost."""
         for progress in waiting:
--- a/src/azureramp/policy/snapshots.py
+++ b/src/azureramp/policy/snapshots.py
@@ -17,7 +17,7 @@
 whole load."""
 
 
-Replicas = Mapping[str, tuple[str, ...]]
+UsableReplicas = Mapping[str, tuple[str, ...]]
 """The usable searchers of each shard, by the shard's name."""
 
 
@@ -31,7 +31,7 @@
     """
 
     shard_map: resources.ShardMap
-    replicas: Replicas
+    replicas: UsableReplicas
 
 
 def find_usable(
