--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -272,7 +272,7 @@
         if left_s * 1000 <= needed_ms:
             return False
         pinned = self._dispatcher.viewer.pin(header.index, after=header.version)
-        if pinned.is_error() or not snapshots.is_whole(pinned.ok):
+        if pinned.is_error() or not snapshots.is_complete(pinned.ok):
             return False
         self._snapshot = pinned.ok
         self._previous = self._attempts.state
--- a/src/azureramp/policy/snapshots.py
+++ b/src/azureramp/policy/snapshots.py
@@ -117,7 +117,7 @@
     return held / total if total else 0.0
 
 
-def is_whole(snapshot: Snapshot) -> bool:
+def is_complete(snapshot: Snapshot) -> bool:
     """Returns True if every shard has a usable replica."""
     return _has_replicas(snapshot, 1)
 
