--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -201,6 +201,8 @@
         pinned = self.get().pin(index, rolled_out, after)
         if pinned.is_ok():
             version = pinned.ok.shard_map.version
-            if version != rolled_out and snapshots.has_enough(pinned.ok):
+            if version != rolled_out and snapshots.has_enough_replicas(
+                pinned.ok
+            ):
                 self._rolled_out[index] = version
         return pinned
--- a/src/azureramp/policy/snapshots.py
+++ b/src/azureramp/policy/snapshots.py
@@ -122,7 +122,7 @@
     return _has_replicas(snapshot, 1)
 
 
-def has_enough(snapshot: Snapshot) -> bool:
+def has_enough_replicas(snapshot: Snapshot) -> bool:
     """Returns True if every shard has `MIN_REPLICAS` usable replicas."""
     return _has_replicas(snapshot, MIN_REPLICAS)
 
