--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -69,7 +69,7 @@
         self, index: str, version: int, shard: resources.Shard
     ) -> tuple[str, ...]:
         """Finds the searchers that may get work of a shard now."""
-        return snapshots.find_usable(
+        return snapshots.list_usable_searchers(
             shard,
             f"{index}.{version}",
             self.table.sites,
--- a/src/azureramp/policy/snapshots.py
+++ b/src/azureramp/policy/snapshots.py
@@ -34,7 +34,7 @@
     replicas: UsableReplicas
 
 
-def find_usable(
+def list_usable_searchers(
     shard: resources.Shard,
     version_name: str,
     sites: Mapping[str, topology.Site],
@@ -138,7 +138,9 @@
     return Snapshot(
         shard_map,
         {
-            shard.name: find_usable(shard, name, sites, states, is_owned)
+            shard.name: list_usable_searchers(
+                shard, name, sites, states, is_owned
+            )
             for shard in shard_map.shards
         },
     )
