--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -55,7 +55,7 @@
         key = (index, rolled_out, after)
         pinned = self._pins.get(key)
         if pinned is None:
-            pinned = self._pins[key] = snapshots.choose(
+            pinned = self._pins[key] = snapshots.choose_version(
                 self.table.maps.get(index, ()),
                 self.table.sites,
                 self.states,
--- a/src/azureramp/policy/snapshots.py
+++ b/src/azureramp/policy/snapshots.py
@@ -62,7 +62,7 @@
     return tuple(usable)
 
 
-def choose(
+def choose_version(
     maps: Collection[resources.ShardMap],
     sites: Mapping[str, topology.Site],
     states: Mapping[str, messages.SearcherState],
--- a/tests/policy/test_snapshots.py
+++ b/tests/policy/test_snapshots.py
@@ -33,7 +33,7 @@
         for name in ALL
     }
 
-    chosen = snapshots.choose(
+    chosen = snapshots.choose_version(
         (NEW, OLD),
         query_parts.make_sites(OLD),
         states,
@@ -61,7 +61,7 @@
         OLD, gone if lost == "out of service" else ()
     )
 
-    chosen = snapshots.choose(
+    chosen = snapshots.choose_version(
         (OLD,),
         sites,
         states,
@@ -73,7 +73,7 @@
 
 
 def test_without_any_replica_there_is_no_snapshot() -> None:
-    chosen = snapshots.choose(
+    chosen = snapshots.choose_version(
         (NEW, OLD), query_parts.make_sites(OLD), {}, lambda name: True
     )
 
@@ -83,7 +83,7 @@
 def test_one_replica_is_enough_for_a_shard_declared_with_one() -> None:
     single = query_parts.make_map([10], version=2, replicas=1)
 
-    chosen = snapshots.choose(
+    chosen = snapshots.choose_version(
         (single, query_parts.make_map([10], version=1, replicas=1)),
         query_parts.make_sites(single),
         query_parts.make_states(single, (1, 2)),
