--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -71,7 +71,7 @@
         self._announced_revision = 0
         self._links = links.Links(board, outbox)
         self._pending_acks: dict[str, messages.HeartbeatAck] = {}
-        self._announced = telling.States()
+        self._announced = telling.StateSelector()
         self.on_owners: Callable[[], None] | None = None
 
     def announce_leaving(self) -> None:
--- a/src/azureramp/policy/telling.py
+++ b/src/azureramp/policy/telling.py
@@ -9,7 +9,7 @@
 heartbeat may be lost."""
 
 
-class States:
+class StateSelector:
     """The searcher states that were sent last."""
 
     __slots__ = ("_omitted", "_sent")
