--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -177,7 +177,7 @@
         )
         if self._view is None or not unchanged:
             if self._table is None or key[:2] != self._key[:2]:
-                self._table = topology.build(configuration)
+                self._table = topology.build_topology(configuration)
             self._key = key
             self._owners = dict(board.owners)
             states = board.get_searcher_states()
--- a/src/azureramp/policy/topology.py
+++ b/src/azureramp/policy/topology.py
@@ -47,7 +47,7 @@
     policy: resources.Policy
 
 
-def build(configuration: resources.Configuration) -> Topology:
+def build_topology(configuration: resources.Configuration) -> Topology:
     """Indexes a configuration."""
     zones_out = frozenset(
         name
--- a/src/azureramp_standins/measuring/control_state.py
+++ b/src/azureramp_standins/measuring/control_state.py
@@ -75,7 +75,7 @@
     _, owners_ms = _time(
         lambda: ownership.choose_owners(zones, candidates, frozenset())
     )
-    _, topology_ms = _time(lambda: topology.build(configuration))
+    _, topology_ms = _time(lambda: topology.build_topology(configuration))
     return Row(
         searchers=searchers,
         encoded_bytes=sum(map(len, encoded)),
--- a/tests/policy/test_identity.py
+++ b/tests/policy/test_identity.py
@@ -29,7 +29,7 @@
         configuration.entries[kind, resource.name] = resources.Versioned(
             resource, kind, resource.name, 1
         )
-    return topology.build(configuration)
+    return topology.build_topology(configuration)
 
 
 TABLE = make_table(
