--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -77,7 +77,7 @@
         holdings: owned_searcher.Holdings,
     ) -> None:
         """Creates it without suspect requests."""
-        self.trials = trials.Trials()
+        self.trials = trials.SuspectRuns()
         self.on_attributed: Callable[[int, str], None] = _ignore
         self._board = board
         self._outbox = outbox
--- a/src/azureramp/policy/trials.py
+++ b/src/azureramp/policy/trials.py
@@ -11,7 +11,7 @@
 from __future__ import annotations
 
 
-class Trials:
+class SuspectRuns:
     """Suspect requests running on this VM, at most one sub-request of each."""
 
     __slots__ = ("_running",)
