--- a/src/azureramp/controllers/dry_run.py
+++ b/src/azureramp/controllers/dry_run.py
@@ -39,7 +39,7 @@
         before = None
     entry = resources.Versioned(resource, kind, resource.name, 0)
     error: responses.ErrorAnswer | None = None
-    problems = validation.check(resource, scratch)
+    problems = validation.check_resource(resource, scratch)
     revision = before.revision if before else 0
     if problems:
         error = answers.make_error_body(
--- a/src/azureramp/controllers/resource_api.py
+++ b/src/azureramp/controllers/resource_api.py
@@ -136,7 +136,9 @@
             return _refuse_problems([_make_mismatch("kind", kind)])
         if resource.name != name:
             return _refuse_problems([_make_mismatch("name", name)])
-        problems = validation.check(resource, self._board.configuration)
+        problems = validation.check_resource(
+            resource, self._board.configuration
+        )
         if problems:
             return _refuse_problems(problems)
         expected = _get_int(request, "expected", 0)
--- a/src/azureramp/policy/validation.py
+++ b/src/azureramp/policy/validation.py
@@ -22,7 +22,7 @@
 MAX_WEIGHT = 1_000_000.0
 
 
-def check(
+def check_resource(
     resource: resources.AnyResource, configuration: resources.Configuration
 ) -> list[_Problem]:
     """Checks a resource that is to be created or changed.
--- a/tests/policy/test_validation.py
+++ b/tests/policy/test_validation.py
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.rule)
 def test_a_problem_names_the_field_and_the_rule(case: Case) -> None:
-    problems = validation.check(case.resource, make_configuration())
+    problems = validation.check_resource(case.resource, make_configuration())
 
     assert (case.field, case.rule) in [
         (problem.field, problem.rule.value) for problem in problems
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("resource", [SERVER, MAP, CALLER, SERVICE, POLICY])
 def test_valid_resources_have_no_problems(resource: Any) -> None:
-    assert validation.check(resource, make_configuration()) == []
+    assert validation.check_resource(resource, make_configuration()) == []
 
 
 @pytest.mark.parametrize(
