--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -259,7 +259,7 @@
     """Returns True if enough answers show that the new version is not worse."""
     minimum = min(MIN_ANSWERS, MIN_ANSWER_SHARE * now.requests)
     enough = now.answers >= minimum
-    return enough and now.verdict is version_evidence.Verdict.OPEN
+    return enough and now.verdict is version_evidence.Verdict.UNDECIDED
 
 
 def _has_enough_searchers(now: RolloutState) -> bool:
--- a/src/azureramp/policy/version_evidence.py
+++ b/src/azureramp/policy/version_evidence.py
@@ -67,7 +67,7 @@
 class Verdict(enum.Enum):
     """The result of evaluating the answers."""
 
-    OPEN = "open"
+    UNDECIDED = "open"
     SUSPECT = "suspect"
     WORSE = "worse"
 
@@ -112,7 +112,7 @@
     def evaluate(self) -> Verdict:
         """Evaluates the version, ignoring a fault of a single searcher."""
         if self.log_odds < SUSPECT_LOG_ODDS:
-            return Verdict.OPEN
+            return Verdict.UNDECIDED
         log_odds = self.by_searcher.values()
         confirmed = (
             len(log_odds) < 2
@@ -171,7 +171,7 @@
             return Verdict.WORSE
         if Verdict.SUSPECT in verdicts:
             return Verdict.SUSPECT
-        return Verdict.OPEN
+        return Verdict.UNDECIDED
 
     def get_usual_share(self, route: str) -> float:
         """Returns the old version's recent share of bad answers on a route."""
--- a/tests/policy/test_version_evidence.py
+++ b/tests/policy/test_version_evidence.py
@@ -9,7 +9,7 @@
 from azureramp.policy import version_evidence
 
 WORSE = version_evidence.Verdict.WORSE
-OPEN = version_evidence.Verdict.OPEN
+OPEN = version_evidence.Verdict.UNDECIDED
 SEARCHERS = ("a", "b", "c")
 
 
