--- a/src/azureramp/controllers/forwarding/rollout_drive.py
+++ b/src/azureramp/controllers/forwarding/rollout_drive.py
@@ -97,7 +97,7 @@
 
     def count_answers(self) -> float:
         """Returns the number of answers of the new version."""
-        return self.evidence.count_new().answers
+        return self.evidence.sum_new().answers
 
     def apply_counts(self, report: api.Report, now_s: float) -> None:
         """Adds the increase of a report's totals to the evidence.
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -337,7 +337,7 @@
             The count; 0 if this process doesn't drive a roll-out of it.
         """
         drive = self._grants.drives.get(service)
-        return 0 if drive is None else round(drive.evidence.count_new().bad)
+        return 0 if drive is None else round(drive.evidence.sum_new().bad)
 
     async def kill(self) -> None:
         """Stops immediately, without waiting for running requests."""
--- a/src/azureramp/policy/version_evidence.py
+++ b/src/azureramp/policy/version_evidence.py
@@ -179,7 +179,7 @@
         share = (tally.bad + PRIOR_BAD) / (tally.answers + PRIOR_ANSWERS)
         return min(max(share, MIN_USUAL_SHARE), MAX_USUAL_SHARE)
 
-    def count_new(self) -> Tally:
+    def sum_new(self) -> Tally:
         """Returns the counts of all answers of the new version."""
         total = Tally()
         for tally in self.new.values():
@@ -213,7 +213,7 @@
 
     def _is_clearly_worse(self) -> bool:
         """Returns True if many answers prove a small difference."""
-        new, old = self.count_new(), self.old.get(ALL_ROUTES, Tally())
+        new, old = self.sum_new(), self.old.get(ALL_ROUTES, Tally())
         if (
             new.answers < MIN_COMPARED_ANSWERS
             or old.answers < MIN_COMPARED_ANSWERS
