--- a/src/azureramp/policy/version_evidence.py
+++ b/src/azureramp/policy/version_evidence.py
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
+class AnswerCounts:
     """Counts of answers.
 
     Attributes:
@@ -135,9 +135,9 @@
 
     def __init__(self, now_s: float) -> None:
         """Creates an instance without answers."""
-        self.new: dict[tuple[str, str], Tally] = {}
-        self.old: dict[str, Tally] = {}
-        self._recent: dict[str, Tally] = {}
+        self.new: dict[tuple[str, str], AnswerCounts] = {}
+        self.old: dict[str, AnswerCounts] = {}
+        self._recent: dict[str, AnswerCounts] = {}
         self._decayed_s = now_s
         self._tests: dict[str, SequentialTest] = collections.defaultdict(
             SequentialTest
@@ -151,13 +151,13 @@
         self._decay(now_s)
         for tallies in (self.old, self._recent):
             for name in (route, ALL_ROUTES):
-                tallies.setdefault(name, Tally()).add(answers, bad)
+                tallies.setdefault(name, AnswerCounts()).add(answers, bad)
 
     def add_new(
         self, route: str, searcher: str, answers: int, bad: int
     ) -> None:
         """Adds answers of a searcher of the new version."""
-        tally = self.new.setdefault((route, searcher), Tally())
+        tally = self.new.setdefault((route, searcher), AnswerCounts())
         tally.add(answers, bad)
         usual = self.get_usual_share(route)
         change = compute_log_odds(usual, answers, bad)
@@ -175,22 +175,24 @@
 
     def get_usual_share(self, route: str) -> float:
         """Returns the old version's recent share of bad answers on a route."""
-        tally = self._recent.get(route, Tally())
+        tally = self._recent.get(route, AnswerCounts())
         share = (tally.bad + PRIOR_BAD) / (tally.answers + PRIOR_ANSWERS)
         return min(max(share, MIN_USUAL_SHARE), MAX_USUAL_SHARE)
 
-    def sum_new(self) -> Tally:
+    def sum_new(self) -> AnswerCounts:
         """Returns the counts of all answers of the new version."""
-        total = Tally()
+        total = AnswerCounts()
         for tally in self.new.values():
             total.add(tally.answers, tally.bad)
         return total
 
     def describe(self) -> str:
         """Returns the counts of bad and all answers by route, for logs."""
-        routes: dict[str, Tally] = {}
+        routes: dict[str, AnswerCounts] = {}
         for (route, _), tally in self.new.items():
-            routes.setdefault(route, Tally()).add(tally.answers, tally.bad)
+            routes.setdefault(route, AnswerCounts()).add(
+                tally.answers, tally.bad
+            )
         descriptions = [
             f"{route}: new {tally.bad:.0f}/{tally.answers:.0f}"
             f" old {self._describe_old(route)}"
@@ -200,7 +202,7 @@
 
     def _describe_old(self, route: str) -> str:
         """Returns the old version's counts on a route, for logs."""
-        tally = self.old.get(route, Tally())
+        tally = self.old.get(route, AnswerCounts())
         return f"{tally.bad:.0f}/{tally.answers:.0f}"
 
     def _decay(self, now_s: float) -> None:
@@ -213,7 +215,7 @@
 
     def _is_clearly_worse(self) -> bool:
         """Returns True if many answers prove a small difference."""
-        new, old = self.sum_new(), self.old.get(ALL_ROUTES, Tally())
+        new, old = self.sum_new(), self.old.get(ALL_ROUTES, AnswerCounts())
         if (
             new.answers < MIN_COMPARED_ANSWERS
             or old.answers < MIN_COMPARED_ANSWERS
