--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -144,7 +144,7 @@
     def _get_interval_s(self, now_s: float) -> float:
         """Returns the time between confirmations, in seconds."""
         if not self._is_contact_expiring(now_s):
-            return watching.IDLE_S
+            return watching.IDLE_CONFIRMATION_S
         return min(watching.NEEDED_S, self._get_window_s() / 4)
 
     def _is_contact_expiring(self, now_s: float) -> bool:
--- a/src/azureramp/policy/watching.py
+++ b/src/azureramp/policy/watching.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-IDLE_S = 5.0
+IDLE_CONFIRMATION_S = 5.0
 """Interval between confirmations while a majority is in contact, in seconds."""
 
 NEEDED_S = 0.5
