--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -145,7 +145,7 @@
         """Returns the time between confirmations, in seconds."""
         if not self._is_contact_expiring(now_s):
             return watching.IDLE_CONFIRMATION_S
-        return min(watching.NEEDED_S, self._get_window_s() / 4)
+        return min(watching.URGENT_CONFIRMATION_S, self._get_window_s() / 4)
 
     def _is_contact_expiring(self, now_s: float) -> bool:
         """Returns True if contact with a majority is about to be too old."""
--- a/src/azureramp/policy/watching.py
+++ b/src/azureramp/policy/watching.py
@@ -15,7 +15,7 @@
 IDLE_CONFIRMATION_S = 5.0
 """Interval between confirmations while a majority is in contact, in seconds."""
 
-NEEDED_S = 0.5
+URGENT_CONFIRMATION_S = 0.5
 """The same while a VM can continue only with the platform's confirmation."""
 
 
