--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -127,7 +127,7 @@
             and member.state is blackboard.MemberState.LIVE
             and member.acknowledged_s >= since_s
         ]
-        return watching.is_watcher(
+        return watching.should_watch(
             watching.compute_rank(own, live),
             len(live) + 1,
             board.settings.watchers,
--- a/src/azureramp/policy/watching.py
+++ b/src/azureramp/policy/watching.py
@@ -35,7 +35,7 @@
     )
 
 
-def is_watcher(
+def should_watch(
     rank: int, live: int, watchers: int, age_s: float, interval_s: float
 ) -> bool:
     """Returns True if a VM should watch the store now.
--- a/tests/policy/test_propagation.py
+++ b/tests/policy/test_propagation.py
@@ -111,7 +111,7 @@
 
     def count_watchers(age_s: float) -> int:
         return sum(
-            watching.is_watcher(rank, size, 2, age_s, 5.0) for rank in ranks
+            watching.should_watch(rank, size, 2, age_s, 5.0) for rank in ranks
         )
 
     assert count_watchers(0.0) == min(2, size)
@@ -120,6 +120,6 @@
         rank
         for age_s in range(2000)
         for rank in ranks
-        if watching.is_watcher(rank, size, 2, float(age_s), 5.0)
+        if watching.should_watch(rank, size, 2, float(age_s), 5.0)
     }
     assert turns == set(ranks)
