--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -137,7 +137,7 @@
                     vm, self._contact.has_been_reachable(LAPSE_GRACE_S)
                 )
             case catalog.RequestBlamed() as blamed:
-                self._crashes.adopt(blamed)
+                self._crashes.record_remote_crashes(blamed)
             case catalog.RolloutOrdered(order=order):
                 self._rollouts.apply_order(order)
             case catalog.RolloutWithdrawn(service=service):
--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -87,7 +87,7 @@
 
         target.pool.probe(handle_probe)
 
-    def adopt(self, report: catalog.RequestBlamed) -> None:
+    def record_remote_crashes(self, report: catalog.RequestBlamed) -> None:
         """Records the crashes that another VM reports."""
         if report.vm == self._board.identity.vm:
             return
