--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -58,7 +58,7 @@
         board: board_module.Board,
         decode: Decode,
         searcher_registry: searchers.Searchers,
-        crash_registry: crashes.Crashes,
+        crash_registry: crashes.CrashTracker,
         member_registry: members.Members,
         contacts: contact.Contacts,
         log: change_log.ChangeLog,
--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -26,7 +26,7 @@
 _logger = logbook.Logger("azureramp.crashes")
 
 
-class Crashes:
+class CrashTracker:
     """Attributes crashes to requests and reports them through the store."""
 
     __slots__ = ("_board", "_crash_counts", "_encode", "_reports", "_store")
--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -42,7 +42,7 @@
         self,
         board: board_module.Board,
         searchers: searchers_module.Searchers,
-        crash_tracker: crashes.Crashes,
+        crash_tracker: crashes.CrashTracker,
     ) -> None:
         """Creates the entry point of a process.
 
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -69,7 +69,7 @@
     def __init__(
         self,
         searchers: searchers_module.Searchers,
-        crash_tracker: crashes.Crashes,
+        crash_tracker: crashes.CrashTracker,
         timings: pacing.Pace,
         request: requests.Incoming,
         route: catalog.Route,
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -82,7 +82,7 @@
     def __init__(
         self,
         searchers: searchers_module.Searchers,
-        crash_tracker: crashes.Crashes,
+        crash_tracker: crashes.CrashTracker,
         timings: pacing.Pace,
         context: RequestContext,
         service: str,
--- a/src/azureramp/controllers/forwarding/single.py
+++ b/src/azureramp/controllers/forwarding/single.py
@@ -41,7 +41,7 @@
     def __init__(
         self,
         searchers: searchers_module.Searchers,
-        crash_tracker: crashes.Crashes,
+        crash_tracker: crashes.CrashTracker,
         timings: pacing.Pace,
         request: requests.Incoming,
         route: catalog.Route,
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -166,7 +166,7 @@
             log,
         )
         self._roster.on_first = self._members.wake
-        self._crashes = crashes.Crashes(
+        self._crashes = crashes.CrashTracker(
             board, self._store, decoding.encode_crash_report
         )
         self._searchers = searcher_registry
