--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -125,7 +125,7 @@
             case catalog.ConfigurationDeclared(configuration=configuration):
                 self._take_configuration(configuration)
             case catalog.SearcherSeen(searcher=searcher):
-                self._searchers.put(searcher)
+                self._searchers.add_or_update(searcher)
             case catalog.SearcherGone(id=searcher):
                 self._handle_missing_searcher(searcher, entry)
             case catalog.ZoneEvacuated(zone=zone, out=out):
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -71,7 +71,7 @@
         self._rng = rng
         self.bounds = shared_bounds.SharedBounds(board)
 
-    def put(self, searcher: catalog.Searcher) -> None:
+    def add_or_update(self, searcher: catalog.Searcher) -> None:
         """Adds a searcher, or updates it from its newest entry."""
         target = self._board.targets.get(searcher.id)
         if target is not None and _is_same_process(target.searcher, searcher):
