--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -178,7 +178,7 @@
         elif self._contact.has_been_reachable(LAPSE_GRACE_S):
             self._searchers.remove(searcher)
         else:
-            self._searchers.lapse(searcher)
+            self._searchers.mark_expired(searcher)
 
     def _skip(self, reason: str) -> None:
         """Counts and logs an entry that is not applied."""
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -133,7 +133,7 @@
         for searcher in list(self._board.targets):
             self.remove(searcher)
 
-    def lapse(self, searcher: str) -> None:
+    def mark_expired(self, searcher: str) -> None:
         """Marks a searcher whose entry expired during a store outage."""
         target = self._board.targets.get(searcher)
         if target is not None:
