--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -115,7 +115,7 @@
         """Drops lapsed searchers and VMs after each outage. Never returns."""
         while True:
             await self._contact.wait_until_stable(LAPSE_GRACE_S)
-            self._searchers.drop_lapsed()
+            self._searchers.remove_expired()
             self._members.drop_lapsed()
             self._searchers.update_limits()
 
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -139,7 +139,7 @@
         if target is not None:
             target.lapsed = True
 
-    def drop_lapsed(self) -> None:
+    def remove_expired(self) -> None:
         """Removes the searchers whose entries have not been rewritten."""
         for name, target in list(self._board.targets.items()):
             if target.lapsed:
