--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -98,7 +98,7 @@
         for entry in entries:
             self._apply_one(entry)
             self._revision = max(self._revision, entry.revision)
-        self._searchers.update_limits()
+        self._searchers.apply_connection_limits()
         self._flush()
 
     async def run_log(self) -> None:
@@ -117,7 +117,7 @@
             await self._contact.wait_until_stable(LAPSE_GRACE_S)
             self._searchers.remove_expired()
             self._members.drop_lapsed()
-            self._searchers.update_limits()
+            self._searchers.apply_connection_limits()
 
     def _apply_one(self, entry: store_api.Entry) -> None:
         """Applies one entry."""
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -145,7 +145,7 @@
             if target.lapsed:
                 self.remove(name)
 
-    def update_limits(self) -> None:
+    def apply_connection_limits(self) -> None:
         """Applies the connection limits and opens connections ahead of need."""
         advertised.update(self._board)
         self.bounds.update(asyncio.get_running_loop().time())
