--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -73,8 +73,8 @@
         misdirected: True once another searcher answered at its address.
         probing: True while a new connection checks whether it is up.
         gone: True once it was removed; calls that it is still running complete.
-        lapsed: True if its entry expired during a store outage; it remains in
-            use until the store has been back for a while.
+        entry_expired: True if its entry expired during a store outage; it
+            remains in use until the store has been back for a while.
         call_times_s: When the newest call, and those of the second before it,
             were sent to it or to the process that it replaced under its id.
     """
@@ -86,7 +86,7 @@
     misdirected: bool = False
     probing: bool = False
     gone: bool = False
-    lapsed: bool = False
+    entry_expired: bool = False
     call_times_s: collections.deque[float] = dataclasses.field(
         default_factory=collections.deque
     )
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -77,7 +77,7 @@
         if target is not None and _is_same_process(target.searcher, searcher):
             target.searcher = searcher
             target.record.slots = searcher.slots
-            target.lapsed = False
+            target.entry_expired = False
         else:
             self.remove(searcher.id)
             replaced, target = target, self._make_target(searcher)
@@ -137,12 +137,12 @@
         """Marks a searcher whose entry expired during a store outage."""
         target = self._board.targets.get(searcher)
         if target is not None:
-            target.lapsed = True
+            target.entry_expired = True
 
     def remove_expired(self) -> None:
         """Removes the searchers whose entries have not been rewritten."""
         for name, target in list(self._board.targets.items()):
-            if target.lapsed:
+            if target.entry_expired:
                 self.remove(name)
 
     def apply_connection_limits(self) -> None:
