--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -72,7 +72,8 @@
         cold_until_s: When the searcher's announced cold time ends.
         misdirected: True once another searcher answered at its address.
         probing: True while a new connection checks whether it is up.
-        gone: True once it was removed; calls that it is still running complete.
+        removed: True once it was removed; calls that it is still running
+            complete.
         entry_expired: True if its entry expired during a store outage; it
             remains in use until the store has been back for a while.
         call_times_s: When the newest call, and those of the second before it,
@@ -85,7 +86,7 @@
     cold_until_s: float = -math.inf
     misdirected: bool = False
     probing: bool = False
-    gone: bool = False
+    removed: bool = False
     entry_expired: bool = False
     call_times_s: collections.deque[float] = dataclasses.field(
         default_factory=collections.deque
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -201,7 +201,7 @@
         states: list[str] = []
         for attempt in self._attempts:
             searcher = attempt.target.searcher
-            if attempt.target.gone:
+            if attempt.target.removed:
                 states.append(f"{searcher.id} gone")
             elif searcher.state is not catalog.SearcherState.READY:
                 states.append(f"{searcher.id} {searcher.state.value}")
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -105,7 +105,7 @@
         del by_id[searcher]
         if not by_id:
             del self._board.by_service[target.searcher.service]
-        target.gone = True
+        target.removed = True
         target.pool.close()
         self._log_change(target, change_log.Change.SEARCHER_GONE)
 
