--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -99,12 +99,12 @@
 
     Attributes:
         reachable: False from a failed call until the next successful one.
-        regained_s: When a call first succeeded after that.
+        recovered_s: When a call first succeeded after that.
         confirmed_s: When a call last succeeded.
     """
 
     reachable: bool = True
-    regained_s: float = -math.inf
+    recovered_s: float = -math.inf
     confirmed_s: float = -math.inf
 
 
--- a/src/azureramp/controllers/forwarding/contact.py
+++ b/src/azureramp/controllers/forwarding/contact.py
@@ -34,7 +34,7 @@
         if contact.reachable:
             return
         contact.reachable = True
-        contact.regained_s = contact.confirmed_s
+        contact.recovered_s = contact.confirmed_s
         self._recovered.set()
         _logger.info("the store is reachable again")
 
@@ -56,8 +56,8 @@
         if not self._board.lease:
             self.record_success()
         contact.confirmed_s = max(before_s, now_s - age_s)
-        if now_s - regained_s > contact.regained_s:
-            contact.regained_s = now_s - regained_s
+        if now_s - regained_s > contact.recovered_s:
+            contact.recovered_s = now_s - regained_s
             self._recovered.set()
 
     def get_time_since_recovery_s(self) -> float:
@@ -67,7 +67,7 @@
             The time in seconds; infinite if there was no recovery.
         """
         now_s = asyncio.get_running_loop().time()
-        return now_s - self._board.contact.regained_s
+        return now_s - self._board.contact.recovered_s
 
     def get_time_since_answer_s(self) -> float:
         """Returns the time since the last confirmed answer of the store.
@@ -108,7 +108,7 @@
         """
         contact = self._board.contact
         now_s = asyncio.get_running_loop().time()
-        return contact.reachable and now_s - contact.regained_s >= duration_s
+        return contact.reachable and now_s - contact.recovered_s >= duration_s
 
     async def wait_until_stable(self, duration_s: float) -> None:
         """Waits until the store is back and has stayed reachable for a time.
