--- a/src/azureramp/controllers/forwarding/advertised.py
+++ b/src/azureramp/controllers/forwarding/advertised.py
@@ -81,7 +81,7 @@
         zones = [
             target.searcher.zone
             for target in board.by_service.get(service, {}).values()
-            if target.searcher.zone not in board.zones_out
+            if target.searcher.zone not in board.evacuated_zones
         ]
         for zone in zones:
             share = 1.0 / (len(zones) * len(services))
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -194,7 +194,7 @@
             out: True to evacuate it.
         """
         if out:
-            self._board.zones_out.add(zone)
+            self._board.evacuated_zones.add(zone)
         else:
-            self._board.zones_out.discard(zone)
+            self._board.evacuated_zones.discard(zone)
         _logger.info("availability zone {} is {}", zone, "out" if out else "in")
--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -133,7 +133,7 @@
         table: The configuration's routes. Written by the feed.
         targets: The searchers by id. Written by the searchers controller.
         by_service: The same by service and id.
-        zones_out: The availability zones whose searchers get no new work.
+        evacuated_zones: The availability zones whose searchers get no new work.
         members: The VMs of this tier by name, including this one once it has
             announced itself. Written by the members controller.
         advertised: The VMs among them that are advertised to callers.
@@ -165,6 +165,7 @@
         "by_service",
         "configuration",
         "contact",
+        "evacuated_zones",
         "follows_store",
         "identity",
         "is_relay",
@@ -177,7 +178,6 @@
         "started_s",
         "table",
         "targets",
-        "zones_out",
     )
 
     def __init__(
@@ -195,7 +195,7 @@
         self.table: routing.RoutingTable | None = None
         self.targets: dict[str, Target] = {}
         self.by_service: dict[str, dict[str, Target]] = {}
-        self.zones_out: set[str] = set()
+        self.evacuated_zones: set[str] = set()
         self.members: dict[str, catalog.Member] = {}
         self.advertised: dict[str, catalog.Member] = {}
         self.busy = False
--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -72,7 +72,7 @@
             each.searcher.version
             for each in targets
             if each.searcher.state is catalog.SearcherState.READY
-            and each.searcher.zone not in self._board.zones_out
+            and each.searcher.zone not in self._board.evacuated_zones
             and not each.misdirected
             and (each.record.responsive or not each.record.is_excluded(now_s))
         ]
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -262,7 +262,7 @@
         return (
             searcher.state is catalog.SearcherState.READY
             and not target.misdirected
-            and searcher.zone not in self._board.zones_out
+            and searcher.zone not in self._board.evacuated_zones
             and self.rollouts.allows(searcher, sides)
         )
 
