--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -140,8 +140,8 @@
         busy: True while this VM's CPU is overloaded.
         metrics: Counters that all controllers share.
         contact: Whether the store can be reached.
-        follows_store: True while this VM receives updates from the store itself
-            instead of another VM. Written by the feed.
+        reads_from_store: True while this VM receives updates from the store
+            itself instead of another VM. Written by the feed.
         is_relay: True if the other VMs of its zone should request updates from
             this one. Written by the feed.
         lease: The lease of the entries that this VM writes; empty if none.
@@ -166,7 +166,6 @@
         "configuration",
         "contact",
         "evacuated_zones",
-        "follows_store",
         "identity",
         "is_relay",
         "lease",
@@ -174,6 +173,7 @@
         "members",
         "metrics",
         "pause",
+        "reads_from_store",
         "running",
         "started_s",
         "table",
@@ -201,7 +201,7 @@
         self.busy = False
         self.metrics = counters
         self.contact = StoreContact()
-        self.follows_store = False
+        self.reads_from_store = False
         self.is_relay = False
         self.lease = ""
         self.announces_itself = False
--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -375,7 +375,7 @@
 
     def _set_source(self, source: str) -> None:
         """Records the source of changes, and logs when it differs."""
-        self._board.follows_store = source == STORE
+        self._board.reads_from_store = source == STORE
         if source != self._source:
             self._source = source
             self._relay.wake()
--- a/src/azureramp/controllers/forwarding/relay.py
+++ b/src/azureramp/controllers/forwarding/relay.py
@@ -139,7 +139,7 @@
         """
         if not self.copy.revision:
             return False
-        return not changes_request.after or self._board.follows_store
+        return not changes_request.after or self._board.reads_from_store
 
     def _encode(
         self,
--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -187,7 +187,7 @@
         updates = policy.plan_updates(vm, self._followers, present, revision)
         for begin in range(0, len(updates), store_api.MAX_BATCH):
             lease = self._board.lease
-            if not lease or not self._board.follows_store:
+            if not lease or not self._board.reads_from_store:
                 return
             batch = updates[begin : begin + store_api.MAX_BATCH]
             if not await self._write_batch(batch, lease):
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -19,12 +19,12 @@
     watching = {
         program.board.identity.zone: vm
         for vm, program in scene.programs.items()
-        if program.board.follows_store
+        if program.board.reads_from_store
     }
     following = [
         vm
         for vm, program in scene.programs.items()
-        if not program.board.follows_store
+        if not program.board.reads_from_store
     ]
     assert len(following) == VMS - 2
     assert sorted(watching) == ["zone-0", "zone-1"]
