--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -148,8 +148,8 @@
             Written by the members controller.
         announces_itself: True if no other VM should announce this one. Written
             by the members controller.
-        announced_s: When another VM last confirmed that it announces this one.
-            Written by the feed.
+        last_announced_s: When another VM last confirmed that it announces this
+            one. Written by the feed.
         leaving: True once the process has been asked to stop.
         pause: The last pause of the process. Written by the shared bounds
             controller.
@@ -158,7 +158,6 @@
 
     __slots__ = (
         "advertised",
-        "announced_s",
         "announces_itself",
         "bounds",
         "busy",
@@ -168,6 +167,7 @@
         "evacuated_zones",
         "identity",
         "is_relay",
+        "last_announced_s",
         "lease",
         "leaving",
         "members",
@@ -205,7 +205,7 @@
         self.is_relay = False
         self.lease = ""
         self.announces_itself = False
-        self.announced_s = -math.inf
+        self.last_announced_s = -math.inf
         self.leaving = False
         self.pause = Pause()
         self.running = 0
--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -329,7 +329,7 @@
             response.age_ms / 1000, response.regained_ms / 1000
         )
         if response.announced:
-            self._board.announced_s = loop.time()
+            self._board.last_announced_s = loop.time()
         self._apply_new(response.entries, response.revision)
         # Limits the rate of requests: responses may follow each other without
         # a wait, if the relay has read only part of the changes, or ends waits
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -201,7 +201,7 @@
         """Returns True if the last announcement by another VM is too old."""
         board = self._board
         now_s = asyncio.get_running_loop().time()
-        last_s = max(board.announced_s, board.started_s - START_ELAPSED_S)
+        last_s = max(board.last_announced_s, board.started_s - START_ELAPSED_S)
         return now_s - last_s > ANNOUNCEMENT_TIMEOUT_S
 
     async def _announce(self) -> None:
