--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -146,8 +146,8 @@
             this one. Written by the feed.
         lease: The lease of the entries that this VM writes; empty if none.
             Written by the members controller.
-        announces_itself: True if no other VM should announce this one. Written
-            by the members controller.
+        announces_own_entry: True if no other VM should announce this one.
+            Written by the members controller.
         last_announced_s: When another VM last confirmed that it announces this
             one. Written by the feed.
         leaving: True once the process has been asked to stop.
@@ -158,7 +158,7 @@
 
     __slots__ = (
         "advertised",
-        "announces_itself",
+        "announces_own_entry",
         "bounds",
         "busy",
         "by_service",
@@ -204,7 +204,7 @@
         self.reads_from_store = False
         self.is_relay = False
         self.lease = ""
-        self.announces_itself = False
+        self.announces_own_entry = False
         self.last_announced_s = -math.inf
         self.leaving = False
         self.pause = Pause()
--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -347,7 +347,7 @@
         announced = (
             board.identity.serves_callers
             and board.is_ready()
-            and not board.announces_itself
+            and not board.announces_own_entry
         )
         return relays_api.ChangesRequest(
             board.identity.vm,
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -207,8 +207,8 @@
     async def _announce(self) -> None:
         """Renews this VM's lease, and writes its entry if necessary."""
         board = self._board
-        board.announces_itself = self._announces_itself()
-        needed = board.announces_itself or self._is_announcement_overdue()
+        board.announces_own_entry = self._announces_itself()
+        needed = board.announces_own_entry or self._is_announcement_overdue()
         if not needed and not self._has_own_entry():
             # Another VM announces this one. A lease that is still held is no
             # longer renewed and expires.
