--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -220,7 +220,7 @@
             return None
         return self.configuration.services.get(name)
 
-    def describe(self) -> catalog.Member:
+    def make_member(self) -> catalog.Member:
         """Returns this VM's entry in the roster."""
         return catalog.Member(
             vm=self.identity.vm,
--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -353,7 +353,7 @@
             board.identity.vm,
             self._relay.copy.revision,
             round(RELAY_WAIT_TIMEOUT_S * 1000),
-            board.describe() if announced else None,
+            board.make_member() if announced else None,
         )
 
     def _apply_new(
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -260,7 +260,7 @@
         that announced this one, or from an own write whose answer was lost.
         """
         board = self._board
-        member = board.describe()
+        member = board.make_member()
         key = self._make_key(member.vm)
         expected = self._get_own_revision(key)
         for _ in range(WRITE_ATTEMPTS):
