--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -44,7 +44,7 @@
     Attributes:
         vm: This VM's name.
         zone: Its availability zone.
-        front_address: Where callers connect, `IP:port`.
+        caller_address: Where callers connect, `IP:port`.
         peer_address: Where other VMs connect, `IP:port`; empty if they can't.
         cores: Its number of CPU cores.
         first_start: True if the whole tier is starting for the first time.
@@ -54,7 +54,7 @@
 
     vm: str
     zone: str
-    front_address: str
+    caller_address: str
     peer_address: str
     cores: float
     first_start: bool
@@ -225,7 +225,7 @@
         return catalog.Member(
             vm=self.identity.vm,
             zone=self.identity.zone,
-            address=self.identity.front_address,
+            address=self.identity.caller_address,
             peer_address=self.identity.peer_address,
             cores=self.identity.cores,
             leaving=self.leaving,
--- a/src/azureramp/platform/answers.py
+++ b/src/azureramp/platform/answers.py
@@ -70,7 +70,7 @@
             return web_api.Response(404)
         board = self._board
         addresses = [member.address for member in board.advertised.values()]
-        own = board.identity.front_address
+        own = board.identity.caller_address
         if board.leaving:
             addresses = [address for address in addresses if address != own]
         elif not addresses and own and board.is_ready():
--- a/src/azureramp/platform/settings.py
+++ b/src/azureramp/platform/settings.py
@@ -300,7 +300,7 @@
         identity=board.Identity(
             vm=name,
             zone=body.zone,
-            front_address=listen.front if serves_callers else "",
+            caller_address=listen.front if serves_callers else "",
             peer_address=listen.control if serves_callers else "",
             cores=body.limits.cpu_share * body.limits.cores,
             first_start=body.bootstrap,
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -220,7 +220,7 @@
 
     def get_address(self, vm: str) -> str:
         """Returns the `IP:port` where a VM accepts callers' requests."""
-        return self.programs[vm].board.identity.front_address
+        return self.programs[vm].board.identity.caller_address
 
     async def kill(self) -> None:
         """Stops all daemons, the searchers and the store at once."""
@@ -248,7 +248,7 @@
         identity=board.Identity(
             vm=vm,
             zone=zone,
-            front_address=f"127.0.0.1:{base}",
+            caller_address=f"127.0.0.1:{base}",
             peer_address=f"127.0.0.1:{base + 3}",
             cores=1.0,
             first_start=first,
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -20,7 +20,7 @@
     settings = deployment.make_settings("vm-0/directory", "zone-0", 39000)
     identity = dataclasses.replace(
         settings.identity,
-        front_address="",
+        caller_address="",
         peer_address="",
         serves_callers=False,
     )
