--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -100,12 +100,12 @@
     Attributes:
         reachable: False from a failed call until the next successful one.
         recovered_s: When a call first succeeded after that.
-        confirmed_s: When a call last succeeded.
+        last_answer_s: When a call last succeeded.
     """
 
     reachable: bool = True
     recovered_s: float = -math.inf
-    confirmed_s: float = -math.inf
+    last_answer_s: float = -math.inf
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/azureramp/controllers/forwarding/contact.py
+++ b/src/azureramp/controllers/forwarding/contact.py
@@ -30,11 +30,11 @@
     def record_success(self) -> None:
         """Records that a call succeeded."""
         contact = self._board.contact
-        contact.confirmed_s = asyncio.get_running_loop().time()
+        contact.last_answer_s = asyncio.get_running_loop().time()
         if contact.reachable:
             return
         contact.reachable = True
-        contact.recovered_s = contact.confirmed_s
+        contact.recovered_s = contact.last_answer_s
         self._recovered.set()
         _logger.info("the store is reachable again")
 
@@ -52,10 +52,10 @@
         """
         contact = self._board.contact
         now_s = asyncio.get_running_loop().time()
-        before_s = contact.confirmed_s
+        before_s = contact.last_answer_s
         if not self._board.lease:
             self.record_success()
-        contact.confirmed_s = max(before_s, now_s - age_s)
+        contact.last_answer_s = max(before_s, now_s - age_s)
         if now_s - regained_s > contact.recovered_s:
             contact.recovered_s = now_s - regained_s
             self._recovered.set()
@@ -76,7 +76,7 @@
             The time in seconds; infinite if the store never answered.
         """
         now_s = asyncio.get_running_loop().time()
-        return now_s - self._board.contact.confirmed_s
+        return now_s - self._board.contact.last_answer_s
 
     def record_failure(self, failure: errors.Failure) -> None:
         """Records that a call failed.
--- a/src/azureramp/controllers/forwarding/rollout_grants.py
+++ b/src/azureramp/controllers/forwarding/rollout_grants.py
@@ -126,7 +126,7 @@
         """Returns True if this process may still decide on a roll-out."""
         contact_lost = (
             not self._board.contact.reachable
-            and now_s - self._board.contact.confirmed_s > MAX_UNWRITABLE_S
+            and now_s - self._board.contact.last_answer_s > MAX_UNWRITABLE_S
         )
         failing = (
             drive.writes_failing_since_s is not None
--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -94,7 +94,7 @@
         """Updates this VM's shares of the limits on all VMs together."""
         board = self._board
         members = board.members.keys() | {board.identity.vm}
-        stale_s = now_s - board.contact.confirmed_s
+        stale_s = now_s - board.contact.last_answer_s
         part = shares.compute_share(
             len(board.advertised),
             len(members - board.advertised.keys()),
