--- a/src/azureramp/controllers/forwarding/learning.py
+++ b/src/azureramp/controllers/forwarding/learning.py
@@ -42,7 +42,7 @@
         target.cold_until_s = max(target.cold_until_s, now_s + reply.cold_s)
     if reply.is_success():
         record.record_success()
-        record.record_time(timings.add(took_s), now_s)
+        record.record_time(timings.record_duration(took_s), now_s)
     elif reply.ran is api.Ran.NO:
         # The searcher is full, not faulty: it is skipped briefly.
         record.reported_load = max(record.reported_load, record.slots)
--- a/src/azureramp/controllers/forwarding/pacing.py
+++ b/src/azureramp/controllers/forwarding/pacing.py
@@ -33,7 +33,7 @@
         self._first_s = 0.0
         self.caller_delay = caller_delay.CallerDelay()
 
-    def add(self, took_s: float) -> float:
+    def record_duration(self, took_s: float) -> float:
         """Records the duration of a successful call.
 
         Args:
--- a/tests/policy/test_second_calls.py
+++ b/tests/policy/test_second_calls.py
@@ -48,7 +48,7 @@
     pace = pacing.Pace()
     for _ in range(6):
         for _ in range(75):
-            pace.add(USUAL_S)
+            pace.record_duration(USUAL_S)
         for _ in range(15):
-            pace.add(0.2)
+            pace.record_duration(0.2)
     assert pace.get_usual_s() == pytest.approx(USUAL_S, rel=0.1)
