--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -70,7 +70,7 @@
         self,
         searchers: searchers_module.Searchers,
         crash_tracker: crashes.CrashTracker,
-        timings: pacing.Pace,
+        timings: pacing.RouteTimings,
         request: requests.Incoming,
         route: catalog.Route,
         destination: catalog.AllOf,
--- a/src/azureramp/controllers/forwarding/learning.py
+++ b/src/azureramp/controllers/forwarding/learning.py
@@ -17,7 +17,7 @@
 def record_reply(
     target: board_module.Target,
     reply: api.Reply,
-    timings: pacing.Pace,
+    timings: pacing.RouteTimings,
     took_s: float,
     now_s: float,
 ) -> None:
--- a/src/azureramp/controllers/forwarding/pacing.py
+++ b/src/azureramp/controllers/forwarding/pacing.py
@@ -18,7 +18,7 @@
 """Maximum number of routes that are measured; the oldest is evicted first."""
 
 
-class Pace:
+class RouteTimings:
     """Call durations and caller delays of one route.
 
     Attributes:
@@ -75,13 +75,13 @@
 
     def __init__(self) -> None:
         """Creates an instance without routes."""
-        self._by_route: dict[str, Pace] = {}
+        self._by_route: dict[str, RouteTimings] = {}
 
-    def get(self, route: catalog.Route) -> Pace:
+    def get(self, route: catalog.Route) -> RouteTimings:
         """Returns a route's call durations, adding the route if it is new."""
         timings = self._by_route.get(route.name)
         if timings is None:
             if len(self._by_route) >= MAX_ROUTES:
                 del self._by_route[next(iter(self._by_route))]
-            timings = self._by_route[route.name] = Pace()
+            timings = self._by_route[route.name] = RouteTimings()
         return timings
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -83,7 +83,7 @@
         self,
         searchers: searchers_module.Searchers,
         crash_tracker: crashes.CrashTracker,
-        timings: pacing.Pace,
+        timings: pacing.RouteTimings,
         context: RequestContext,
         service: str,
         on_done: Callable[[Part], None],
--- a/src/azureramp/controllers/forwarding/single.py
+++ b/src/azureramp/controllers/forwarding/single.py
@@ -42,7 +42,7 @@
         self,
         searchers: searchers_module.Searchers,
         crash_tracker: crashes.CrashTracker,
-        timings: pacing.Pace,
+        timings: pacing.RouteTimings,
         request: requests.Incoming,
         route: catalog.Route,
         service: str,
--- a/tests/policy/test_second_calls.py
+++ b/tests/policy/test_second_calls.py
@@ -45,7 +45,7 @@
 
 def test_stragglers_at_a_request_s_end_keep_the_usual_time() -> None:
     """Guards against a usual time computed from only the last few answers."""
-    pace = pacing.Pace()
+    pace = pacing.RouteTimings()
     for _ in range(6):
         for _ in range(75):
             pace.record_duration(USUAL_S)
