--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -55,7 +55,7 @@
         self._searchers = searchers
         self._crash_tracker = crash_tracker
         self._log = request_log.RequestLog(board)
-        self._timings = pacing.Paces()
+        self._timings = pacing.RouteTimingsTable()
         self._splitter = routing.WeightedRoundRobin()
 
     async def handle(
--- a/src/azureramp/controllers/forwarding/pacing.py
+++ b/src/azureramp/controllers/forwarding/pacing.py
@@ -68,7 +68,7 @@
         )
 
 
-class Paces:
+class RouteTimingsTable:
     """Call durations of all routes, by route name."""
 
     __slots__ = ("_by_route",)
