--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -120,8 +120,9 @@
         """Makes each shard's first call and sets the timers."""
         target_s = self._context.route.target_s
         self.caller_overhead_s = self._estimate_caller_overhead_s(target_s)
-        self._partial_after_s = self._request.began_s + compute_cut_s(
-            target_s, self.caller_overhead_s
+        self._partial_after_s = (
+            self._request.began_s
+            + compute_partial_answer_delay_s(target_s, self.caller_overhead_s)
         )
         hedge_s = now_s + self._timings.get_hedge_s(
             target_s, self._partial_after_s - now_s
@@ -226,7 +227,9 @@
         return requests.Refused(errors.Failure(kind, detail), self._request.id)
 
 
-def compute_cut_s(target_s: float, caller_overhead_s: float) -> float:
+def compute_partial_answer_delay_s(
+    target_s: float, caller_overhead_s: float
+) -> float:
     """Returns the delay after which a partial answer is returned, in seconds.
 
     The target counts from the moment when the caller started, so the time that
