--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -209,7 +209,7 @@
             searcher.version
         )
 
-    def note_call(self, searcher: catalog.Searcher, now_s: float) -> None:
+    def record_call(self, searcher: catalog.Searcher, now_s: float) -> None:
         """Counts a call to a searcher.
 
         Args:
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -252,7 +252,7 @@
     def record_call(self, target: board_module.Target, now_s: float) -> None:
         """Records a call to a searcher."""
         coldness.record_call(target, now_s)
-        self.rollouts.note_call(target.searcher, now_s)
+        self.rollouts.record_call(target.searcher, now_s)
 
     def _is_usable(
         self, target: board_module.Target, sides: tuple[rollout_view.Side, ...]
