--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -365,7 +365,7 @@
         if attempt.reported:
             return
         took_s = now_s - attempt.sent_s
-        attempt.reported = self._searchers.rollouts.note_end(
+        attempt.reported = self._searchers.rollouts.record_call_end(
             attempt.target.searcher,
             self._context.route.name,
             end,
--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -223,7 +223,7 @@
         if running.is_new(searcher):
             self._board.metrics.count("rollout.calls")
 
-    def note_end(
+    def record_call_end(
         self,
         searcher: catalog.Searcher,
         route: str,
@@ -231,7 +231,7 @@
         took_s: float,
         usual_s: float,
     ) -> bool:
-        """Records the result of a call; see `ActiveRollout.note_end`."""
+        """Records the result of a call; see `ActiveRollout.record_call_end`."""
         running = self.running.get(searcher.service)
         if running is None:
             return True
