--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -169,7 +169,7 @@
         """
         return self._order_seen_s.get(service, self._board.started_s)
 
-    def list_sides(
+    def list_version_groups(
         self, service: str, is_first: bool, now_s: float
     ) -> tuple[rollout_view.Side, ...]:
         """Lists the version groups that a call may use, preferred one first.
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -184,7 +184,7 @@
         for target in targets.values():
             if target.record.needs_probe(now_s):
                 self._probe(target)
-        for side in self.rollouts.list_sides(service, is_first, now_s):
+        for side in self.rollouts.list_version_groups(service, is_first, now_s):
             chosen = self._choose_from(
                 side, targets, excluded, now_s, allow_faulty
             )
@@ -226,7 +226,7 @@
     def count_usable(self, service: str, now_s: float) -> int:
         """Returns how many searchers of a service may get a call now."""
         targets = self._board.by_service.get(service, {})
-        sides = self.rollouts.list_sides(service, True, now_s)
+        sides = self.rollouts.list_version_groups(service, True, now_s)
         return sum(
             self._is_usable(target, sides)
             and (
