--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -186,7 +186,7 @@
             return (rollout_view.Side.OLD,)
         return running.list_sides(is_first, now_s)
 
-    def allows(
+    def is_allowed(
         self, searcher: catalog.Searcher, sides: tuple[rollout_view.Side, ...]
     ) -> bool:
         """Returns True if a searcher belongs to one of the version groups.
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -263,7 +263,7 @@
             searcher.state is catalog.SearcherState.READY
             and not target.misdirected
             and searcher.zone not in self._board.evacuated_zones
-            and self.rollouts.allows(searcher, sides)
+            and self.rollouts.is_allowed(searcher, sides)
         )
 
     def _make_target(self, searcher: catalog.Searcher) -> board_module.Target:
