--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -42,7 +42,7 @@
     Attributes:
         orders: The newest order of each service.
         records: The newest record of each service.
-        running: The roll-outs that have not ended, by service.
+        active: The roll-outs that have not ended, by service.
         on_begin: Called when a roll-out begins, if this process serves callers.
         on_end: Called with the service's name when a roll-out has ended.
     """
@@ -52,11 +52,11 @@
         "_ended",
         "_order_seen_s",
         "_versions_at_order",
+        "active",
         "on_begin",
         "on_end",
         "orders",
         "records",
-        "running",
     )
 
     def __init__(self, board: board_module.Board) -> None:
@@ -68,7 +68,7 @@
         self._board = board
         self.orders: dict[str, rollout_types.Order] = {}
         self.records: dict[str, StoredRecord] = {}
-        self.running: dict[str, rollout_view.ActiveRollout] = {}
+        self.active: dict[str, rollout_view.ActiveRollout] = {}
         self.on_begin: Callable[[rollout_view.ActiveRollout], None] | None = (
             None
         )
@@ -181,7 +181,7 @@
             is_first: True for a request's first call to the service.
             now_s: The current time, in seconds.
         """
-        running = self.running.get(service)
+        running = self.active.get(service)
         if running is None:
             return (rollout_view.Side.OLD,)
         return running.list_sides(is_first, now_s)
@@ -195,7 +195,7 @@
             searcher: The searcher.
             sides: The version groups.
         """
-        running = self.running.get(searcher.service)
+        running = self.active.get(searcher.service)
         if running is not None:
             versions = running.versions
             if running.is_new(searcher):
@@ -216,7 +216,7 @@
             searcher: The searcher.
             now_s: The current time, in seconds.
         """
-        running = self.running.get(searcher.service)
+        running = self.active.get(searcher.service)
         if running is None:
             return
         running.note_call(searcher, now_s)
@@ -232,7 +232,7 @@
         usual_s: float,
     ) -> bool:
         """Records the result of a call; see `ActiveRollout.record_call_end`."""
-        running = self.running.get(searcher.service)
+        running = self.active.get(searcher.service)
         if running is None:
             return True
         return running.note_end(searcher, route, end, took_s, usual_s)
@@ -261,11 +261,11 @@
             else:
                 self._ended[service] = versions
             return
-        running = self.running.get(service)
+        running = self.active.get(service)
         if running is None or running.order != pending:
             self._end(service)
             self._begin(pending, versions)
-            running = self.running.get(service)
+            running = self.active.get(service)
         if running is None:
             return
         if versions is not None:
@@ -300,15 +300,15 @@
             self._ended[order.service] = versions
         else:
             self._ended.pop(order.service, None)
-            self.running[order.service] = running
-        self._board.metrics.set_gauge("rollout.running", len(self.running))
+            self.active[order.service] = running
+        self._board.metrics.set_gauge("rollout.running", len(self.active))
         if self._board.identity.serves_callers and self.on_begin is not None:
             self.on_begin(running)
 
     def _end(self, service: str) -> None:
         """Stops tracking a service's roll-out."""
-        self.running.pop(service, None)
-        self._board.metrics.set_gauge("rollout.running", len(self.running))
+        self.active.pop(service, None)
+        self._board.metrics.set_gauge("rollout.running", len(self.active))
         if self.on_end is not None:
             self.on_end(service)
 
--- a/tests/forwarding/test_misdirected.py
+++ b/tests/forwarding/test_misdirected.py
@@ -42,7 +42,7 @@
         for _ in range(60):
             assert (await scene.ask("vm-0", "/one/x")).status == 200
             await asyncio.sleep(0.05)
-        running = scene.programs["vm-0"].rollouts.running["statements"]
+        running = scene.programs["vm-0"].rollouts.active["statements"]
         tallies = {
             name: tally for (_, name), tally in running.tallies.items() if name
         }
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -182,7 +182,7 @@
         await send(scene, "/one/x", 3.0)
         assert count_calls(scene)["v2"] > 0
         for program in scene.programs.values():
-            running = program.rollouts.running[scenes.PLAIN]
+            running = program.rollouts.active[scenes.PLAIN]
             loop = asyncio.get_running_loop()
             sides = running.list_sides(True, loop.time() + 1.5)
             assert [side.value for side in sides] == ["old"]
