--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -69,7 +69,7 @@
         match request:
             case requests.Malformed(reason=reason):
                 failure = errors.Failure(errors.Kind.BAD_REQUEST, reason)
-                return requests.Refused(failure, closes=True)
+                return requests.Refused(failure, closes_connection=True)
             case requests.Incoming():
                 self._board.running += 1
                 try:
--- a/src/azureramp/controllers/forwarding/requests.py
+++ b/src/azureramp/controllers/forwarding/requests.py
@@ -77,12 +77,13 @@
         failure: The reason; the table of error kinds says whether the request
             ran.
         request_id: The request's id; empty if it has none.
-        closes: True if the caller's connection closes after the answer.
+        closes_connection: True if the caller's connection closes after the
+            answer.
     """
 
     failure: errors.Failure
     request_id: str = ""
-    closes: bool = False
+    closes_connection: bool = False
 
 
 Answer = Whole | Merged | Refused
