--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -59,7 +59,7 @@
         self._splitter = routing.WeightedRoundRobin()
 
     async def handle(
-        self, request: requests.Incoming | requests.Malformed
+        self, request: requests.IncomingRequest | requests.Malformed
     ) -> requests.Answer:
         """Answers one request.
 
@@ -70,14 +70,16 @@
             case requests.Malformed(reason=reason):
                 failure = errors.Failure(errors.Kind.BAD_REQUEST, reason)
                 return requests.Refused(failure, closes_connection=True)
-            case requests.Incoming():
+            case requests.IncomingRequest():
                 self._board.running += 1
                 try:
                     return await self._route(request)
                 finally:
                     self._board.running -= 1
 
-    async def _route(self, request: requests.Incoming) -> requests.Answer:
+    async def _route(
+        self, request: requests.IncomingRequest
+    ) -> requests.Answer:
         """Finds the request's route and forwards the request along it."""
         table = self._board.table
         if table is None:
@@ -107,7 +109,7 @@
 
     def _make_execution(
         self,
-        request: requests.Incoming,
+        request: requests.IncomingRequest,
         route: catalog.Route,
         answer_by_s: float,
     ) -> gather.FanOutRequest | single.SingleRequest:
@@ -140,7 +142,7 @@
 
     def _refuse(
         self,
-        request: requests.Incoming,
+        request: requests.IncomingRequest,
         route: catalog.Route | None,
         kind: errors.Kind,
         retry_after_s: float | None = None,
@@ -156,7 +158,7 @@
 
 
 def compute_answer_by_s(
-    request: requests.Incoming, route: catalog.Route
+    request: requests.IncomingRequest, route: catalog.Route
 ) -> float:
     """Returns when the answer must be sent, on the loop's clock."""
     remaining_s = route.timeout_s
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -71,7 +71,7 @@
         searchers: searchers_module.Searchers,
         crash_tracker: crashes.CrashTracker,
         timings: pacing.RouteTimings,
-        request: requests.Incoming,
+        request: requests.IncomingRequest,
         route: catalog.Route,
         destination: catalog.AllOf,
         answer_by_s: float,
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -47,7 +47,7 @@
 
     def write(
         self,
-        request: requests.Incoming,
+        request: requests.IncomingRequest,
         route: catalog.Route | None,
         parts: Sequence[part.Part],
         answer: requests.Answer | None,
--- a/src/azureramp/controllers/forwarding/requests.py
+++ b/src/azureramp/controllers/forwarding/requests.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Incoming:
+class IncomingRequest:
     """A request as received.
 
     Attributes:
--- a/src/azureramp/controllers/forwarding/single.py
+++ b/src/azureramp/controllers/forwarding/single.py
@@ -43,7 +43,7 @@
         searchers: searchers_module.Searchers,
         crash_tracker: crashes.CrashTracker,
         timings: pacing.RouteTimings,
-        request: requests.Incoming,
+        request: requests.IncomingRequest,
         route: catalog.Route,
         service: str,
         answer_by_s: float,
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -96,7 +96,7 @@
 
 def decode_request(
     request: web_api.Request,
-) -> requests.Incoming | requests.Malformed:
+) -> requests.IncomingRequest | requests.Malformed:
     """Extracts what the tier needs from a caller's request.
 
     Args:
@@ -123,7 +123,7 @@
         if deadline_s is None:
             return requests.Malformed("the deadline is not a number")
     path = request.target.partition(b"?")[0].decode("latin-1")
-    return requests.Incoming(
+    return requests.IncomingRequest(
         id=request_id.decode("latin-1"),
         host=host.decode("latin-1").partition(":")[0].lower(),
         path=path,
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -33,7 +33,7 @@
             (b"azureramp-target-instance", b"forged"),
         )
     )
-    assert isinstance(incoming, requests.Incoming)
+    assert isinstance(incoming, requests.IncomingRequest)
     assert incoming.host == "search.example"
     assert incoming.deadline_s == 0.3
     call = api.Call(incoming.message, "i-7", 0.25)
