--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -59,7 +59,7 @@
         self._splitter = routing.WeightedRoundRobin()
 
     async def handle(
-        self, request: requests.IncomingRequest | requests.Malformed
+        self, request: requests.IncomingRequest | requests.MalformedRequest
     ) -> requests.Answer:
         """Answers one request.
 
@@ -67,7 +67,7 @@
         calls.
         """
         match request:
-            case requests.Malformed(reason=reason):
+            case requests.MalformedRequest(reason=reason):
                 failure = errors.Failure(errors.Kind.BAD_REQUEST, reason)
                 return requests.Refused(failure, closes_connection=True)
             case requests.IncomingRequest():
--- a/src/azureramp/controllers/forwarding/requests.py
+++ b/src/azureramp/controllers/forwarding/requests.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Malformed:
+class MalformedRequest:
     """A request that lacks something that every request must have.
 
     Attributes:
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -96,7 +96,7 @@
 
 def decode_request(
     request: web_api.Request,
-) -> requests.IncomingRequest | requests.Malformed:
+) -> requests.IncomingRequest | requests.MalformedRequest:
     """Extracts what the tier needs from a caller's request.
 
     Args:
@@ -116,12 +116,12 @@
         elif name == DEADLINE:
             deadline = value
     if not request_id:
-        return requests.Malformed("no request id")
+        return requests.MalformedRequest("no request id")
     deadline_s: float | None = None
     if deadline is not None:
         deadline_s = _parse_milliseconds(deadline)
         if deadline_s is None:
-            return requests.Malformed("the deadline is not a number")
+            return requests.MalformedRequest("the deadline is not a number")
     path = request.target.partition(b"?")[0].decode("latin-1")
     return requests.IncomingRequest(
         id=request_id.decode("latin-1"),
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -54,12 +54,16 @@
 @pytest.mark.parametrize("value", [b"soon", b"", b"-5", b"1.5"])
 def test_request_with_invalid_deadline_is_malformed(value: bytes) -> None:
     request = make_request((b"azureramp-deadline-ms", value))
-    assert isinstance(headers.decode_request(request), requests.Malformed)
+    assert isinstance(
+        headers.decode_request(request), requests.MalformedRequest
+    )
 
 
 def test_request_without_id_is_malformed() -> None:
     request = web_api.Request("GET", "", {}, {}, b"", b"/a/", ())
-    assert isinstance(headers.decode_request(request), requests.Malformed)
+    assert isinstance(
+        headers.decode_request(request), requests.MalformedRequest
+    )
 
 
 @pytest.mark.parametrize(
