--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -115,7 +115,7 @@
         match answer:
             case None:
                 counters.count("forward.gone")
-            case requests.Whole():
+            case requests.SearcherAnswer():
                 counters.count("forward.answered")
             case requests.Merged(missing=0):
                 counters.count("forward.answered")
@@ -148,7 +148,7 @@
     match answer:
         case None:
             return "caller_gone"
-        case requests.Whole(reply=reply):
+        case requests.SearcherAnswer(reply=reply):
             return "answered" if reply.is_success() else "searcher_failed"
         case requests.Merged(missing=missing):
             return "short" if missing else "complete"
--- a/src/azureramp/controllers/forwarding/requests.py
+++ b/src/azureramp/controllers/forwarding/requests.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Whole:
+class SearcherAnswer:
     """One searcher's answer, unchanged."""
 
     reply: api.Reply
@@ -86,4 +86,4 @@
     closes_connection: bool = False
 
 
-Answer = Whole | Merged | Refused
+Answer = SearcherAnswer | Merged | Refused
--- a/src/azureramp/controllers/forwarding/single.py
+++ b/src/azureramp/controllers/forwarding/single.py
@@ -102,7 +102,7 @@
         """
         reply = self._part.reply or self._part.failed_reply
         if reply is not None and is_returnable(reply):
-            return requests.Whole(reply)
+            return requests.SearcherAnswer(reply)
         if self._part.is_waiting():
             return self._refuse(errors.Kind.DEADLINE_PASSED, "no answer yet")
         if self._part.runs:
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -144,7 +144,7 @@
 def encode_answer(answer: requests.Answer) -> web_api.Response:
     """Encodes an answer to a caller as an HTTP response."""
     match answer:
-        case requests.Whole(reply=reply):
+        case requests.SearcherAnswer(reply=reply):
             return web_api.Response(
                 status=reply.status,
                 body=reply.body,
