--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -204,7 +204,7 @@
             if each.reply is not None and each.reply.is_success()
         ]
         if len(replies) >= max(1, self._min_shards):
-            return requests.Merged(
+            return requests.MergedAnswer(
                 self._request.id,
                 tuple(reply.signature for reply in replies),
                 len(self.parts) - len(replies),
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -91,7 +91,7 @@
             case requests.Refused(failure=failure):
                 line["detail"] = failure.detail
                 line["retry_after_ms"] = failure.get_retry_after_ms()
-            case requests.Merged(missing=missing):
+            case requests.MergedAnswer(missing=missing):
                 line["missing"] = missing
                 line["shards"] = len(parts)
         if not good:
@@ -117,9 +117,9 @@
                 counters.count("forward.gone")
             case requests.SearcherAnswer():
                 counters.count("forward.answered")
-            case requests.Merged(missing=0):
+            case requests.MergedAnswer(missing=0):
                 counters.count("forward.answered")
-            case requests.Merged(missing=missing):
+            case requests.MergedAnswer(missing=missing):
                 counters.count("forward.short")
                 counters.count("forward.missing", missing)
             case requests.Refused(failure=failure):
@@ -150,7 +150,7 @@
             return "caller_gone"
         case requests.SearcherAnswer(reply=reply):
             return "answered" if reply.is_success() else "searcher_failed"
-        case requests.Merged(missing=missing):
+        case requests.MergedAnswer(missing=missing):
             return "short" if missing else "complete"
         case requests.Refused(failure=failure):
             return failure.kind.value
--- a/src/azureramp/controllers/forwarding/requests.py
+++ b/src/azureramp/controllers/forwarding/requests.py
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Merged:
+class MergedAnswer:
     """The merged answer of several shards.
 
     Attributes:
@@ -86,4 +86,4 @@
     closes_connection: bool = False
 
 
-Answer = SearcherAnswer | Merged | Refused
+Answer = SearcherAnswer | MergedAnswer | Refused
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -151,7 +151,7 @@
                 content_type="",
                 headers=_to_text(_filter_end_to_end(reply.fields)),
             )
-        case requests.Merged():
+        case requests.MergedAnswer():
             signatures = b", ".join(answer.signatures).decode("latin-1")
             return web_api.Response(
                 status=200,
