--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -26,7 +26,7 @@
 latencies of typical networks."""
 
 
-class Entry:
+class RequestHandler:
     """Answers callers' requests."""
 
     __slots__ = (
--- a/src/azureramp/platform/answers.py
+++ b/src/azureramp/platform/answers.py
@@ -28,7 +28,7 @@
     def __init__(
         self,
         board: board_module.Board,
-        entry: entry_module.Entry,
+        entry: entry_module.RequestHandler,
         log_writer: logs.LineWriter | None,
     ) -> None:
         """Creates the handlers.
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -222,7 +222,7 @@
         self._feed.on_relay = self._members.wake
         self._answers = answers.Answers(
             board,
-            entry.Entry(board, searcher_registry, self._crashes),
+            entry.RequestHandler(board, searcher_registry, self._crashes),
             log_writer,
         )
         self._limits = web_api.Limits(
