--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -184,7 +184,7 @@
         """Counts and logs an entry that is not applied."""
         self._log.count(change_log.Change.SKIPPED)
         now_s = asyncio.get_running_loop().time()
-        self._log.tell(_logger, f"skipped an entry: {reason}", now_s)
+        self._log.log_line(_logger, f"skipped an entry: {reason}", now_s)
 
     def _apply_evacuation(self, zone: str, out: bool) -> None:
         """Evacuates an availability zone, or restores it.
--- a/src/azureramp/controllers/forwarding/change_log.py
+++ b/src/azureramp/controllers/forwarding/change_log.py
@@ -51,7 +51,9 @@
         """Counts a change for the next line with counts."""
         self._counts[change] += 1
 
-    def tell(self, channel: logbook.Logger, text: str, now_s: float) -> None:
+    def log_line(
+        self, channel: logbook.Logger, text: str, now_s: float
+    ) -> None:
         """Logs a line on a single searcher unless the rate limit is reached.
 
         Args:
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -124,7 +124,7 @@
         gone = change is change_log.Change.SEARCHER_GONE
         state = "gone" if gone else searcher.state.value
         where = f"{searcher.service} at {searcher.address}"
-        self._log.tell(
+        self._log.log_line(
             _logger, f"searcher {searcher.id} of {where} is {state}", now_s
         )
 
--- a/tests/forwarding/test_change_log.py
+++ b/tests/forwarding/test_change_log.py
@@ -73,8 +73,8 @@
     channel = logbook.Logger("azureramp.searchers")
     with capture() as handler:
         for _ in range(100):
-            log.tell(channel, "searcher a is gone", 1.0)
-        log.tell(channel, "searcher b is gone", 2.0)
+            log.log_line(channel, "searcher a is gone", 1.0)
+        log.log_line(channel, "searcher b is gone", 2.0)
     assert len(handler.records) == change_log.LINE_BURST + 1
     left_out = 100 - int(change_log.LINE_BURST)
     assert handler.records[-1].extra["lines_left_out"] == left_out
