--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -60,7 +60,7 @@
         searcher_registry: searchers.Searchers,
         crash_registry: crashes.CrashTracker,
         member_registry: members.Members,
-        contacts: contact.Contacts,
+        contacts: contact.StoreContactTracker,
         log: change_log.ChangeLog,
         rollout_registry: rollouts.Rollouts,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/contact.py
+++ b/src/azureramp/controllers/forwarding/contact.py
@@ -12,7 +12,7 @@
 _logger = logbook.Logger("azureramp.contact")
 
 
-class Contacts:
+class StoreContactTracker:
     """Records the outcome of store calls on the blackboard."""
 
     __slots__ = ("_board", "_failed", "_recovered")
--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -113,7 +113,7 @@
         relays: relays_api.Relays,
         seeds: Sequence[str],
         own_relay: relay.Relay,
-        contacts: contact.Contacts,
+        contacts: contact.StoreContactTracker,
         apply: Apply,
         rng: random.Random,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -68,7 +68,7 @@
         vm_roster: roster.Roster,
         make_key: roster.MakeKey,
         encode: roster.EncodeMember,
-        contacts: contact.Contacts,
+        contacts: contact.StoreContactTracker,
         rng: random.Random,
         log: change_log.ChangeLog,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/relay.py
+++ b/src/azureramp/controllers/forwarding/relay.py
@@ -54,7 +54,7 @@
         board: board_module.Board,
         copy: relaying.StoreCopy,
         vm_roster: roster.Roster,
-        contacts: contact.Contacts,
+        contacts: contact.StoreContactTracker,
     ) -> None:
         """Makes a relay without waiting requests.
 
--- a/src/azureramp/controllers/forwarding/rollout_writer.py
+++ b/src/azureramp/controllers/forwarding/rollout_writer.py
@@ -31,7 +31,7 @@
         copy: relaying.StoreCopy,
         make_keys: MakeKeys,
         encode: EncodeRecord,
-        contacts: contact.Contacts,
+        contacts: contact.StoreContactTracker,
     ) -> None:
         """Makes a writer.
 
--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -69,7 +69,7 @@
         copy: relaying.StoreCopy,
         make_key: MakeKey,
         encode: EncodeMember,
-        contacts: contact.Contacts,
+        contacts: contact.StoreContactTracker,
     ) -> None:
         """Makes a roster without followers; see `run`.
 
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -127,7 +127,7 @@
             counters,
             loop.time(),
         )
-        contacts = contact.Contacts(board)
+        contacts = contact.StoreContactTracker(board)
         log = change_log.ChangeLog()
         self._drivers = rollouts_http.HttpDrivers()
         process = rollout_driver.make_process_name(
