--- a/src/azureramp/controllers/forwarding/leaving.py
+++ b/src/azureramp/controllers/forwarding/leaving.py
@@ -47,7 +47,7 @@
     grace_s = board.bounds.grace_s
     board.leaving = True
     _logger.info("shutting down with {} running requests", board.running)
-    removal = asyncio.ensure_future(member_registry.leave())
+    removal = asyncio.ensure_future(member_registry.delete_entry())
     await asyncio.sleep(ACCEPT_SHARE * grace_s / 2)
     front.closing = True
     await asyncio.sleep(ACCEPT_SHARE * grace_s / 2)
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -164,7 +164,7 @@
                     "this VM is now {}", "busy" if busy else "not busy"
                 )
 
-    async def leave(self) -> None:
+    async def delete_entry(self) -> None:
         """Deletes this VM's entry.
 
         Does not retry if the store is unreachable.
