--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -148,7 +148,7 @@
         """Makes `run` check immediately whether this VM needs a lease."""
         self._wake_event.set()
 
-    async def run_overload(self) -> None:
+    async def run_load_check(self) -> None:
         """Measures this VM's load and publishes changes. Never returns."""
         overload = overload_module.OverloadDetector()
         loop = asyncio.get_running_loop()
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -298,7 +298,7 @@
         if self.board.identity.serves_callers:
             loops |= {
                 "members": self._members.run,
-                "overload": self._members.run_overload,
+                "overload": self._members.run_load_check,
                 "roster": self._roster.run,
                 "crashes": self._crashes.run,
                 "shares": self._searchers.bounds.run,
