--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -131,7 +131,7 @@
             case catalog.ZoneEvacuated(zone=zone, out=out):
                 self._apply_evacuation(zone, out)
             case catalog.MemberSeen(member=member):
-                self._members.put(member)
+                self._members.update_member(member)
             case catalog.MemberGone(vm=vm):
                 self._members.remove(
                     vm, self._contact.has_been_reachable(LAPSE_GRACE_S)
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -99,7 +99,7 @@
         self._written = False
         self._lapsed: set[str] = set()
 
-    def put(self, member: catalog.Member) -> None:
+    def update_member(self, member: catalog.Member) -> None:
         """Adds a VM to the list, or updates its entry.
 
         Args:
