--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -144,7 +144,7 @@
                 async with asyncio.timeout(pause_s):
                     await self._wake_event.wait()
 
-    def wake(self) -> None:
+    def check_lease(self) -> None:
         """Makes `run` check immediately whether this VM needs a lease."""
         self._wake_event.set()
 
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -165,7 +165,7 @@
             rng,
             log,
         )
-        self._roster.on_first = self._members.wake
+        self._roster.on_first = self._members.check_lease
         self._crashes = crashes.CrashTracker(
             board, self._store, decoding.encode_crash_report
         )
@@ -219,7 +219,7 @@
             self._applying.apply,
             rng,
         )
-        self._feed.on_relay = self._members.wake
+        self._feed.on_relay = self._members.check_lease
         self._answers = answers.Answers(
             board,
             entry.RequestHandler(board, searcher_registry, self._crashes),
@@ -361,7 +361,7 @@
         """
         headers.apply_limits(new.limits, self._limits)
         if not self.board.lease:
-            self._members.wake()
+            self._members.check_lease()
 
     async def _watch_settings(self) -> None:
         """Reloads the settings whenever the file changes, forever."""
