--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -59,7 +59,7 @@
         decode: Decode,
         searcher_registry: searchers.Searchers,
         crash_registry: crashes.CrashTracker,
-        member_registry: members.Members,
+        member_registry: members.Membership,
         contacts: contact.StoreContactTracker,
         log: change_log.ChangeLog,
         rollout_registry: rollouts.Rollouts,
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -154,7 +154,7 @@
             msgspec.json.encode,
             contacts,
         )
-        self._members = members.Members(
+        self._members = members.Membership(
             board,
             self._store,
             store_copy,
