--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -47,7 +47,8 @@
     """Maintains the entries of this VM's followers in the store.
 
     Attributes:
-        on_first: Called when a follower is added while this VM has no lease.
+        on_lease_needed: Called when a follower is added while this VM has no
+            lease.
     """
 
     __slots__ = (
@@ -59,7 +60,7 @@
         "_followers",
         "_make_key",
         "_store",
-        "on_first",
+        "on_lease_needed",
     )
 
     def __init__(
@@ -89,7 +90,7 @@
         self._contact = contacts
         self._followers: dict[str, policy.Follower] = {}
         self._follower_added = asyncio.Event()
-        self.on_first: Callable[[], None] | None = None
+        self.on_lease_needed: Callable[[], None] | None = None
 
     def has_followers(self) -> bool:
         """Returns True if this VM announces any other VM."""
@@ -113,8 +114,8 @@
         if follower is None:
             self._followers[vm] = policy.Follower(announced, until_s)
             self._follower_added.set()
-            if not self._board.lease and self.on_first is not None:
-                self.on_first()
+            if not self._board.lease and self.on_lease_needed is not None:
+                self.on_lease_needed()
         else:
             follower.member = announced
 
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -165,7 +165,7 @@
             rng,
             log,
         )
-        self._roster.on_first = self._members.check_lease
+        self._roster.on_lease_needed = self._members.check_lease
         self._crashes = crashes.CrashTracker(
             board, self._store, decoding.encode_crash_report
         )
