--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -87,7 +87,7 @@
     """Keeps this VM's copy of the store's entries up to date.
 
     Attributes:
-        on_relay: Called when this VM becomes the relay of its zone.
+        on_became_relay: Called when this VM becomes the relay of its zone.
     """
 
     __slots__ = (
@@ -103,7 +103,7 @@
         "_seeds",
         "_source",
         "_store",
-        "on_relay",
+        "on_became_relay",
     )
 
     def __init__(
@@ -135,7 +135,7 @@
         own_address = board.identity.peer_address
         self._is_seed = own_address in seeds
         self._seeds = [seed for seed in seeds if seed != own_address]
-        self.on_relay: Callable[[], None] | None = None
+        self.on_became_relay: Callable[[], None] | None = None
         self._relay = own_relay
         self._contact = contacts
         self._apply = apply
@@ -294,8 +294,8 @@
         """Records on the board whether this VM is the relay of its zone."""
         became = is_relay and not self._board.is_relay
         self._board.is_relay = is_relay
-        if became and self.on_relay is not None:
-            self.on_relay()
+        if became and self.on_became_relay is not None:
+            self.on_became_relay()
 
     async def _receive_from_relay(self, address: str) -> bool:
         """Requests changes from a relay once.
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -219,7 +219,7 @@
             self._applying.apply,
             rng,
         )
-        self._feed.on_relay = self._members.check_lease
+        self._feed.on_became_relay = self._members.check_lease
         self._answers = answers.Answers(
             board,
             entry.RequestHandler(board, searcher_registry, self._crashes),
