--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -83,7 +83,7 @@
 _logger = logbook.Logger("azureramp.feed")
 
 
-class Feed:
+class StoreFeed:
     """Keeps this VM's copy of the store's entries up to date.
 
     Attributes:
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -209,7 +209,7 @@
             self._driver.adopt,
         )
         self._relays = relays_http.HttpRelays()
-        self._feed = feed.Feed(
+        self._feed = feed.StoreFeed(
             board,
             self._store,
             self._relays,
