--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -111,7 +111,7 @@
         """Logs the counts of changes if the interval has passed."""
         self._log.flush(asyncio.get_running_loop().time(), self._revision)
 
-    async def run(self) -> None:
+    async def run_lapse_cleanup(self) -> None:
         """Drops lapsed searchers and VMs after each outage. Never returns."""
         while True:
             await self._contact.wait_until_stable(LAPSE_GRACE_S)
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -291,7 +291,7 @@
             await server.start()
         loops: dict[str, feed.Run] = {
             "feed": self._feed.run,
-            "applying": self._applying.run,
+            "applying": self._applying.run_lapse_cleanup,
             "changes": self._applying.run_log,
             "settings": self._watch_settings,
         }
