--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -101,7 +101,7 @@
         self._searchers.apply_connection_limits()
         self._flush()
 
-    async def run_log(self) -> None:
+    async def run_change_log(self) -> None:
         """Logs delayed counts of changes periodically. Never returns."""
         while True:
             await asyncio.sleep(change_log.FLUSH_INTERVAL_S)
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -292,7 +292,7 @@
         loops: dict[str, feed.Run] = {
             "feed": self._feed.run,
             "applying": self._applying.run_lapse_cleanup,
-            "changes": self._applying.run_log,
+            "changes": self._applying.run_change_log,
             "settings": self._watch_settings,
         }
         if self.board.identity.serves_callers:
