--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -33,7 +33,7 @@
 _logger = logbook.Logger("azureramp.applying")
 
 
-class Applying:
+class EntryApplier:
     """Updates the blackboard from the store's entries.
 
     Attributes:
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -170,7 +170,7 @@
             board, self._store, decoding.encode_crash_report
         )
         self._searchers = searcher_registry
-        self._applying = applying.Applying(
+        self._applying = applying.EntryApplier(
             board,
             decoding.decode,
             searcher_registry,
--- a/src/azureramp_standins/soak/mutants.py
+++ b/src/azureramp_standins/soak/mutants.py
@@ -45,13 +45,13 @@
 
 def keep_first_version() -> None:
     """Ignores every configuration after the first."""
-    take = applying.Applying._take_configuration
+    take = applying.EntryApplier._take_configuration
 
     def take_first(self: Any, new: Any) -> None:
         if self._board.configuration is None:
             take(self, new)
 
-    patch(applying.Applying, "_take_configuration", take_first)
+    patch(applying.EntryApplier, "_take_configuration", take_first)
 
 
 def stop_at_once() -> None:
