--- a/src/azureramp/controllers/forwarding/advertised.py
+++ b/src/azureramp/controllers/forwarding/advertised.py
@@ -13,7 +13,7 @@
 _logger = logbook.Logger("azureramp.directory")
 
 
-def update(board: board_module.Board) -> None:
+def update_advertised(board: board_module.Board) -> None:
     """Selects the advertised VMs after a change of VMs, searchers or routes.
 
     Args:
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -147,7 +147,7 @@
 
     def apply_connection_limits(self) -> None:
         """Applies the connection limits and opens connections ahead of need."""
-        advertised.update(self._board)
+        advertised.update_advertised(self._board)
         self.bounds.update(asyncio.get_running_loop().time())
         used: set[str] = set()
         if self._is_advertised():
