--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -161,7 +161,9 @@
             return None
         return self._grant.phase
 
-    def list_sides(self, is_first: bool, now_s: float) -> tuple[Side, ...]:
+    def list_version_groups(
+        self, is_first: bool, now_s: float
+    ) -> tuple[Side, ...]:
         """Lists the version groups that a call may use, preferred one first.
 
         Args:
--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -184,7 +184,7 @@
         running = self.active.get(service)
         if running is None:
             return (rollout_view.Side.OLD,)
-        return running.list_sides(is_first, now_s)
+        return running.list_version_groups(is_first, now_s)
 
     def is_allowed(
         self, searcher: catalog.Searcher, sides: tuple[rollout_view.Side, ...]
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -184,7 +184,7 @@
         for program in scene.programs.values():
             running = program.rollouts.active[scenes.PLAIN]
             loop = asyncio.get_running_loop()
-            sides = running.list_sides(True, loop.time() + 1.5)
+            sides = running.list_version_groups(True, loop.time() + 1.5)
             assert [side.value for side in sides] == ["old"]
 
     scenes.run(scenario)
