--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -187,7 +187,7 @@
         """Returns True if a searcher runs the new version."""
         return searcher.version == self.order.target
 
-    def note_call(self, searcher: catalog.Searcher, now_s: float) -> None:
+    def record_call(self, searcher: catalog.Searcher, now_s: float) -> None:
         """Counts a call.
 
         Args:
--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -219,7 +219,7 @@
         running = self.active.get(searcher.service)
         if running is None:
             return
-        running.note_call(searcher, now_s)
+        running.record_call(searcher, now_s)
         if running.is_new(searcher):
             self._board.metrics.count("rollout.calls")
 
