--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -202,7 +202,7 @@
         if self.get_phase(now_s) is trial and not self._has_grant_left():
             self.report_due.set()
 
-    def note_end(
+    def record_call_end(
         self,
         searcher: catalog.Searcher,
         route: str,
--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -235,7 +235,7 @@
         running = self.active.get(searcher.service)
         if running is None:
             return True
-        return running.note_end(searcher, route, end, took_s, usual_s)
+        return running.record_call_end(searcher, route, end, took_s, usual_s)
 
     def list_versions(self, service: str) -> frozenset[str]:
         """Returns the versions of a service's searchers.
