--- a/src/azureramp/controllers/forwarding/rollout_reports.py
+++ b/src/azureramp/controllers/forwarding/rollout_reports.py
@@ -207,7 +207,7 @@
             running.order.service,
             running.order.revision,
             running.requests,
-            running.spent,
+            running.calls_to_new,
             counts,
             running.has_moved,
         )
--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -95,7 +95,7 @@
         order: The order.
         versions: The versions that may be used.
         requests: Calls to the service since the order.
-        spent: Of these, calls to the new version.
+        calls_to_new: Of these, calls to the new version.
         tallies: Numbers of finished calls, by route and searcher; those of the
             old version's searchers together, under an empty name.
         driver_seen_s: Time at which a driver last answered, in seconds;
@@ -109,12 +109,12 @@
         "_grant_valid_until_s",
         "_measured_usual",
         "_recorded_usual_s",
+        "calls_to_new",
         "driver_seen_s",
         "has_moved",
         "order",
         "report_due",
         "requests",
-        "spent",
         "tallies",
         "versions",
     )
@@ -135,7 +135,7 @@
         self.order = order
         self.versions = versions
         self.requests = 0
-        self.spent = 0
+        self.calls_to_new = 0
         self.tallies: dict[tuple[str, str], CallCounts] = {}
         self.driver_seen_s = now_s
         self.has_moved = False
@@ -197,7 +197,7 @@
         self.requests += 1
         if not self.is_new(searcher):
             return
-        self.spent += 1
+        self.calls_to_new += 1
         trial = rollout_types.Phase.TRIAL
         if self.get_phase(now_s) is trial and not self._has_grant_left():
             self.report_due.set()
@@ -268,4 +268,4 @@
 
     def _has_grant_left(self) -> bool:
         """Returns True if another call to the new version is granted."""
-        return self._grant is not None and self.spent < self._grant.limit
+        return self._grant is not None and self.calls_to_new < self._grant.limit
