--- a/src/azureramp/controllers/forwarding/rollout_reports.py
+++ b/src/azureramp/controllers/forwarding/rollout_reports.py
@@ -197,7 +197,7 @@
                 tally.bad,
                 0.0 if searcher else 1000 * running.get_measured_usual_s(route),
             )
-            for (route, searcher), tally in running.tallies.items()
+            for (route, searcher), tally in running.call_counts.items()
         )
         moving = running.get_phase(now_s) is rollout_types.Phase.MOVING
         running.has_moved = moving and not self._has_calls_at_old(running)
--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -96,8 +96,8 @@
         versions: The versions that may be used.
         requests: Calls to the service since the order.
         calls_to_new: Of these, calls to the new version.
-        tallies: Numbers of finished calls, by route and searcher; those of the
-            old version's searchers together, under an empty name.
+        call_counts: Numbers of finished calls, by route and searcher; those of
+            the old version's searchers together, under an empty name.
         driver_seen_s: Time at which a driver last answered, in seconds;
             initially the time at which the roll-out was received.
         has_moved: True if the last report said that all calls have moved.
@@ -109,13 +109,13 @@
         "_grant_valid_until_s",
         "_measured_usual",
         "_recorded_usual_s",
+        "call_counts",
         "calls_to_new",
         "driver_seen_s",
         "has_moved",
         "order",
         "report_due",
         "requests",
-        "tallies",
         "versions",
     )
 
@@ -136,7 +136,7 @@
         self.versions = versions
         self.requests = 0
         self.calls_to_new = 0
-        self.tallies: dict[tuple[str, str], CallCounts] = {}
+        self.call_counts: dict[tuple[str, str], CallCounts] = {}
         self.driver_seen_s = now_s
         self.has_moved = False
         self.report_due = asyncio.Event()
@@ -230,7 +230,7 @@
         if end is End.UNANSWERED and not slow:
             return False
         key = (route, searcher.id if is_new else "")
-        tally = self.tallies.setdefault(key, CallCounts())
+        tally = self.call_counts.setdefault(key, CallCounts())
         tally.answers += 1
         tally.bad += end is End.FAILED or slow
         if end is End.ANSWERED and not is_new:
--- a/tests/forwarding/test_misdirected.py
+++ b/tests/forwarding/test_misdirected.py
@@ -44,7 +44,9 @@
             await asyncio.sleep(0.05)
         running = scene.programs["vm-0"].rollouts.active["statements"]
         tallies = {
-            name: tally for (_, name), tally in running.tallies.items() if name
+            name: tally
+            for (_, name), tally in running.call_counts.items()
+            if name
         }
         assert set(tallies) == {"new-1"}
         assert tallies["new-1"].bad == 0
