--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -31,14 +31,14 @@
 capped when it is added to the mean."""
 
 
-class Side(enum.Enum):
+class VersionGroup(enum.Enum):
     """Groups of a service's searchers by version."""
 
     OLD = "old"
     NEW = "new"
 
 
-ALL_SIDES = tuple(Side)
+ALL_SIDES = tuple(VersionGroup)
 
 
 class End(enum.Enum):
@@ -163,7 +163,7 @@
 
     def list_version_groups(
         self, is_first: bool, now_s: float
-    ) -> tuple[Side, ...]:
+    ) -> tuple[VersionGroup, ...]:
         """Lists the version groups that a call may use, preferred one first.
 
         Args:
@@ -174,14 +174,14 @@
         match self.get_phase(now_s):
             case rollout_types.Phase.TRIAL:
                 if is_first and self._has_grant_left():
-                    return (Side.NEW, Side.OLD)
-                return (Side.OLD,)
+                    return (VersionGroup.NEW, VersionGroup.OLD)
+                return (VersionGroup.OLD,)
             case rollout_types.Phase.MOVING:
-                return (Side.NEW, Side.OLD)
+                return (VersionGroup.NEW, VersionGroup.OLD)
             case rollout_types.Phase.COMPLETED:
-                return (Side.NEW,)
+                return (VersionGroup.NEW,)
             case _:
-                return (Side.OLD,)
+                return (VersionGroup.OLD,)
 
     def is_new(self, searcher: catalog.Searcher) -> bool:
         """Returns True if a searcher runs the new version."""
--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -171,7 +171,7 @@
 
     def list_version_groups(
         self, service: str, is_first: bool, now_s: float
-    ) -> tuple[rollout_view.Side, ...]:
+    ) -> tuple[rollout_view.VersionGroup, ...]:
         """Lists the version groups that a call may use, preferred one first.
 
         Without a roll-out all searchers count as old.
@@ -183,11 +183,13 @@
         """
         running = self.active.get(service)
         if running is None:
-            return (rollout_view.Side.OLD,)
+            return (rollout_view.VersionGroup.OLD,)
         return running.list_version_groups(is_first, now_s)
 
     def is_allowed(
-        self, searcher: catalog.Searcher, sides: tuple[rollout_view.Side, ...]
+        self,
+        searcher: catalog.Searcher,
+        sides: tuple[rollout_view.VersionGroup, ...],
     ) -> bool:
         """Returns True if a searcher belongs to one of the version groups.
 
@@ -199,13 +201,13 @@
         if running is not None:
             versions = running.versions
             if running.is_new(searcher):
-                return rollout_view.Side.NEW in sides
+                return rollout_view.VersionGroup.NEW in sides
         else:
             ended = self._ended.get(searcher.service)
             if ended is None:
                 return True
             versions = ended
-        return rollout_view.Side.OLD in sides and versions.allows(
+        return rollout_view.VersionGroup.OLD in sides and versions.allows(
             searcher.version
         )
 
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -194,7 +194,7 @@
 
     def _choose_from(
         self,
-        side: rollout_view.Side,
+        side: rollout_view.VersionGroup,
         targets: Mapping[str, board_module.Target],
         excluded: Collection[str],
         now_s: float,
@@ -255,7 +255,9 @@
         self.rollouts.record_call(target.searcher, now_s)
 
     def _is_usable(
-        self, target: board_module.Target, sides: tuple[rollout_view.Side, ...]
+        self,
+        target: board_module.Target,
+        sides: tuple[rollout_view.VersionGroup, ...],
     ) -> bool:
         """Returns True if a searcher may get new work at all."""
         searcher = target.searcher
