--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -38,7 +38,7 @@
     NEW = "new"
 
 
-ALL_SIDES = tuple(VersionGroup)
+ALL_VERSION_GROUPS = tuple(VersionGroup)
 
 
 class End(enum.Enum):
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -155,7 +155,7 @@
         for target in self._board.targets.values():
             target.pool.set_limit(self._get_share(target.searcher.service))
             if target.searcher.service in used and self._is_usable(
-                target, rollout_view.ALL_SIDES
+                target, rollout_view.ALL_VERSION_GROUPS
             ):
                 target.pool.open_ahead(1)
 
