--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -177,7 +177,9 @@
             if attempt.ended or attempt.pending_call is None:
                 continue
             if not self._cancel_unsent(attempt, now_s):
-                self._report_end(attempt, rollout_view.End.UNANSWERED, now_s)
+                self._report_end(
+                    attempt, rollout_view.CallResult.UNANSWERED, now_s
+                )
                 record = attempt.target.record
                 queues = selection.has_queued_calls(record, now_s)
                 attempt.pending_call.abandon(
@@ -334,9 +336,9 @@
                     answered = outcome.is_success()
                     self._report_end(
                         attempt,
-                        rollout_view.End.ANSWERED
+                        rollout_view.CallResult.ANSWERED
                         if answered
-                        else rollout_view.End.FAILED,
+                        else rollout_view.CallResult.FAILED,
                         now_s,
                     )
                 if outcome.is_success():
@@ -350,7 +352,9 @@
                     self._handle_reply(outcome, now_s)
             case api.Lost():
                 if outcome.sent and not self.done:
-                    self._report_end(attempt, rollout_view.End.FAILED, now_s)
+                    self._report_end(
+                        attempt, rollout_view.CallResult.FAILED, now_s
+                    )
                 self._record_loss(attempt.target, outcome, took_s, now_s)
                 if not self.done:
                     self._handle_loss(outcome, now_s)
@@ -358,7 +362,7 @@
     def _report_end(
         self,
         attempt: attempt_module.Attempt,
-        end: rollout_view.End,
+        end: rollout_view.CallResult,
         now_s: float,
     ) -> None:
         """Reports how a call ended to its version's roll-out, once."""
--- a/src/azureramp/controllers/forwarding/rollout_view.py
+++ b/src/azureramp/controllers/forwarding/rollout_view.py
@@ -41,7 +41,7 @@
 ALL_VERSION_GROUPS = tuple(VersionGroup)
 
 
-class End(enum.Enum):
+class CallResult(enum.Enum):
     """Result of a call, for the evaluation of its searcher's version."""
 
     ANSWERED = "answered"
@@ -206,7 +206,7 @@
         self,
         searcher: catalog.Searcher,
         route: str,
-        end: End,
+        end: CallResult,
         took_s: float,
         usual_s: float,
     ) -> bool:
@@ -227,13 +227,13 @@
         is_new = self.is_new(searcher)
         usual_s = self._get_usual_s(route, usual_s)
         slow = usual_s > 0 and took_s > SLOW_FACTOR * usual_s
-        if end is End.UNANSWERED and not slow:
+        if end is CallResult.UNANSWERED and not slow:
             return False
         key = (route, searcher.id if is_new else "")
         tally = self.call_counts.setdefault(key, CallCounts())
         tally.answers += 1
-        tally.bad += end is End.FAILED or slow
-        if end is End.ANSWERED and not is_new:
+        tally.bad += end is CallResult.FAILED or slow
+        if end is CallResult.ANSWERED and not is_new:
             self._measured_usual.setdefault(route, UsualDuration()).add(took_s)
         return True
 
--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -229,7 +229,7 @@
         self,
         searcher: catalog.Searcher,
         route: str,
-        end: rollout_view.End,
+        end: rollout_view.CallResult,
         took_s: float,
         usual_s: float,
     ) -> bool:
