--- a/src/azureramp/controllers/forwarding/rollout_claims.py
+++ b/src/azureramp/controllers/forwarding/rollout_claims.py
@@ -161,7 +161,7 @@
         silent_vm = ""
         wait_s = 0.0
         if record is not None:
-            silent_vm = get_vm(record.driver)
+            silent_vm = get_vm_of_process(record.driver)
             wait_s = DRIVER_TIMEOUT_S
             if record.driver == self._process:
                 # An earlier claim by this process, whose answer was lost.
@@ -175,7 +175,7 @@
         return now_s - running.driver_seen_s >= wait_s
 
 
-def get_vm(process: str) -> str:
+def get_vm_of_process(process: str) -> str:
     """Returns the VM of a process.
 
     Args:
