--- a/src/azureramp/controllers/forwarding/rollout_claims.py
+++ b/src/azureramp/controllers/forwarding/rollout_claims.py
@@ -32,7 +32,7 @@
 _logger = logbook.Logger("azureramp.rollout_driver")
 
 
-class Claims:
+class RolloutClaims:
     """Claims roll-outs for this process."""
 
     __slots__ = (
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -199,7 +199,7 @@
             situations,
             writer,
         )
-        self._claims = rollout_claims.Claims(
+        self._claims = rollout_claims.RolloutClaims(
             board,
             self.rollouts,
             self._reports,
