--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -60,7 +60,7 @@
         situations: rollout_situations.Situations,
         writer: rollout_writer.Writer,
     ) -> None:
-        """Makes a driver without roll-outs; see `adopt`.
+        """Makes a driver without roll-outs; see `start_driving`.
 
         Args:
             board: The state.
@@ -79,7 +79,9 @@
         self._process = reports.process
         reports.handle_locally = grants.handle_report
 
-    def adopt(self, record: rollout_types.Record, revision: int) -> None:
+    def start_driving(
+        self, record: rollout_types.Record, revision: int
+    ) -> None:
         """Begins to drive a roll-out whose record names this process.
 
         Args:
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -206,7 +206,7 @@
             situations,
             writer,
             self._grants.drives,
-            self._driver.adopt,
+            self._driver.start_driving,
         )
         self._relays = relays_http.HttpRelays()
         self._feed = feed.StoreFeed(
