--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -38,7 +38,7 @@
 _logger = logbook.Logger("azureramp.rollout_driver")
 
 
-class Driver:
+class RolloutDriver:
     """Drives the roll-outs that this process has claimed."""
 
     __slots__ = (
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -191,7 +191,7 @@
             decoding.encode_rollout,
             contacts,
         )
-        self._driver = rollout_driver.Driver(
+        self._driver = rollout_driver.RolloutDriver(
             board,
             self.rollouts,
             self._reports,
