--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -88,14 +88,17 @@
             record: The record.
             revision: Its revision.
         """
-        if record.has_ended() or record.order.service in self._grants.drives:
+        if (
+            record.has_ended()
+            or record.order.service in self._grants.driven_rollouts
+        ):
             return
         now_s = asyncio.get_running_loop().time()
         self._rollouts.apply_record(record, revision)
         drive = rollout_drive.DrivenRollout(
             record, revision, self._board.bounds.exposure, now_s
         )
-        self._grants.drives[record.order.service] = drive
+        self._grants.driven_rollouts[record.order.service] = drive
         self._count_driven()
         task = asyncio.create_task(self._drive(record.order.service, drive))
         self._tasks.add(task)
@@ -120,12 +123,12 @@
                 "unexpected error while driving the roll-out of {}", service
             )
         finally:
-            del self._grants.drives[service]
+            del self._grants.driven_rollouts[service]
             self._count_driven()
 
     def _count_driven(self) -> None:
         """Updates the gauge of the roll-outs that this process drives."""
-        driven = len(self._grants.drives)
+        driven = len(self._grants.driven_rollouts)
         self._board.metrics.set_gauge("rollout.driven", driven)
 
     async def _advance(
--- a/src/azureramp/controllers/forwarding/rollout_grants.py
+++ b/src/azureramp/controllers/forwarding/rollout_grants.py
@@ -30,10 +30,10 @@
     """Answers reports with grants.
 
     Attributes:
-        drives: The roll-outs that this process drives, by service.
+        driven_rollouts: The roll-outs that this process drives, by service.
     """
 
-    __slots__ = ("_board", "_situations", "drives")
+    __slots__ = ("_board", "_situations", "driven_rollouts")
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         """
         self._board = board
         self._situations = situations
-        self.drives: dict[str, rollout_drive.DrivenRollout] = {}
+        self.driven_rollouts: dict[str, rollout_drive.DrivenRollout] = {}
 
     async def handle(self, request: web_api.Request) -> web_api.Response:
         """Handles another VM's report.
@@ -82,7 +82,7 @@
             The grant; `NOT_OWNER` if this process can't decide now; None if it
             doesn't drive the roll-out.
         """
-        drive = self.drives.get(report.service)
+        drive = self.driven_rollouts.get(report.service)
         if drive is None or drive.record.order.revision != report.order:
             return None
         now_s = asyncio.get_running_loop().time()
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -205,7 +205,7 @@
             self._reports,
             situations,
             writer,
-            self._grants.drives,
+            self._grants.driven_rollouts,
             self._driver.start_driving,
         )
         self._relays = relays_http.HttpRelays()
@@ -336,7 +336,7 @@
         Returns:
             The count; 0 if this process doesn't drive a roll-out of it.
         """
-        drive = self._grants.drives.get(service)
+        drive = self._grants.driven_rollouts.get(service)
         return 0 if drive is None else round(drive.evidence.sum_new().bad)
 
     async def kill(self) -> None:
