--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -56,7 +56,7 @@
         board: board_module.Board,
         rollout_registry: rollouts.Rollouts,
         reports: rollout_reports.Reports,
-        grants: rollout_grants.Grants,
+        grants: rollout_grants.GrantHandler,
         situations: rollout_situations.Situations,
         writer: rollout_writer.Writer,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/rollout_grants.py
+++ b/src/azureramp/controllers/forwarding/rollout_grants.py
@@ -26,7 +26,7 @@
 _logger = logbook.Logger("azureramp.rollout_grants")
 
 
-class Grants:
+class GrantHandler:
     """Answers reports with grants.
 
     Attributes:
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -183,7 +183,7 @@
         self._applying.on_configuration = self._follow_configuration
         self._relay = relay.Relay(board, store_copy, self._roster, contacts)
         situations = rollout_situations.Situations(board, self.rollouts, clock)
-        self._grants = rollout_grants.Grants(board, situations)
+        self._grants = rollout_grants.GrantHandler(board, situations)
         writer = rollout_writer.Writer(
             self._store,
             store_copy,
