--- a/src/azureramp/controllers/forwarding/rollout_claims.py
+++ b/src/azureramp/controllers/forwarding/rollout_claims.py
@@ -51,7 +51,7 @@
         self,
         board: board_module.Board,
         rollout_registry: rollouts.Rollouts,
-        reports: rollout_reports.Reports,
+        reports: rollout_reports.Reporter,
         situations: rollout_situations.Situations,
         writer: rollout_writer.Writer,
         drives: Container[str],
--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -55,7 +55,7 @@
         self,
         board: board_module.Board,
         rollout_registry: rollouts.Rollouts,
-        reports: rollout_reports.Reports,
+        reports: rollout_reports.Reporter,
         grants: rollout_grants.GrantHandler,
         situations: rollout_situations.Situations,
         writer: rollout_writer.Writer,
--- a/src/azureramp/controllers/forwarding/rollout_reports.py
+++ b/src/azureramp/controllers/forwarding/rollout_reports.py
@@ -33,7 +33,7 @@
 _logger = logbook.Logger("azureramp.rollout_reports")
 
 
-class Reports:
+class Reporter:
     """Sends reports while a roll-out runs, and applies the grants.
 
     Attributes:
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -134,7 +134,7 @@
             process_settings.identity.vm, start
         )
         self.rollouts = rollouts.Rollouts(board)
-        self._reports = rollout_reports.Reports(
+        self._reports = rollout_reports.Reporter(
             board, self.rollouts, self._drivers, process
         )
         searcher_registry = searchers.Searchers(
