--- a/src/azureramp/controllers/forwarding/rollout_claims.py
+++ b/src/azureramp/controllers/forwarding/rollout_claims.py
@@ -52,7 +52,7 @@
         board: board_module.Board,
         rollout_registry: rollouts.Rollouts,
         reports: rollout_reports.Reporter,
-        situations: rollout_situations.Situations,
+        situations: rollout_situations.RolloutStateBuilder,
         writer: rollout_writer.Writer,
         drives: Container[str],
         on_claimed: OnClaimed,
--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -57,7 +57,7 @@
         rollout_registry: rollouts.Rollouts,
         reports: rollout_reports.Reporter,
         grants: rollout_grants.GrantHandler,
-        situations: rollout_situations.Situations,
+        situations: rollout_situations.RolloutStateBuilder,
         writer: rollout_writer.Writer,
     ) -> None:
         """Makes a driver without roll-outs; see `start_driving`.
--- a/src/azureramp/controllers/forwarding/rollout_grants.py
+++ b/src/azureramp/controllers/forwarding/rollout_grants.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         board: board_module.Board,
-        situations: rollout_situations.Situations,
+        situations: rollout_situations.RolloutStateBuilder,
     ) -> None:
         """Makes a controller without driven roll-outs.
 
--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -34,7 +34,7 @@
 """Returns the wall-clock time, in seconds since 1970."""
 
 
-class Situations:
+class RolloutStateBuilder:
     """Describes roll-outs, and makes their records."""
 
     __slots__ = ("_board", "_clock", "_rollouts")
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -182,7 +182,9 @@
         )
         self._applying.on_configuration = self._follow_configuration
         self._relay = relay.Relay(board, store_copy, self._roster, contacts)
-        situations = rollout_situations.Situations(board, self.rollouts, clock)
+        situations = rollout_situations.RolloutStateBuilder(
+            board, self.rollouts, clock
+        )
         self._grants = rollout_grants.GrantHandler(board, situations)
         writer = rollout_writer.Writer(
             self._store,
