--- a/src/azureramp/controllers/forwarding/rollout_claims.py
+++ b/src/azureramp/controllers/forwarding/rollout_claims.py
@@ -53,7 +53,7 @@
         rollout_registry: rollouts.Rollouts,
         reports: rollout_reports.Reporter,
         situations: rollout_situations.RolloutStateBuilder,
-        writer: rollout_writer.Writer,
+        writer: rollout_writer.RecordWriter,
         drives: Container[str],
         on_claimed: OnClaimed,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -58,7 +58,7 @@
         reports: rollout_reports.Reporter,
         grants: rollout_grants.GrantHandler,
         situations: rollout_situations.RolloutStateBuilder,
-        writer: rollout_writer.Writer,
+        writer: rollout_writer.RecordWriter,
     ) -> None:
         """Makes a driver without roll-outs; see `start_driving`.
 
--- a/src/azureramp/controllers/forwarding/rollout_writer.py
+++ b/src/azureramp/controllers/forwarding/rollout_writer.py
@@ -20,7 +20,7 @@
 _logger = logbook.Logger("azureramp.rollout_writer")
 
 
-class Writer:
+class RecordWriter:
     """Writes records and statuses together."""
 
     __slots__ = ("_contact", "_copy", "_encode", "_make_keys", "_store")
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -186,7 +186,7 @@
             board, self.rollouts, clock
         )
         self._grants = rollout_grants.GrantHandler(board, situations)
-        writer = rollout_writer.Writer(
+        writer = rollout_writer.RecordWriter(
             self._store,
             store_copy,
             decoding.make_rollout_keys,
