--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Asked:
+class AdmissionRequest:
     """The properties of a request that the checks need.
 
     Attributes:
@@ -78,7 +78,7 @@
         self._dispatcher = dispatcher
 
     def admit(
-        self, asked: Asked
+        self, asked: AdmissionRequest
     ) -> expression.Result[Admitted, errors.Failure]:
         """Checks a request and pins its snapshot.
 
@@ -131,7 +131,10 @@
         )
 
     def _check_load(
-        self, asked: Asked, snapshot: snapshots.Snapshot, left_s: float
+        self,
+        asked: AdmissionRequest,
+        snapshot: snapshots.Snapshot,
+        left_s: float,
     ) -> errors.Failure | None:
         """Refuses requests that can't meet their deadline; sheds load."""
         now_s = asyncio.get_running_loop().time()
@@ -179,7 +182,9 @@
 
 
 def check_reachable_coverage(
-    asked: Asked, service: resources.Service, snapshot: snapshots.Snapshot
+    asked: AdmissionRequest,
+    service: resources.Service,
+    snapshot: snapshots.Snapshot,
 ) -> errors.Kind | None:
     """Checks whether the minimum coverage can be reached.
 
--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -116,7 +116,7 @@
             The answer, complete or marked as incomplete, or the failure.
         """
         started_s = asyncio.get_running_loop().time()
-        asked = admitting.Asked(
+        asked = admitting.AdmissionRequest(
             query.request_id,
             query.caller,
             query.service,
@@ -137,7 +137,7 @@
 
     async def _run(
         self,
-        asked: admitting.Asked,
+        asked: admitting.AdmissionRequest,
         admitted: admitting.Admitted,
         started_s: float,
     ) -> Answered:
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -143,7 +143,7 @@
             The answer, and the index version on which the request ran; 0 if
             it didn't run.
         """
-        asked = admitting.Asked(
+        asked = admitting.AdmissionRequest(
             request.request_id,
             request.caller,
             request.service,
--- a/src/azureramp/controllers/request_log.py
+++ b/src/azureramp/controllers/request_log.py
@@ -26,7 +26,7 @@
 
     def record_admitted(
         self,
-        request: admitting.Asked,
+        request: admitting.AdmissionRequest,
         header: dispatching.Header,
         version: int,
         idempotency_key: str = "",
