--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -138,7 +138,7 @@
     ) -> errors.Failure | None:
         """Refuses requests that can't meet their deadline; sheds load."""
         now_s = asyncio.get_running_loop().time()
-        measured = self._dispatcher.measured
+        measured = self._dispatcher.measurements
         priority = asked.caller.priority
         demand = admission.Request(
             priority=priority,
@@ -162,7 +162,7 @@
         """Updates the load measurements from an admitted request's tally."""
         header = admitted.header
         now_s = asyncio.get_running_loop().time()
-        measured = self._dispatcher.measured
+        measured = self._dispatcher.measurements
         wait_ms = tally.get_mean_wait_ms()
         if tally.results:
             measured.times.observe(
--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -146,7 +146,7 @@
             case assembly.Merged(attempt=attempt):
                 took_ms = (now_s - attempt.sent_s) * 1000
                 self.tally.add_merged(taken, took_ms)
-                self.dispatcher.measured.finish(
+                self.dispatcher.measurements.finish(
                     self.get_place(attempt), attempt, now_s
                 )
                 self._record_ended(attempt, "ok", True)
@@ -170,7 +170,7 @@
         cancelled = [one for one in attempts if self.state.remove(one)]
         for attempt in cancelled:
             self.tally.ran = True
-            self.dispatcher.measured.abandon(
+            self.dispatcher.measurements.abandon(
                 self.get_place(attempt), attempt, now_s
             )
             self._record_ended(attempt, errors.Kind.CANCELLED.value, False)
@@ -204,7 +204,7 @@
         """Records a failed attempt."""
         now_s = asyncio.get_running_loop().time()
         self.tally.add_failed(failed)
-        self.dispatcher.measured.fail(failed.attempt, now_s)
+        self.dispatcher.measurements.fail(failed.attempt, now_s)
         self._record_ended(failed.attempt, failed.kind.value, False)
 
     def _record_ended(
--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -157,11 +157,11 @@
             asked.minimum_coverage,
             record_pinned,
         )
-        self._dispatcher.measured.running += 1
+        self._dispatcher.measurements.running += 1
         try:
             outcome = await running.run()
         finally:
-            self._dispatcher.measured.running -= 1
+            self._dispatcher.measurements.running -= 1
         self._admission.observe(admitted, running.tally)
         if isinstance(outcome, errors.Failure):
             return expression.Error(outcome)
--- a/src/azureramp/controllers/dispatching.py
+++ b/src/azureramp/controllers/dispatching.py
@@ -57,7 +57,7 @@
     """Sends sub-requests and passes each result to its request.
 
     Attributes:
-        measured: Measurements of the searchers, and the budgets.
+        measurements: Measurements of the searchers, and the budgets.
         viewer: Provides the current view of the searchers.
     """
 
@@ -65,7 +65,7 @@
         "_board",
         "_outbox",
         "_receivers",
-        "measured",
+        "measurements",
         "viewer",
     )
 
@@ -76,7 +76,7 @@
         measured: measurements_module.Measurements,
     ) -> None:
         """Creates a dispatcher without requests."""
-        self.measured = measured
+        self.measurements = measured
         self._board = board
         self._outbox = outbox
         self._receivers: dict[str, Receiver] = {}
@@ -133,11 +133,11 @@
         apart = [n for n in known if sites[n].server not in avoided]
         if not known:
             return None
-        return self.measured.scoreboard.choose(
+        return self.measurements.scoreboard.choose(
             apart or known,
             view.states,
             asyncio.get_running_loop().time(),
-            self.measured.rng,
+            self.measurements.rng,
         )
 
     def make_attempt(
@@ -203,7 +203,7 @@
                 unsent.extend(group)
                 continue
             for attempt in group:
-                self.measured.scoreboard.record_sent(attempt.searcher)
+                self.measurements.scoreboard.record_sent(attempt.searcher)
                 self._record_chosen(header, attempt)
         return unsent
 
--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -142,7 +142,7 @@
                 progress.waiting = True
         needed = len(self._attempts.state.progress)
         policy = self._dispatcher.get_topology().policy
-        self._dispatcher.measured.earn(needed, policy)
+        self._dispatcher.measurements.earn(needed, policy)
         self._board.metrics.count("part.needed", needed)
         self._start_first(waiting, self._snapshot.replicas)
         self._check_finished()
@@ -219,7 +219,7 @@
             return True
         if self._attempts.header.isolated or self.tally.crashes:
             return False
-        return paid or self._dispatcher.measured.retries.spend()
+        return paid or self._dispatcher.measurements.retries.spend()
 
     def _retry_later(self, progress: assembly.Progress, searcher: str) -> None:
         """Tries a searcher again after the delay for a change of its owner."""
@@ -266,7 +266,7 @@
         header = self._attempts.header
         if self._previous is not None or header.isolated:
             return False
-        delays = self._dispatcher.measured.delays
+        delays = self._dispatcher.measurements.delays
         needed_ms = delays.get_index_quantile_ms(header.index, header.priority)
         left_s = header.answer_s - asyncio.get_running_loop().time()
         if left_s * 1000 <= needed_ms:
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -103,7 +103,7 @@
             return
         if len(progress.running) == 1 and self._hedge(progress):
             return
-        retries = self._attempts.dispatcher.measured.retries
+        retries = self._attempts.dispatcher.measurements.retries
         if step is not hedging.Action.REPLACE or not retries.can_spend():
             return
         if self._attempts.start((progress,), "retry"):
@@ -112,7 +112,7 @@
 
     def _hedge(self, progress: assembly.Progress, ahead: bool = False) -> bool:
         """Sends a hedge if the budget allows it; returns False if not."""
-        hedges = self._attempts.dispatcher.measured.hedges
+        hedges = self._attempts.dispatcher.measurements.hedges
         if not hedges.can_spend():
             return False
         if not self._attempts.start((progress,), "hedge", ahead=ahead):
@@ -130,7 +130,7 @@
         """
         if self._is_suspect():
             return False
-        level = self._attempts.dispatcher.measured.level
+        level = self._attempts.dispatcher.measurements.level
         return not level.is_overloaded(now_s)
 
     def _is_suspect(self) -> bool:
@@ -143,6 +143,6 @@
         """Returns the hedge delay of an attempt's shard, in milliseconds."""
         header = self._attempts.header
         left_ms = (header.answer_s - attempt.sent_s) * 1000
-        return self._attempts.dispatcher.measured.delays.get_delay_ms(
+        return self._attempts.dispatcher.measurements.delays.get_delay_ms(
             self._attempts.get_place(attempt), left_ms
         )
--- a/tests/controllers/test_admitting.py
+++ b/tests/controllers/test_admitting.py
@@ -199,7 +199,7 @@
         return (
             running,
             left,
-            dispatcher.measured.running,
+            dispatcher.measurements.running,
             dict(dispatcher._receivers),
         )
 
--- a/tests/controllers/test_caller_api.py
+++ b/tests/controllers/test_caller_api.py
@@ -209,7 +209,12 @@
         await asyncio.sleep(1.0)
         dispatcher = cell.coordinator._dispatcher
         left = len(dispatcher._receivers)
-        return response, cell.board.running, left, dispatcher.measured.running
+        return (
+            response,
+            cell.board.running,
+            left,
+            dispatcher.measurements.running,
+        )
 
     response, *left = query_cell.run(main())
 
--- a/tests/controllers/test_gathering.py
+++ b/tests/controllers/test_gathering.py
@@ -128,7 +128,7 @@
         cell.delay_s = 0.001
         place = hedging.DelayKey("cover", "1", resources.Priority.URGENT)
         for _ in range(30):
-            cell.coordinator._dispatcher.measured.delays.add(place, 9)
+            cell.coordinator._dispatcher.measurements.delays.add(place, 9)
         query = cell.make_query(deadline_ms=deadline_ms)
         answer = (await cell.coordinator.query(query)).ok
         return answer, get_pinned(cell)
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -106,7 +106,7 @@
         await warm_up(cell)
         straggle(cell, "s0-0")
         force_choice(cell, "s0-0")
-        measured = cell.coordinator._dispatcher.measured
+        measured = cell.coordinator._dispatcher.measurements
         query = cell.make_query(priority=resources.Priority.DEFERRABLE)
         match case_name:
             case "budget of zero":
@@ -166,7 +166,7 @@
         await warm_up(cell, 40)
         straggle(cell, "s0-0")
         force_choice(cell, "s0-0")
-        cell.coordinator._dispatcher.measured.level.value = level
+        cell.coordinator._dispatcher.measurements.level.value = level
         assert (await cell.coordinator.query(cell.make_query())).ok.complete
         return get_chosen(cell, "request-1")
 
@@ -426,5 +426,5 @@
 
     assert cell.board.metrics.counts["part.hedged"] == 0
     place = hedging.DelayKey("cover", "0", resources.Priority.URGENT)
-    delays = cell.coordinator._dispatcher.measured.delays
+    delays = cell.coordinator._dispatcher.measurements.delays
     assert 40 <= delays.get_delay_ms(place, 1000) < 60
