--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -59,7 +59,7 @@
 
     service: resources.Service
     snapshot: snapshots.Snapshot
-    header: dispatching.Header
+    header: dispatching.RequestHeader
     allowed_ms: float
 
 
@@ -114,7 +114,7 @@
         refused = self._check_load(asked, pinned.ok, answer_s - now_s)
         if refused is not None:
             return expression.Error(refused)
-        header = dispatching.Header(
+        header = dispatching.RequestHeader(
             request_id=asked.request_id,
             index=asked.index,
             version=pinned.ok.shard_map.version,
--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -34,7 +34,7 @@
         self,
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
-        header: dispatching.Header,
+        header: dispatching.RequestHeader,
         state: assembly.Assembly,
     ) -> None:
         """Creates it without attempts."""
--- a/src/azureramp/controllers/dispatching.py
+++ b/src/azureramp/controllers/dispatching.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Header:
+class RequestHeader:
     """The fields that all sub-requests of one request share.
 
     Attributes:
@@ -182,7 +182,7 @@
         )
 
     def send(
-        self, header: Header, attempts: Iterable[assembly.Attempt]
+        self, header: RequestHeader, attempts: Iterable[assembly.Attempt]
     ) -> list[assembly.Attempt]:
         """Sends attempts, with one message per owner.
 
@@ -219,7 +219,7 @@
             self._outbox.send(owner, message)
 
     def _make_batch(
-        self, header: Header, group: list[assembly.Attempt]
+        self, header: RequestHeader, group: list[assembly.Attempt]
     ) -> messages.QueryBatch:
         """Creates the message for one owner."""
         now_s = asyncio.get_running_loop().time()
@@ -245,7 +245,9 @@
             ),
         )
 
-    def _record_chosen(self, header: Header, attempt: assembly.Attempt) -> None:
+    def _record_chosen(
+        self, header: RequestHeader, attempt: assembly.Attempt
+    ) -> None:
         """Records the choice of an attempt's searcher in the timeline."""
         event = events.PartChosen(
             request_id=header.request_id,
--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -52,7 +52,7 @@
         self,
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
-        header: dispatching.Header,
+        header: dispatching.RequestHeader,
         snapshot: snapshots.Snapshot,
         permits: Permits,
         minimum_coverage: float,
--- a/src/azureramp/controllers/request_log.py
+++ b/src/azureramp/controllers/request_log.py
@@ -27,7 +27,7 @@
     def record_admitted(
         self,
         request: admitting.AdmissionRequest,
-        header: dispatching.Header,
+        header: dispatching.RequestHeader,
         version: int,
         idempotency_key: str = "",
     ) -> None:
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -62,7 +62,7 @@
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
         records: Recorder,
-        header: dispatching.Header,
+        header: dispatching.RequestHeader,
         snapshot: snapshots.Snapshot,
         shard: resources.Shard,
     ) -> None:
