--- a/src/azureramp/controllers/dispatching.py
+++ b/src/azureramp/controllers/dispatching.py
@@ -14,7 +14,7 @@
 from azureramp.policy import assembly, deadlines, topology
 
 
-class Receiver(Protocol):
+class ResultReceiver(Protocol):
     """A running request that receives messages from owners."""
 
     def receive(self, result: messages.PartResult) -> None:
@@ -79,14 +79,14 @@
         self.measurements = measured
         self._board = board
         self._outbox = outbox
-        self._receivers: dict[str, Receiver] = {}
+        self._receivers: dict[str, ResultReceiver] = {}
         self.viewer = searcher_view.Viewer(board)
 
     def get_topology(self) -> topology.Topology:
         """Returns the configuration in force, indexed."""
         return self.viewer.get().table
 
-    def register(self, request_id: str, receiver: Receiver) -> None:
+    def register(self, request_id: str, receiver: ResultReceiver) -> None:
         """Starts passing a request's results to its receiver."""
         self._receivers[request_id] = receiver
 
