--- a/src/azureramp/controllers/applied.py
+++ b/src/azureramp/controllers/applied.py
@@ -10,7 +10,7 @@
 """Maximum number of changed resources that one event lists."""
 
 
-def make_event(
+def make_applied_event(
     configuration: resources.Configuration,
     changed: Sequence[resources.Versioned],
     source: str,
--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -308,7 +308,7 @@
             return
         self._recorded_revision = revision
         board.timeline.record(
-            applied.make_event(board.configuration, changed, source),
+            applied.make_applied_event(board.configuration, changed, source),
             asyncio.get_running_loop().time(),
         )
         self._changed.set()
