--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -266,7 +266,7 @@
         revision = self._board.configuration.revision
         changed = revision != self._announced_revision
         self._announced_revision = revision
-        return changed or self._members.leaving or owning.waits(now_s)
+        return changed or self._members.leaving or owning.needs_grants(now_s)
 
     def _acknowledge(
         self,
--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -92,7 +92,7 @@
             incarnation=self._board.incarnation,
         )
 
-    def waits(self, now_s: float) -> bool:
+    def needs_grants(self, now_s: float) -> bool:
         """Returns True if this VM needs grants and heartbeats are urgent."""
         return (
             math.inf in self._board.may_start_s.values()
@@ -106,7 +106,7 @@
         """Adds an acknowledgement to the lease."""
         if message.granted and self.window.contains_all(message.lists):
             self.lease.record_ack(voter, message.sequence, message.refused)
-        if self.waits(now_s):
+        if self.needs_grants(now_s):
             self.update_lease(now_s)
 
     def set_pace(self, times: pace.HeartbeatTimes) -> None:
