--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -188,7 +188,7 @@
             self._ownership.window.record(listed, _now_s())
         self._members.apply_list(listed)
         if self._ownership is not None:
-            self._ownership.set_pace(self._members.pace)
+            self._ownership.set_durations(self._members.pace)
         self.update()
 
     async def _run_heartbeats(self) -> None:
--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -109,7 +109,7 @@
         if self.needs_grants(now_s):
             self.update_lease(now_s)
 
-    def set_pace(self, times: pace.HeartbeatTimes) -> None:
+    def set_durations(self, times: pace.HeartbeatTimes) -> None:
         """Sets the durations for the current size of the cell."""
         self._pace = times
         self.lease.set_length(times.lease_s)
