--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -255,7 +255,7 @@
             lease_ms=self._members.pace.lease_s * 1000,
             searchers=self._announced.choose(tuple(board.owned.values())),
             claims=tuple(owning.lease.get_claims()),
-            lists=owning.get_lists_to_tell(),
+            lists=owning.get_differing_lists(),
             suspects=self._members.get_unreachable(),
             owns=own is not None and own.owns,
             urgent=self._is_urgent(owning, now_s),
--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -115,7 +115,7 @@
         self.lease.set_length(times.lease_s)
         self._promises.set_max_lease(times.longest_lease_s)
 
-    def get_lists_to_tell(self) -> tuple[tuple[str, ...], ...]:
+    def get_differing_lists(self) -> tuple[tuple[str, ...], ...]:
         """Returns the recently read VM lists if there are several."""
         read = self.window.get_read_lists()
         return read if len(read) > 1 else ()
