--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -26,11 +26,11 @@
     """
 
     __slots__ = (
-        "_alone_from_s",
         "_board",
         "_inputs",
         "_pace",
         "_promises",
+        "_without_majority_from_s",
         "lease",
         "on_owners",
         "window",
@@ -54,7 +54,7 @@
         self._board = board
         self._inputs: Inputs | None = None
         self._promises = leases.IssuedGrants(started_s, times.longest_lease_s)
-        self._alone_from_s: dict[str, float] = {}
+        self._without_majority_from_s: dict[str, float] = {}
         self.lease = leases.ReceivedGrants(times.lease_s)
         self.window = lists.ListWindow(
             2 * (lag_s + READ_LIST_S) + times.longest_lease_s
@@ -147,8 +147,9 @@
         alone_s = (
             now_s + self._pace.longest_lease_s + self._pace.heartbeat_interval_s
         )
-        self._alone_from_s = {
-            name: self._alone_from_s.get(name, alone_s) for name in mine
+        self._without_majority_from_s = {
+            name: self._without_majority_from_s.get(name, alone_s)
+            for name in mine
         }
         board.may_start_s = {
             name: board.may_start_s.get(name, math.inf) for name in mine
@@ -183,7 +184,11 @@
             )
             if start_s == math.inf:
                 granted = until_s > now_s
-                alone = contact_until_s <= now_s >= self._alone_from_s[name]
+                alone = (
+                    contact_until_s
+                    <= now_s
+                    >= self._without_majority_from_s[name]
+                )
                 if not granted and not alone:
                     continue
                 board.may_start_s[name] = now_s
