--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -153,7 +153,7 @@
         self._ownership = ownership.Ownership(
             self._board, now_s, self._members.pace
         )
-        self._ownership.on_owners = self._call_on_owners
+        self._ownership.on_owners_changed = self._call_on_owners
 
     def _call_on_owners(self) -> None:
         if self.on_owners is not None:
--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -21,8 +21,8 @@
     Attributes:
         window: The recently read VM lists.
         lease: The grants that this VM has received from the others.
-        on_owners: Called after a change of the owners or of the times from
-            which this VM may use its searchers.
+        on_owners_changed: Called after a change of the owners or of the times
+            from which this VM may use its searchers.
     """
 
     __slots__ = (
@@ -32,7 +32,7 @@
         "_promises",
         "_without_majority_from_s",
         "lease",
-        "on_owners",
+        "on_owners_changed",
         "window",
     )
 
@@ -59,7 +59,7 @@
         self.window = lists.ListWindow(
             2 * (lag_s + READ_LIST_S) + times.longest_lease_s
         )
-        self.on_owners: Callable[[], None] | None = None
+        self.on_owners_changed: Callable[[], None] | None = None
 
     def grant(
         self,
@@ -199,8 +199,8 @@
             self._call_on_owners()
 
     def _call_on_owners(self) -> None:
-        if self.on_owners is not None:
-            self.on_owners()
+        if self.on_owners_changed is not None:
+            self.on_owners_changed()
 
 
 def get_zones_out(configuration: resources.Configuration) -> frozenset[str]:
