--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -145,7 +145,7 @@
             left_ms=left_s * 1000,
             needed_ms=measured.times.estimate_ms(asked.index, priority, now_s),
             running=measured.running,
-            share=measured.level.get_share(priority, now_s),
+            share=measured.admission_level.get_share(priority, now_s),
         )
         kind = admission.decide(demand, measured.rng.random())
         if kind is None:
@@ -178,7 +178,7 @@
         )
         parts = len(admitted.snapshot.shard_map.shards)
         ratio += admission.compute_refusal_ratio(tally.refused, parts)
-        measured.level.observe(header.priority, ratio, now_s)
+        measured.admission_level.observe(header.priority, ratio, now_s)
 
 
 def check_reachable_coverage(
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -130,7 +130,7 @@
         """
         if self._is_suspect():
             return False
-        level = self._attempts.dispatcher.measurements.level
+        level = self._attempts.dispatcher.measurements.admission_level
         return not level.is_overloaded(now_s)
 
     def _is_suspect(self) -> bool:
--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -16,16 +16,16 @@
         delays: The hedge delay of each shard.
         hedges: The budget of hedges.
         retries: The budget of retries.
-        level: The share of requests that is admitted.
+        admission_level: The share of requests that is admitted.
         times: Service times and waiting times.
         running: Number of requests that are running.
         rng: Source of randomness for load shedding and equal choices.
     """
 
     __slots__ = (
+        "admission_level",
         "delays",
         "hedges",
-        "level",
         "retries",
         "rng",
         "running",
@@ -39,7 +39,7 @@
         self.delays = hedging.HedgeDelays()
         self.hedges = budgets.Budget()
         self.retries = budgets.Budget(budgets.MAX_TOKENS)
-        self.level = admission.Level()
+        self.admission_level = admission.Level()
         self.times = admission.LatencyEstimates()
         self.running = 0
         self.rng = rng
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -112,7 +112,7 @@
             case "budget of zero":
                 cell.put(resources.Policy(name="default", hedge_budget=0))
             case "overload":
-                measured.level.value = 2.5
+                measured.admission_level.value = 2.5
                 query = cell.make_query()
             case "same server only":
                 server = cell.board.configuration.get_backend_servers()
@@ -166,7 +166,7 @@
         await warm_up(cell, 40)
         straggle(cell, "s0-0")
         force_choice(cell, "s0-0")
-        cell.coordinator._dispatcher.measurements.level.value = level
+        cell.coordinator._dispatcher.measurements.admission_level.value = level
         assert (await cell.coordinator.query(cell.make_query())).ok.complete
         return get_chosen(cell, "request-1")
 
