--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -143,7 +143,9 @@
         demand = admission.Request(
             priority=priority,
             left_ms=left_s * 1000,
-            needed_ms=measured.times.estimate_ms(asked.index, priority, now_s),
+            needed_ms=measured.service_times.estimate_ms(
+                asked.index, priority, now_s
+            ),
             running=measured.running,
             share=measured.admission_level.get_share(priority, now_s),
         )
@@ -165,7 +167,7 @@
         measured = self._dispatcher.measurements
         wait_ms = tally.get_mean_wait_ms()
         if tally.results:
-            measured.times.observe(
+            measured.service_times.observe(
                 header.index,
                 header.priority,
                 tally.get_mean_service_ms(),
--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -17,7 +17,7 @@
         hedges: The budget of hedges.
         retries: The budget of retries.
         admission_level: The share of requests that is admitted.
-        times: Service times and waiting times.
+        service_times: Service times and waiting times.
         running: Number of requests that are running.
         rng: Source of randomness for load shedding and equal choices.
     """
@@ -30,7 +30,7 @@
         "rng",
         "running",
         "scoreboard",
-        "times",
+        "service_times",
     )
 
     def __init__(self, rng: random.Random) -> None:
@@ -40,7 +40,7 @@
         self.hedges = budgets.Budget()
         self.retries = budgets.Budget(budgets.MAX_TOKENS)
         self.admission_level = admission.Level()
-        self.times = admission.LatencyEstimates()
+        self.service_times = admission.LatencyEstimates()
         self.running = 0
         self.rng = rng
 
