--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -134,7 +134,7 @@
             if released.done and now_s - released.at_s > self._get_memory_s():
                 del self._released[name]
 
-    def receive_done(self, sender: str, searcher: str) -> None:
+    def receive_handoff_done(self, sender: str, searcher: str) -> None:
         """Handles the notice that a former owner's calls have all ended.
 
         The searcher may already have been handed off to another VM, with the
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -135,7 +135,7 @@
         for name in message.searchers:
             owned = self._holdings.owned.get(name)
             if owned is None:
-                self._handoffs.receive_done(sender, name)
+                self._handoffs.receive_handoff_done(sender, name)
             else:
                 owned.reserved.pop(sender, None)
                 self._runner.start_waiting(owned)
