--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -121,17 +121,17 @@
             controller.
         owned: The states of the searchers that this VM owns, by name. Written
             by the owner controller.
-        blame: Crashes of backend servers attributed to requests. Written by
-            the owner and the poison controllers.
+        crash_counts: Crashes of backend servers attributed to requests. Written
+            by the owner and the poison controllers.
         running: Number of callers' requests that are running on this VM.
             Written by the caller API.
     """
 
     __slots__ = (
         "accepted_revision",
-        "blame",
         "configuration",
         "confirmed_s",
+        "crash_counts",
         "incarnation",
         "lease_until_s",
         "may_start_s",
@@ -168,7 +168,7 @@
         self.owners: dict[str, str] = {}
         self.may_start_s: dict[str, float] = {}
         self.owned: dict[str, messages.SearcherState] = {}
-        self.blame = poison.CrashAttributions()
+        self.crash_counts = poison.CrashAttributions()
         self.running = 0
 
     def get_searcher_states(self) -> dict[str, messages.SearcherState]:
--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -98,7 +98,7 @@
         if checked.is_error():
             return expression.Error(checked.error)
         fingerprint = fingerprints.compute_fingerprint(asked.index, asked.body)
-        blame = self._board.blame
+        blame = self._board.crash_counts
         quarantined_ms = blame.get_quarantine_ms(fingerprint, now_s)
         if quarantined_ms > 0:
             kind = errors.Kind.QUARANTINED
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -94,7 +94,7 @@
     def is_suspect(self, part: Part) -> bool:
         """Returns True if a crash is attributed to a sub-request."""
         fingerprint = part.batch.fingerprint
-        return self._board.blame.count_crashes(fingerprint, _now_s()) > 0
+        return self._board.crash_counts.count_crashes(fingerprint, _now_s()) > 0
 
     def needs_trial(self, part: Part) -> bool:
         """Returns True if a request's sub-requests must run one at a time."""
@@ -105,7 +105,7 @@
     ) -> errors.Failure | None:
         """Returns why a request may not run now; None if it may."""
         now_s = _now_s()
-        left_ms = self._board.blame.get_quarantine_ms(
+        left_ms = self._board.crash_counts.get_quarantine_ms(
             part.batch.fingerprint, now_s
         )
         if left_ms > 0:
@@ -126,7 +126,7 @@
 
     def record_success(self, part: Part) -> None:
         """Clears a request's crashes after a successful call."""
-        self._board.blame.record_success(part.batch.fingerprint)
+        self._board.crash_counts.record_success(part.batch.fingerprint)
 
     def record_abandoned(self, owned: OwnedSearcher, part: Part) -> None:
         """Remembers a call that was abandoned before its reply."""
@@ -165,7 +165,7 @@
         now_s = _now_s()
         for fingerprint in message.fingerprints:
             if message.quarantine_ms > 0:
-                self._board.blame.apply_remote_quarantine(
+                self._board.crash_counts.apply_remote_quarantine(
                     fingerprint, message.quarantine_ms, now_s
                 )
         if message.crash_id:
@@ -177,7 +177,7 @@
         if now_s - self._repeated_s < REPEAT_S:
             return
         self._repeated_s = now_s
-        quarantined = self._board.blame.list_quarantines_ms(now_s)
+        quarantined = self._board.crash_counts.list_quarantines_ms(now_s)
         for fingerprint, left_ms in quarantined.items():
             self._broadcast(
                 messages.CrashNotice(
@@ -243,7 +243,7 @@
     def _record(self, notice: messages.CrashNotice) -> None:
         """Attributes a crash to the fingerprints of a notice."""
         now_s = _now_s()
-        blame = self._board.blame
+        blame = self._board.crash_counts
         self._crashed_s[notice.server] = now_s
         is_new = blame.record_crash(
             notice.server,
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -175,7 +175,7 @@
 
 def attribute_crash(cell: query_cell.Cell, body: bytes, crash_id: str) -> None:
     """Attributes the crash of a server to a query."""
-    cell.board.blame.record_crash(
+    cell.board.crash_counts.record_crash(
         f"server-{crash_id}",
         f"searcher-{crash_id}",
         crash_id,
--- a/tests/controllers/test_poisoning.py
+++ b/tests/controllers/test_poisoning.py
@@ -95,7 +95,7 @@
             The request's id; None if the VM refuses it.
         """
         now_s = asyncio.get_running_loop().time()
-        blame = self.benches[vm].board.blame
+        blame = self.benches[vm].board.crash_counts
         if blame.get_quarantine_ms(fingerprint, now_s) > 0:
             return None
         isolated = blame.count_crashes(fingerprint, now_s) > 0
@@ -278,7 +278,7 @@
             "ok",
             "ok",
         ]
-        assert bench.board.blame.count_crashes(8, 1.0) == 0
+        assert bench.board.crash_counts.count_crashes(8, 1.0) == 0
 
     owning.run(scenario())
 
@@ -385,7 +385,9 @@
         await asyncio.sleep(0.1)
 
         loop_s = asyncio.get_running_loop().time()
-        charged = [bench.board.blame.count_crashes(f, loop_s) for f in (7, 8)]
+        charged = [
+            bench.board.crash_counts.count_crashes(f, loop_s) for f in (7, 8)
+        ]
         assert charged == [1, 1]
 
     owning.run(scenario())
@@ -433,8 +435,8 @@
         await asyncio.sleep(6)
 
         loop_s = asyncio.get_running_loop().time()
-        assert owner.board.blame.get_quarantine_ms(7, loop_s) > 0
-        assert late.board.blame.get_quarantine_ms(7, loop_s) > 0
+        assert owner.board.crash_counts.get_quarantine_ms(7, loop_s) > 0
+        assert late.board.crash_counts.get_quarantine_ms(7, loop_s) > 0
         blamed = owner.get_events(events.FingerprintBlamed)
         assert [event.crashes for event in blamed] == [1, 2]
 
@@ -456,6 +458,6 @@
 
         assert bench.get_kinds() == {"r1": "connection_lost"}
         loop_s = asyncio.get_running_loop().time()
-        assert bench.board.blame.count_crashes(7, loop_s) == 0
+        assert bench.board.crash_counts.count_crashes(7, loop_s) == 0
 
     owning.run(scenario())
