--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -52,7 +52,7 @@
         incarnation: The incarnation of its process; 0 while unknown.
         heard_s: When its last message was received.
         ready: True if it serves callers.
-        owns: True once it takes over searchers.
+        accepts_searchers: True once it takes over searchers.
         revision: Its configuration revision.
         confirmed_s: The earliest time at which the platform confirmed its
             revision, on this VM's clock.
@@ -74,7 +74,7 @@
     incarnation: int = 0
     heard_s: float = -math.inf
     ready: bool = False
-    owns: bool = False
+    accepts_searchers: bool = False
     revision: int = 0
     confirmed_s: float = -math.inf
     may_own_until_s: float = -math.inf
--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -74,7 +74,7 @@
         """Applies the state that a VM reports in its heartbeat."""
         now_s = _now_s()
         member.ready = message.ready
-        member.owns = message.owns
+        member.accepts_searchers = message.owns
         member.revision = message.revision
         member.confirmed_s = now_s - message.confirmed_age_ms / 1000
         if message.searchers is not None:
@@ -159,13 +159,13 @@
         candidates = [
             ownership.OwnerCandidate(name, members[name].vm.zone)
             for name, sighting in self._get_observations().items()
-            if members[name].owns
+            if members[name].accepts_searchers
             and policy.is_possible_owner(
                 policy.MemberState(members[name].state.value), sighting, now_s
             )
         ]
         own = members.get(self._board.settings.vm)
-        if own is not None and own.owns:
+        if own is not None and own.accepts_searchers:
             candidates.append(
                 ownership.OwnerCandidate(own.vm.name, own.vm.zone)
             )
@@ -197,7 +197,7 @@
         name = member.vm.name
         member.incarnation = incarnation
         member.ready = False
-        member.owns = False
+        member.accepts_searchers = False
         member.revision = 0
         member.searchers = ()
         self._leaving_vms.discard(name)
@@ -212,7 +212,7 @@
             return
         own.heard_s = now_s
         own.incarnation = self._board.incarnation
-        own.owns = (
+        own.accepts_searchers = (
             self.informed
             and not self.leaving
             and self._board.configuration.revision > 0
--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -257,7 +257,7 @@
             claims=tuple(owning.lease.get_claims()),
             lists=owning.get_differing_lists(),
             suspects=self._members.get_unreachable(),
-            owns=own is not None and own.owns,
+            owns=own is not None and own.accepts_searchers,
             urgent=self._is_urgent(owning, now_s),
         )
 
