--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -50,7 +50,7 @@
         vm: Its entry in the VM list.
         state: Its state as seen by this VM.
         incarnation: The incarnation of its process; 0 while unknown.
-        heard_s: When its last message was received.
+        last_contact_s: When its last message was received.
         ready: True if it serves callers.
         accepts_searchers: True once it takes over searchers.
         revision: Its configuration revision.
@@ -72,7 +72,7 @@
     vm: vmlist_api.Vm
     state: MemberState = MemberState.LISTED
     incarnation: int = 0
-    heard_s: float = -math.inf
+    last_contact_s: float = -math.inf
     ready: bool = False
     accepts_searchers: bool = False
     revision: int = 0
--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -63,7 +63,7 @@
         member = self._board.members.get(sender)
         if member is None or incarnation < member.incarnation:
             return False
-        member.heard_s = _now_s()
+        member.last_contact_s = _now_s()
         if incarnation != member.incarnation:
             self._reset(member, incarnation)
         return True
@@ -120,7 +120,7 @@
                 members[name] = blackboard.Member(vm)
         silent_s = _now_s() - self.pace.suspect_s
         for name in [name for name in members if name not in listed]:
-            if members[name].heard_s < silent_s:
+            if members[name].last_contact_s < silent_s:
                 del members[name]
                 self._leaving_vms.discard(name)
                 self._suspects.pop(name, None)
@@ -144,7 +144,7 @@
         """
         now_s = _now_s()
         for member in self._board.members.values():
-            member.heard_s = min(now_s, member.heard_s + pause_s)
+            member.last_contact_s = min(now_s, member.last_contact_s + pause_s)
 
     def get_candidates(self) -> list[ownership.OwnerCandidate]:
         """Returns the VMs that may own searchers, this one included.
@@ -183,7 +183,7 @@
         """Returns the observations of the other VMs, by name."""
         return {
             name: policy.Observation(
-                member.heard_s,
+                member.last_contact_s,
                 name in self._leaving_vms,
                 self._suspects.get(name, frozenset()),
                 member.may_own_until_s,
@@ -210,7 +210,7 @@
         own = self._board.members.get(self._board.settings.vm)
         if own is None:
             return
-        own.heard_s = now_s
+        own.last_contact_s = now_s
         own.incarnation = self._board.incarnation
         own.accepts_searchers = (
             self.informed
--- a/src/azureramp/controllers/vm_status.py
+++ b/src/azureramp/controllers/vm_status.py
@@ -93,7 +93,7 @@
         state=member.state.value,
         ready=member.ready,
         revision=member.acknowledged_revision,
-        heard_age_ms=_to_age_ms(now_s - member.heard_s),
+        heard_age_ms=_to_age_ms(now_s - member.last_contact_s),
     )
 
 
