--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -56,7 +56,7 @@
         revision: Its configuration revision.
         confirmed_s: The earliest time at which the platform confirmed its
             revision, on this VM's clock.
-        may_own_until_s: Until when it may treat itself as an owner, because
+        lease_until_s: Until when it may treat itself as an owner, because
             of a lease granted by this VM.
         searchers: The states of the searchers that it owns.
         acknowledged_s: When this VM sent the newest heartbeat that the other
@@ -77,7 +77,7 @@
     accepts_searchers: bool = False
     revision: int = 0
     confirmed_s: float = -math.inf
-    may_own_until_s: float = -math.inf
+    lease_until_s: float = -math.inf
     searchers: tuple[messages.SearcherState, ...] = ()
     acknowledged_s: float = -math.inf
     acknowledged_revision: int = 0
--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -186,7 +186,7 @@
                 member.last_contact_s,
                 name in self._leaving_vms,
                 self._suspects.get(name, frozenset()),
-                member.may_own_until_s,
+                member.lease_until_s,
             )
             for name, member in self._board.members.items()
             if name != self._board.settings.vm
--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -287,7 +287,7 @@
             holder, message, now_s, leaving=self._members.leaving
         )
         if ack.granted:
-            member.may_own_until_s = now_s + message.lease_ms / 1000
+            member.lease_until_s = now_s + message.lease_ms / 1000
         if message.urgent:
             self._outbox.send(sender, ack)
         else:
