--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -115,7 +115,7 @@
             by the membership controller.
         owners: The name of the owner VM of each searcher, by searcher name.
             Written by the membership controller.
-        may_start_s: For each searcher that this VM owns, the time from which
+        usable_from_s: For each searcher that this VM owns, the time from which
             this VM may send to it without a handoff, since the previous
             owner's lease has expired by then. Written by the membership
             controller.
@@ -134,7 +134,6 @@
         "crash_counts",
         "incarnation",
         "lease_until_s",
-        "may_start_s",
         "members",
         "metrics",
         "owned",
@@ -143,6 +142,7 @@
         "serving",
         "settings",
         "timeline",
+        "usable_from_s",
         "work_until_s",
     )
 
@@ -166,7 +166,7 @@
         self.members: dict[str, Member] = {}
         self.lease_until_s = -math.inf
         self.owners: dict[str, str] = {}
-        self.may_start_s: dict[str, float] = {}
+        self.usable_from_s: dict[str, float] = {}
         self.owned: dict[str, messages.SearcherState] = {}
         self.crash_counts = poison.CrashAttributions()
         self.running = 0
--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -97,7 +97,7 @@
     def may_start(self, searcher: str) -> bool:
         """Returns True if this VM may use a searcher without a handoff."""
         now_s = _now_s()
-        may_start_s = self._board.may_start_s.get(searcher)
+        may_start_s = self._board.usable_from_s.get(searcher)
         released = self._released.get(searcher)
         if released is not None:
             # The VM that received it may be using it. Its lease may be valid
--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -95,7 +95,7 @@
     def needs_grants(self, now_s: float) -> bool:
         """Returns True if this VM needs grants and heartbeats are urgent."""
         return (
-            math.inf in self._board.may_start_s.values()
+            math.inf in self._board.usable_from_s.values()
             or self._board.lease_until_s
             < now_s + 2 * self._pace.heartbeat_interval_s
         )
@@ -151,8 +151,8 @@
             name: self._without_majority_from_s.get(name, alone_s)
             for name in mine
         }
-        board.may_start_s = {
-            name: board.may_start_s.get(name, math.inf) for name in mine
+        board.usable_from_s = {
+            name: board.usable_from_s.get(name, math.inf) for name in mine
         }
         board.owners = owners
         claims = frozenset(leases.compute_claim_hash(name) for name in mine)
@@ -178,7 +178,7 @@
         contact_until_s = self.lease.compute_contact_until_s(self.window)
         bounds = [contact_until_s]
         started = False
-        for name, start_s in board.may_start_s.items():
+        for name, start_s in board.usable_from_s.items():
             until_s = self.lease.compute_until_s(
                 leases.compute_claim_hash(name), self.window
             )
@@ -191,7 +191,7 @@
                 )
                 if not granted and not alone:
                     continue
-                board.may_start_s[name] = now_s
+                board.usable_from_s[name] = now_s
                 started = True
             bounds.append(until_s)
         board.lease_until_s = min(bounds)
--- a/src/azureramp_standins/heartbeats.py
+++ b/src/azureramp_standins/heartbeats.py
@@ -238,7 +238,7 @@
     }
     costs["rss_mb"] = costs_after["rss_kb"] / 1024
     costs["lease"] = float(node.board.lease_until_s > now_s)
-    costs["owned"] = len(node.board.may_start_s)
+    costs["owned"] = len(node.board.usable_from_s)
     print(json.dumps(costs), flush=True)  # noqa: T201
     await running
 
--- a/tests/controllers/owning.py
+++ b/tests/controllers/owning.py
@@ -182,7 +182,7 @@
             self.put(server)
             for searcher in server.searchers:
                 self.board.owners[searcher.name] = vm
-                self.board.may_start_s[searcher.name] = 0.0
+                self.board.usable_from_s[searcher.name] = 0.0
         self.port: searchers_api.Searchers = memory.make(fleet)
         self.owner = owner.make(
             self.board,
--- a/tests/controllers/test_handoffs.py
+++ b/tests/controllers/test_handoffs.py
@@ -25,7 +25,7 @@
     first = owning.Bench(fleet, servers, "vm1")
     second = owning.Bench(fleet, servers, "vm2")
     second.board.owners["s1"] = "vm1"
-    second.board.may_start_s.clear()
+    second.board.usable_from_s.clear()
     owning.connect([first, second])
     return first, second
 
@@ -130,7 +130,7 @@
         await first.start()
         await second.start()
         loop = asyncio.get_running_loop()
-        second.board.may_start_s["s1"] = loop.time() + LEASE_S
+        second.board.usable_from_s["s1"] = loop.time() + LEASE_S
         set_seen_owner(second, "vm2")
         await asyncio.sleep(LEASE_S - 0.15)
         early = "s1" in second.board.owned
@@ -162,7 +162,7 @@
             for _, message in first.peers.sent
             if isinstance(message, messages.Handoff)
         )
-        second.board.may_start_s["s1"] = float("inf")
+        second.board.usable_from_s["s1"] = float("inf")
         set_seen_owner(second, "vm3")
         second.receive("vm1", copy)
         set_seen_owner(second, "vm2")
@@ -402,7 +402,7 @@
         self.actual_owner = "vm2" if self.actual_owner == "vm1" else "vm1"
         self.may_start_s = max(self.may_start_s, old.lease_until_s)
         new = self.vms[self.actual_owner].board
-        new.may_start_s["s1"] = self.may_start_s
+        new.usable_from_s["s1"] = self.may_start_s
         for bench in self.vms.values():
             loop.call_later(
                 self.rng.uniform(0.0, 1.0),
--- a/tests/controllers/test_membership.py
+++ b/tests/controllers/test_membership.py
@@ -82,10 +82,10 @@
         own = board.settings.vm
         assert board.owners == owners
         assert board.lease_until_s > now_s()
-        assert board.may_start_s.keys() == {
+        assert board.usable_from_s.keys() == {
             name for name, vm in owners.items() if vm == own
         }
-        assert all(at <= now_s() for at in board.may_start_s.values())
+        assert all(at <= now_s() for at in board.usable_from_s.values())
     return owners
 
 
@@ -113,8 +113,8 @@
             await cell.start(vm.name)
         await asyncio.sleep(1.4)
         for board in cell.get_boards():
-            assert board.may_start_s
-            assert set(board.may_start_s.values()) == {math.inf}
+            assert board.usable_from_s
+            assert set(board.usable_from_s.values()) == {math.inf}
         for node in cell.nodes.values():
             await node.stop()
 
@@ -149,7 +149,7 @@
 
     async def test(cell: Cell) -> None:
         node = cell.nodes.pop("vm0")
-        lost = set(node.board.may_start_s)
+        lost = set(node.board.usable_from_s)
         await node.stop()
         lease_end_s = node.board.lease_until_s
         await asyncio.sleep(3.0)
@@ -159,7 +159,7 @@
         starts = [
             at
             for board in cell.get_boards()
-            for name, at in board.may_start_s.items()
+            for name, at in board.usable_from_s.items()
             if name in lost
         ]
         assert len(starts) == len(lost)
@@ -219,7 +219,7 @@
         board = cell.nodes["vm0"].board
         assert board.lease_until_s < now_s()
         assert set(board.owners.values()) == {"vm0"}
-        assert all(at <= now_s() for at in board.may_start_s.values())
+        assert all(at <= now_s() for at in board.usable_from_s.values())
         owners = assert_agreed(cell.get_boards("vm0"))
         assert "vm0" not in owners.values()
 
