--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -101,8 +101,8 @@
             controller.
         serving: Whether this VM accepts new work. Written by the serving
             controller.
-        work_until_s: Until when new work may be sent to searchers under this
-            configuration, unless it is extended: until then no change
+        may_work_until_s: Until when new work may be sent to searchers under
+            this configuration, unless it is extended: until then no change
             accepted elsewhere can be missing here. Checked right before each
             write, like the lease, since a process that was paused may resume
             in a write before any controller runs. Written by the serving
@@ -134,6 +134,7 @@
         "crash_counts",
         "incarnation",
         "lease_until_s",
+        "may_work_until_s",
         "members",
         "metrics",
         "owned",
@@ -143,7 +144,6 @@
         "settings",
         "timeline",
         "usable_from_s",
-        "work_until_s",
     )
 
     def __init__(
@@ -161,7 +161,7 @@
         self.configuration = resources.Configuration()
         self.confirmed_s = -math.inf
         self.serving = Serving.STARTING
-        self.work_until_s = -math.inf
+        self.may_work_until_s = -math.inf
         self.accepted_revision = 0
         self.members: dict[str, Member] = {}
         self.lease_until_s = -math.inf
--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -148,7 +148,7 @@
         # A zone may have been taken out of service while this process was
         # paused or disconnected. After this time a change that this process
         # hasn't received may have been accepted.
-        if _now_s() >= self._board.work_until_s:
+        if _now_s() >= self._board.may_work_until_s:
             kind = errors.Kind.STALE_CONFIGURATION
             return Refused(errors.Failure(kind))
         suspicion = self._detector.get_refusal(part, owned)
--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -57,7 +57,7 @@
             board.confirmed_s = contact.compute_confirmed_s(
                 view, max(board.confirmed_s, confirmed_s)
             )
-            board.work_until_s = contact.compute_work_until_s(
+            board.may_work_until_s = contact.compute_work_until_s(
                 self.contact_s, board.confirmed_s, self._get_window_s()
             )
         self._record_accepted(view.now_s)
--- a/src/azureramp/controllers/serving.py
+++ b/src/azureramp/controllers/serving.py
@@ -76,7 +76,7 @@
         return blackboard.Serving.LEAVING
     if board.configuration.revision == 0:
         return blackboard.Serving.STARTING
-    if now_s >= board.work_until_s:
+    if now_s >= board.may_work_until_s:
         return blackboard.Serving.STALE
     zone = board.configuration.get_zones().get(board.settings.zone)
     if zone is not None and zone.state is resources.ZoneState.OUT:
--- a/src/azureramp_standins/measuring/propagation.py
+++ b/src/azureramp_standins/measuring/propagation.py
@@ -134,7 +134,7 @@
             _record_first(seen, "accepted", times.accepted, now_s - start_s)
         if await _is_in_force(deployment, asked_vm, revision):
             _record_first(seen, "in_force", times.in_force, now_s - start_s)
-        if cut_vm and now_s < boards[cut_vm].work_until_s:
+        if cut_vm and now_s < boards[cut_vm].may_work_until_s:
             last_s = now_s
         elif cut_vm:
             _record_first(seen, "stopped", times.last_work, last_s - start_s)
--- a/tests/controllers/configured.py
+++ b/tests/controllers/configured.py
@@ -104,7 +104,7 @@
     def may_work(self) -> bool:
         """Returns True if new work may be sent now."""
         now_s = asyncio.get_running_loop().time()
-        return now_s < self.board.work_until_s
+        return now_s < self.board.may_work_until_s
 
     def get_zones_out(self) -> set[str]:
         zones = self.board.configuration.get_zones().values()
--- a/tests/controllers/owning.py
+++ b/tests/controllers/owning.py
@@ -177,7 +177,7 @@
                 vmlist_api.Vm(name, "a", f"{name}:1", f"{name}:2")
             )
         self.board.lease_until_s = 1e9
-        self.board.work_until_s = 1e9
+        self.board.may_work_until_s = 1e9
         for server in servers:
             self.put(server)
             for searcher in server.searchers:
