--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -119,8 +119,8 @@
             this VM may send to it without a handoff, since the previous
             owner's lease has expired by then. Written by the membership
             controller.
-        owned: The states of the searchers that this VM owns, by name. Written
-            by the owner controller.
+        owned_states: The states of the searchers that this VM owns, by name.
+            Written by the owner controller.
         crash_counts: Crashes of backend servers attributed to requests. Written
             by the owner and the poison controllers.
         running: Number of callers' requests that are running on this VM.
@@ -137,7 +137,7 @@
         "may_work_until_s",
         "members",
         "metrics",
-        "owned",
+        "owned_states",
         "owners",
         "running",
         "serving",
@@ -167,7 +167,7 @@
         self.lease_until_s = -math.inf
         self.owners: dict[str, str] = {}
         self.usable_from_s: dict[str, float] = {}
-        self.owned: dict[str, messages.SearcherState] = {}
+        self.owned_states: dict[str, messages.SearcherState] = {}
         self.crash_counts = poison.CrashAttributions()
         self.running = 0
 
@@ -180,5 +180,5 @@
             for state in member.searchers
             if self.owners.get(state.searcher) == name
         }
-        states.update(self.owned)
+        states.update(self.owned_states)
         return states
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -214,7 +214,7 @@
         state that other VMs have from its last owner is better than none.
         """
         has_lease = _now_s() < self._board.lease_until_s
-        self._board.owned = {
+        self._board.owned_states = {
             name: owned.make_state(
                 owned.reachable
                 and owned.place.refusal is None
--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -165,7 +165,7 @@
         key = (
             configuration,
             configuration.revision,
-            tuple(board.owned.values()),
+            tuple(board.owned_states.values()),
             tuple(board.members),
             tuple(member.searchers for member in board.members.values()),
         )
--- a/src/azureramp_standins/heartbeats.py
+++ b/src/azureramp_standins/heartbeats.py
@@ -105,11 +105,11 @@
     for number, (name, vm) in enumerate(sorted(board.owners.items())):
         if vm == own:
             queued = tick % 3 if number % 4 == 0 else 0
-            board.owned[name] = messages.SearcherState(
+            board.owned_states[name] = messages.SearcherState(
                 name, 1, True, 2, queued, 11.5, ("claims.41", "claims.42")
             )
         else:
-            board.owned.pop(name, None)
+            board.owned_states.pop(name, None)
 
 
 class SplitPeers:
--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -327,7 +327,7 @@
         )
         owner = self.board.owners[name]
         if owner == OWN_VM:
-            self.board.owned[name] = state
+            self.board.owned_states[name] = state
             return
         member = self.board.members[owner]
         others = tuple(s for s in member.searchers if s.searcher != name)
--- a/tests/controllers/test_cold_start.py
+++ b/tests/controllers/test_cold_start.py
@@ -40,7 +40,7 @@
 
         assert searcher.most_cold == 2
         assert searcher.most_running == 8
-        assert bench.board.owned["s1"].limit == 8
+        assert bench.board.owned_states["s1"].limit == 8
 
     owning.run(scenario())
 
@@ -62,7 +62,7 @@
         bench = owning.make_bench(searcher, slots=8, cold_limit=2)
         await bench.start()
         await send_load(bench, ["s1"], 3.0, 0.002)
-        limit = bench.board.owned["s1"].limit
+        limit = bench.board.owned_states["s1"].limit
         await asyncio.sleep(0.1)
         for _ in range(6):
             searcher.faults.down = down_s > 0
@@ -114,13 +114,13 @@
         await asyncio.sleep(0.2)
         next(iter(searcher.links)).lose()
         await asyncio.sleep(1)
-        after_one = bench.board.owned["s1"].limit
+        after_one = bench.board.owned_states["s1"].limit
         for link in list(searcher.links):
             link.lose()
         await asyncio.sleep(1)
 
         assert after_one == 8
-        assert bench.board.owned["s1"].limit == 2
+        assert bench.board.owned_states["s1"].limit == 2
 
     owning.run(scenario())
 
@@ -144,12 +144,12 @@
         for number in range(8):
             bench.send("s1", request_id=f"slow{number}")
         await asyncio.sleep(0.2)
-        reduced = bench.board.owned["s1"].limit
+        reduced = bench.board.owned_states["s1"].limit
         await send_load(bench, ["s1"], 4.0, 0.01)
 
         assert searcher.calls - calls > 25
         assert reduced == 1
-        assert bench.board.owned["s1"].limit == 8
+        assert bench.board.owned_states["s1"].limit == 8
         reasons = [
             event.reason for event in bench.get_events(events.SearcherChanged)
         ]
@@ -177,7 +177,7 @@
             )
         await asyncio.sleep(0.2)
 
-        assert bench.board.owned["s1"].limit == 1
+        assert bench.board.owned_states["s1"].limit == 1
 
     owning.run(scenario())
 
@@ -207,12 +207,16 @@
         longest = 0
         for _ in range(40):
             await send_load(bench, names, 0.1, 0.0008)
-            queued = [state.queued for state in bench.board.owned.values()]
+            queued = [
+                state.queued for state in bench.board.owned_states.values()
+            ]
             longest = max(longest, *queued)
 
         assert max(searcher.most_cold for searcher in searchers) == 1
         assert all(searcher.served >= 40 for searcher in searchers)
-        assert {state.limit for state in bench.board.owned.values()} == {2}
+        assert {state.limit for state in bench.board.owned_states.values()} == {
+            2
+        }
         assert longest <= 64
 
     owning.run(scenario())
--- a/tests/controllers/test_handoffs.py
+++ b/tests/controllers/test_handoffs.py
@@ -59,7 +59,7 @@
         set_seen_owner(second, "vm2")
         set_seen_owner(first, "vm2")
         await asyncio.sleep(0.020)
-        state = second.board.owned["s1"]
+        state = second.board.owned_states["s1"]
         second.send("s1", request_id="c")
         await asyncio.sleep(1)
 
@@ -89,7 +89,7 @@
         set_seen_owner(second, "vm2")
         set_seen_owner(first, "vm2")
         await asyncio.sleep(0.002)
-        state = second.board.owned["s1"]
+        state = second.board.owned_states["s1"]
         second.send("s1", request_id="at once")
         await asyncio.sleep(0.2)
 
@@ -119,7 +119,7 @@
         set_seen_owner(first, "vm2")
         await asyncio.sleep(0.1 * lost + 0.2)
 
-        assert "s1" in second.board.owned
+        assert "s1" in second.board.owned_states
 
     owning.run(scenario())
 
@@ -133,11 +133,11 @@
         second.board.usable_from_s["s1"] = loop.time() + LEASE_S
         set_seen_owner(second, "vm2")
         await asyncio.sleep(LEASE_S - 0.15)
-        early = "s1" in second.board.owned
+        early = "s1" in second.board.owned_states
         await asyncio.sleep(0.3)
 
         assert not early
-        assert "s1" in second.board.owned
+        assert "s1" in second.board.owned_states
 
     owning.run(scenario())
 
@@ -168,7 +168,7 @@
         set_seen_owner(second, "vm2")
         await asyncio.sleep(1)
 
-        assert "s1" not in second.board.owned
+        assert "s1" not in second.board.owned_states
 
     owning.run(scenario())
 
@@ -252,7 +252,7 @@
 
         kinds = bench.get_kinds()
         assert {kinds[f"c{number}"] for number in range(4)} == {"ok"}
-        assert bench.board.owned["s1"].limit == 2
+        assert bench.board.owned_states["s1"].limit == 2
 
     owning.run(scenario())
 
@@ -300,7 +300,7 @@
         assert bench.get_kinds()["warm"] == "ok"
         assert bench.get_kinds()["cold"] == errors.Kind.COLD.value
         assert searcher.calls == 21
-        assert not bench.board.owned["s1"].usable
+        assert not bench.board.owned_states["s1"].usable
 
     owning.run(scenario())
 
@@ -323,7 +323,7 @@
 
         assert first.get_kinds() == {"a": "ok", "late": "not_owner"}
         assert second.get_kinds() == {"b": "ok"}
-        assert not first.board.owned
+        assert not first.board.owned_states
 
     owning.run(scenario())
 
--- a/tests/controllers/test_owner.py
+++ b/tests/controllers/test_owner.py
@@ -317,7 +317,7 @@
         assert not searcher.links
         for name in ("r0", "r1", "r2", "r3", "r4", "late"):
             assert kinds[name] == kind
-        assert not bench.board.owned["s1"].usable
+        assert not bench.board.owned_states["s1"].usable
 
     owning.run(scenario())
 
@@ -342,7 +342,7 @@
         bench = owning.make_bench()
         await bench.start()
         await warm(bench)
-        before = bench.board.owned["s1"].limit
+        before = bench.board.owned_states["s1"].limit
         bench.put(OUT)
         bench.owner.update_ownership()
         await asyncio.sleep(5)
@@ -351,8 +351,8 @@
         await asyncio.sleep(0.5)
 
         assert before == 2
-        assert bench.board.owned["s1"].usable
-        assert bench.board.owned["s1"].limit == 1
+        assert bench.board.owned_states["s1"].usable
+        assert bench.board.owned_states["s1"].limit == 1
 
     owning.run(scenario())
 
