--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -123,8 +123,8 @@
             Written by the owner controller.
         crash_counts: Crashes of backend servers attributed to requests. Written
             by the owner and the poison controllers.
-        running: Number of callers' requests that are running on this VM.
-            Written by the caller API.
+        running_requests: Number of callers' requests that are running on this
+            VM. Written by the caller API.
     """
 
     __slots__ = (
@@ -139,7 +139,7 @@
         "metrics",
         "owned_states",
         "owners",
-        "running",
+        "running_requests",
         "serving",
         "settings",
         "timeline",
@@ -169,7 +169,7 @@
         self.usable_from_s: dict[str, float] = {}
         self.owned_states: dict[str, messages.SearcherState] = {}
         self.crash_counts = poison.CrashAttributions()
-        self.running = 0
+        self.running_requests = 0
 
     def get_searcher_states(self) -> dict[str, messages.SearcherState]:
         """Returns the states announced by the searchers' owners, by name."""
--- a/src/azureramp/controllers/caller_api.py
+++ b/src/azureramp/controllers/caller_api.py
@@ -59,12 +59,14 @@
         Returns:
             The response; the body of an error always has a stable code.
         """
-        self._board.running += 1
-        self._board.metrics.set_gauge("request.running", self._board.running)
+        self._board.running_requests += 1
+        self._board.metrics.set_gauge(
+            "request.running", self._board.running_requests
+        )
         try:
             return await self._route(request)
         finally:
-            self._board.running -= 1
+            self._board.running_requests -= 1
 
     async def _route(self, request: web_api.Request) -> web_api.Response:
         """Dispatches a request by its method and path."""
--- a/src/azureramp/controllers/vm_status.py
+++ b/src/azureramp/controllers/vm_status.py
@@ -49,7 +49,7 @@
         revision=revision,
         confirmed_age_ms=_to_age_ms(now_s - board.confirmed_s),
         accepted_revision=board.accepted_revision,
-        running=board.running,
+        running=board.running_requests,
         asked_revision=requested,
         state=_decide_state(board, configuration, requested, bool(without)),
         in_force=len(members) - len(without),
--- a/tests/controllers/test_caller_api.py
+++ b/tests/controllers/test_caller_api.py
@@ -211,7 +211,7 @@
         left = len(dispatcher._receivers)
         return (
             response,
-            cell.board.running,
+            cell.board.running_requests,
             left,
             dispatcher.measurements.running,
         )
