--- a/src/azureramp/controllers/record_outcomes.py
+++ b/src/azureramp/controllers/record_outcomes.py
@@ -18,7 +18,7 @@
 from azureramp.policy import idempotency
 from azureramp.ports.store import api
 
-FLUSH_S = 0.1
+FLUSH_INTERVAL_S = 0.1
 """Minimum time between two writes, in seconds; the first is not delayed."""
 
 MAX_GROUPS = 100
@@ -93,7 +93,7 @@
             collections.OrderedDict()
         )
         self._current = self._open_group(0)
-        self._last_write_s = -FLUSH_S
+        self._last_write_s = -FLUSH_INTERVAL_S
         self._wake = asyncio.Event()
         self.dropped_count = 0
 
@@ -152,7 +152,7 @@
                 await self._wake.wait()
                 continue
             wait_s = max(
-                self._last_write_s + FLUSH_S - loop.time(),
+                self._last_write_s + FLUSH_INTERVAL_S - loop.time(),
                 self._writer.get_wait_s(),
             )
             if wait_s > 0:
--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -56,7 +56,7 @@
 
     name: str
     group: int = idempotency_policy.MAX_GROUP_CLAIMS
-    flush_s: float = record_outcomes.FLUSH_S
+    flush_s: float = record_outcomes.FLUSH_INTERVAL_S
     buckets: int = 0
     linger_s: float = 0.0
 
@@ -123,7 +123,7 @@
     # The rate limit of claims is lifted to measure the ways without it.
     record_bounds.MAX_RECORDS_PER_S = math.inf
     idempotency_policy.MAX_GROUP_CLAIMS = way.group
-    record_outcomes.FLUSH_S = way.flush_s
+    record_outcomes.FLUSH_INTERVAL_S = way.flush_s
     vms = [VmRecords(number, state, way, seed) for number in range(VMS)]
     loop = asyncio.get_running_loop()
     took_ms: list[float] = []
