--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -43,7 +43,7 @@
 Answer = expression.Result[Claimed | Recorded, errors.Failure]
 
 
-class Records:
+class IdempotencyRecords:
     """Claims and outcomes of non-idempotent requests on one VM."""
 
     __slots__ = (
@@ -299,7 +299,7 @@
 
 def make(
     board: blackboard.Blackboard, store: api.Store, rng: random.Random
-) -> Records:
+) -> IdempotencyRecords:
     """Creates the idempotency records of one VM.
 
     Args:
@@ -307,4 +307,4 @@
         store: The platform's key-value service.
         rng: Source of the random retry delays.
     """
-    return Records(board, store, rng)
+    return IdempotencyRecords(board, store, rng)
--- a/src/azureramp/daemon/wiring.py
+++ b/src/azureramp/daemon/wiring.py
@@ -230,7 +230,7 @@
     def __init__(
         self,
         request_coordinator: coordinator.Coordinator,
-        records: idempotency.Records,
+        records: idempotency.IdempotencyRecords,
     ) -> None:
         """Initializes the drain of both."""
         self._coordinator = request_coordinator
