--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -53,12 +53,12 @@
         request_id: The id of the request that ran.
         result: The backend server's result as JSON; `null` if it was not
             stored.
-        whole: False if the result was too large to be stored.
+        complete: False if the result was too large to be stored.
     """
 
     request_id: str
     result: bytes
-    whole: bool = True
+    complete: bool = True
 
 
 class RecordMemory:
