--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -37,7 +37,7 @@
 )
 
 
-Claimed = record_memory.Claimed
+Claimed = record_memory.Claim
 Recorded = record_memory.Recorded
 
 Answer = expression.Result[Claimed | Recorded, errors.Failure]
--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Claimed:
+class Claim:
     """The right to dispatch one request, once.
 
     Attributes:
@@ -68,21 +68,21 @@
 
     def __init__(self) -> None:
         """Creates an empty cache."""
-        self._claims: dict[str, Claimed] = {}
+        self._claims: dict[str, Claim] = {}
         self._outcomes: collections.OrderedDict[
             str, tuple[idempotency.Record, float]
         ] = collections.OrderedDict()
 
-    def add_claim(self, claimed: Claimed) -> None:
+    def add_claim(self, claimed: Claim) -> None:
         """Adds a claim."""
         self._claims[claimed.store_key] = claimed
 
-    def remove_claim(self, claimed: Claimed) -> None:
+    def remove_claim(self, claimed: Claim) -> None:
         """Removes a claim."""
         self._claims.pop(claimed.store_key, None)
 
     def finish_claim(
-        self, claimed: Claimed, outcome: idempotency.Outcome, now_s: float
+        self, claimed: Claim, outcome: idempotency.Outcome, now_s: float
     ) -> None:
         """Removes a claim and caches its outcome for retries.
 
