--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -38,7 +38,7 @@
 
 
 Claimed = record_memory.Claim
-Recorded = record_memory.Recorded
+Recorded = record_memory.RecordedOutcome
 
 Answer = expression.Result[Claimed | Recorded, errors.Failure]
 
--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Recorded:
+class RecordedOutcome:
     """The outcome of an earlier run.
 
     Attributes:
