--- a/src/azureramp/controllers/inbox.py
+++ b/src/azureramp/controllers/inbox.py
@@ -43,9 +43,11 @@
         self._board.timeline.observe_clock(envelope.clock)
         self._receivers.envelope(envelope.sender, envelope.incarnation)
         for message in envelope.messages:
-            self.receive_one(envelope.sender, message)
+            self.receive_message(envelope.sender, message)
 
-    def receive_one(self, sender: str, message: messages.PeerMessage) -> None:
+    def receive_message(
+        self, sender: str, message: messages.PeerMessage
+    ) -> None:
         """Dispatches one message; ignores one without a receiver."""
         receiver = self._receivers.by_type.get(type(message))
         if receiver is not None:
