--- a/src/azureramp/controllers/inbox.py
+++ b/src/azureramp/controllers/inbox.py
@@ -18,12 +18,12 @@
 
     Attributes:
         by_type: The receiver for each type of peer message.
-        envelope: Called with the sender and the incarnation of each envelope,
-            before its messages are passed on.
+        on_envelope: Called with the sender and the incarnation of each
+            envelope, before its messages are passed on.
     """
 
     by_type: dict[type[messages.PeerMessage], Receiver]
-    envelope: Callable[[str, int], None]
+    on_envelope: Callable[[str, int], None]
 
 
 class Inbox:
@@ -41,7 +41,7 @@
     def receive(self, envelope: messages.Envelope) -> None:
         """Dispatches the messages of an envelope, in order."""
         self._board.timeline.observe_clock(envelope.clock)
-        self._receivers.envelope(envelope.sender, envelope.incarnation)
+        self._receivers.on_envelope(envelope.sender, envelope.incarnation)
         for message in envelope.messages:
             self.receive_message(envelope.sender, message)
 
--- a/src/azureramp/daemon/wiring.py
+++ b/src/azureramp/daemon/wiring.py
@@ -140,7 +140,7 @@
                     self._configuration.receive_update
                 ),
             },
-            envelope=self.membership.receive_envelope,
+            on_envelope=self.membership.receive_envelope,
         )
 
     def _apply_configuration(self) -> None:
