--- a/src/azureramp/controllers/outbox.py
+++ b/src/azureramp/controllers/outbox.py
@@ -20,11 +20,11 @@
     """Batches messages by peer.
 
     Attributes:
-        local: Called with the sender's name and each message that this VM
-            sends to itself; set by `daemon.wiring`.
+        on_local_message: Called with the sender's name and each message that
+            this VM sends to itself; set by `daemon.wiring`.
     """
 
-    __slots__ = ("_board", "_pending", "_port", "local")
+    __slots__ = ("_board", "_pending", "_port", "on_local_message")
 
     def __init__(
         self, board: blackboard.Blackboard, port: peers_api.Peers
@@ -33,14 +33,14 @@
         self._board = board
         self._port = port
         self._pending: dict[str, list[messages.PeerMessage]] = {}
-        self.local: LocalReceiver | None = None
+        self.on_local_message: LocalReceiver | None = None
 
     def send(self, vm: str, message: messages.PeerMessage) -> bool:
         """Sends a message in the next iteration of the event loop.
 
         Args:
             vm: The receiving VM's name; messages to this VM itself are passed
-                to `local`.
+                to `on_local_message`.
             message: The message.
 
         Returns:
@@ -66,8 +66,8 @@
         for vm, batch in pending.items():
             if vm == self._board.settings.vm:
                 for message in batch:
-                    if self.local is not None:
-                        self.local(vm, message)
+                    if self.on_local_message is not None:
+                        self.on_local_message(vm, message)
                 continue
             member = self._board.members.get(vm)
             if member is None:
--- a/src/azureramp/daemon/wiring.py
+++ b/src/azureramp/daemon/wiring.py
@@ -116,7 +116,7 @@
         self._caller_api = caller_api.make(board, self.coordinator, rng)
         self._resource_api = resource_api.make(board, self._configuration)
         self._inbox = inbox.Inbox(board, self._make_message_handlers())
-        self._outbox.local = self._inbox.receive_message
+        self._outbox.on_local_message = self._inbox.receive_message
         self.membership.on_owners = self.owner.update_ownership
         self._configuration.on_change = self._apply_configuration
 
--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -206,7 +206,7 @@
                 lambda sender, incarnation: None,
             ),
         )
-        self.outbox.local = lambda sender, message: self._deliver(
+        self.outbox.on_local_message = lambda sender, message: self._deliver(
             OWN_VM, sender, message
         )
         self.network.attach(get_peer_address(OWN_VM), self.inbox.receive)
--- a/tests/controllers/test_late_notices.py
+++ b/tests/controllers/test_late_notices.py
@@ -24,7 +24,9 @@
     async def main() -> list[messages.PeerMessage]:
         cell = query_cell.Cell()
         sent: list[messages.PeerMessage] = []
-        cell.outbox.local = lambda sender, message: sent.append(message)
+        cell.outbox.on_local_message = lambda sender, message: sent.append(
+            message
+        )
         notices = late_notices.LateNotices(cell.outbox)
         for number in range(100):
             watch = notices.begin("s0-0", "vm-0", ("warm", number))
@@ -46,7 +48,9 @@
     async def main() -> list[messages.PeerMessage]:
         cell = query_cell.Cell()
         sent: list[messages.PeerMessage] = []
-        cell.outbox.local = lambda sender, message: sent.append(message)
+        cell.outbox.on_local_message = lambda sender, message: sent.append(
+            message
+        )
         notices = late_notices.LateNotices(cell.outbox)
         watch = notices.begin("s0-0", "vm-0", ("request", 7))
         await asyncio.sleep(10.0)
