--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -28,8 +28,8 @@
     """Maintains this VM's view of the other VMs.
 
     Attributes:
-        on_owners: Called after the owners, or the times from which this VM
-            may use its searchers, changed.
+        on_owners_changed: Called after the owners, or the times from which this
+            VM may use its searchers, changed.
     """
 
     __slots__ = (
@@ -46,7 +46,7 @@
         "_sequence",
         "_started_s",
         "_vmlist",
-        "on_owners",
+        "on_owners_changed",
     )
 
     def __init__(
@@ -72,7 +72,7 @@
         self._links = links.Links(board, outbox)
         self._pending_acks: dict[str, messages.HeartbeatAck] = {}
         self._announced = telling.StateSelector()
-        self.on_owners: Callable[[], None] | None = None
+        self.on_owners_changed: Callable[[], None] | None = None
 
     def announce_leaving(self) -> None:
         """Announces to the other VMs that this one shuts down."""
@@ -156,8 +156,8 @@
         self._ownership.on_owners_changed = self._call_on_owners
 
     def _call_on_owners(self) -> None:
-        if self.on_owners is not None:
-            self.on_owners()
+        if self.on_owners_changed is not None:
+            self.on_owners_changed()
 
     def _is_informed(self, now_s: float) -> bool:
         """Returns True if this process has had time to receive heartbeats.
--- a/src/azureramp/daemon/wiring.py
+++ b/src/azureramp/daemon/wiring.py
@@ -117,7 +117,7 @@
         self._resource_api = resource_api.make(board, self._configuration)
         self._inbox = inbox.Inbox(board, self._make_message_handlers())
         self._outbox.on_local_message = self._inbox.receive_message
-        self.membership.on_owners = self.owner.update_ownership
+        self.membership.on_owners_changed = self.owner.update_ownership
         self._configuration.on_change = self._apply_configuration
 
     def _make_message_handlers(self) -> inbox.Receivers:
