--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -54,7 +54,7 @@
     """Keeps the configuration in force on this VM.
 
     Attributes:
-        on_change: Called after each change of the configuration.
+        on_changed: Called after each change of the configuration.
     """
 
     __slots__ = (
@@ -69,7 +69,7 @@
         "_rng",
         "_serving",
         "_writer",
-        "on_change",
+        "on_changed",
     )
 
     def __init__(
@@ -98,7 +98,7 @@
             self._announce_from_store,
             self._update,
         )
-        self.on_change: Callable[[], None] | None = None
+        self.on_changed: Callable[[], None] | None = None
 
     async def run(self) -> None:
         """Follows the store and the peers, forever."""
@@ -314,8 +314,8 @@
         self._changed.set()
         self._changed = asyncio.Event()
         self._update()
-        if changed and self.on_change is not None:
-            self.on_change()
+        if changed and self.on_changed is not None:
+            self.on_changed()
 
 
 def make(
--- a/src/azureramp/daemon/wiring.py
+++ b/src/azureramp/daemon/wiring.py
@@ -118,7 +118,7 @@
         self._inbox = inbox.Inbox(board, self._make_message_handlers())
         self._outbox.on_local_message = self._inbox.receive_message
         self.membership.on_owners_changed = self.owner.update_ownership
-        self._configuration.on_change = self._apply_configuration
+        self._configuration.on_changed = self._apply_configuration
 
     def _make_message_handlers(self) -> inbox.Receivers:
         """Returns the handler of each message type."""
