--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -122,7 +122,7 @@
                 while self._board.configuration.revision <= revision:
                     await self._changed.wait()
 
-    def get_accepted_s(self, revision: int) -> float:
+    def get_acceptance_time_s(self, revision: int) -> float:
         """Returns when a majority had a revision, on the loop's clock.
 
         Returns infinity if no majority has it yet.
--- a/src/azureramp/controllers/vm_status.py
+++ b/src/azureramp/controllers/vm_status.py
@@ -73,7 +73,7 @@
     """
     now_s = asyncio.get_running_loop().time()
     window_s = board.settings.confirm_ms / 1000
-    accepted_s = configuration.get_accepted_s(requested)
+    accepted_s = configuration.get_acceptance_time_s(requested)
     if board.configuration.revision < requested:
         return resource_answers.ChangeState.UNKNOWN
     if math.isinf(accepted_s):
