--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -50,7 +50,7 @@
 """The source of entries that came from a majority of peers in an outage."""
 
 
-class Controller:
+class ConfigurationController:
     """Keeps the configuration in force on this VM.
 
     Attributes:
@@ -322,6 +322,6 @@
     board: blackboard.Blackboard,
     outbox: outbox_module.Outbox,
     store: store_api.Store,
-) -> Controller:
+) -> ConfigurationController:
     """Creates the configuration controller of one process."""
-    return Controller(board, outbox, store)
+    return ConfigurationController(board, outbox, store)
--- a/src/azureramp/controllers/resource_api.py
+++ b/src/azureramp/controllers/resource_api.py
@@ -39,7 +39,7 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        configuration: configuration_module.Controller,
+        configuration: configuration_module.ConfigurationController,
     ) -> None:
         """Creates the interface to one process's state."""
         self._board = board
@@ -262,7 +262,7 @@
 
 def make(
     board: blackboard.Blackboard,
-    configuration: configuration_module.Controller,
+    configuration: configuration_module.ConfigurationController,
 ) -> ResourceApi:
     """Creates the operators' interface of one process."""
     return ResourceApi(board, configuration)
--- a/src/azureramp/controllers/vm_status.py
+++ b/src/azureramp/controllers/vm_status.py
@@ -12,7 +12,7 @@
 
 def make_status(
     board: blackboard.Blackboard,
-    configuration: configuration_module.Controller,
+    configuration: configuration_module.ConfigurationController,
     requested: int | None,
 ) -> resource_answers.StatusAnswer:
     """Makes the answer to a status request.
@@ -61,7 +61,7 @@
 
 def _decide_state(
     board: blackboard.Blackboard,
-    configuration: configuration_module.Controller,
+    configuration: configuration_module.ConfigurationController,
     requested: int,
     is_lacking: bool,
 ) -> resource_answers.ChangeState:
