--- a/src/azureramp/controllers/directory.py
+++ b/src/azureramp/controllers/directory.py
@@ -38,7 +38,7 @@
         self._places: dict[str, Place] = {}
         self._policy = resources.Policy(name="default")
 
-    def get_places(self) -> dict[str, Place]:
+    def get_locations(self) -> dict[str, Place]:
         """Returns the searchers with their servers, by searcher name."""
         self._refresh()
         return self._places
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -62,7 +62,7 @@
 
     def update(self) -> None:
         """Acquires newly assigned searchers and releases the others."""
-        places = self._directory.get_places()
+        places = self._directory.get_locations()
         for name, owned in list(self._holdings.owned.items()):
             place = places.get(name)
             if place is None or self.draining or not self._is_mine(name):
