--- a/src/azureramp/controllers/directory.py
+++ b/src/azureramp/controllers/directory.py
@@ -14,13 +14,13 @@
     Attributes:
         searcher: The searcher.
         server: Its backend server.
-        refusal: Why it accepts no new work: `ZONE_OUT` or `LEAVING`; None if
-            it accepts work.
+        refusal_kind: Why it accepts no new work: `ZONE_OUT` or `LEAVING`; None
+            if it accepts work.
     """
 
     searcher: resources.Searcher
     server: resources.BackendServer
-    refusal: errors.Kind | None
+    refusal_kind: errors.Kind | None
 
 
 class Directory:
--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -75,8 +75,8 @@
         self, owned: OwnedSearcher, part: Part
     ) -> errors.Failure | None:
         """Returns why a sub-request can't be queued; None if it can."""
-        if owned.place.refusal is not None:
-            return errors.Failure(owned.place.refusal)
+        if owned.place.refusal_kind is not None:
+            return errors.Failure(owned.place.refusal_kind)
         if not owned.reachable and owned.health is not None:
             return errors.Failure(
                 errors.Kind.CONNECTION_LOST, "the searcher is down"
@@ -116,7 +116,7 @@
 
         Starts a health read if its incarnation must be confirmed first.
         """
-        if not owned.reachable or owned.place.refusal is not None:
+        if not owned.reachable or owned.place.refusal_kind is not None:
             return False
         if not self._prober.is_confirmed(owned):
             self._prober.probe(owned)
@@ -143,8 +143,8 @@
         """
         if self._holdings.owned.get(owned.get_name()) is not owned:
             return Refused(errors.Failure(errors.Kind.NOT_OWNER))
-        if owned.place.refusal is not None:
-            return Refused(errors.Failure(owned.place.refusal))
+        if owned.place.refusal_kind is not None:
+            return Refused(errors.Failure(owned.place.refusal_kind))
         # A zone may have been taken out of service while this process was
         # paused or disconnected. After this time a change that this process
         # hasn't received may have been accepted.
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -217,7 +217,7 @@
         self._board.owned_states = {
             name: owned.make_state(
                 owned.reachable
-                and owned.place.refusal is None
+                and owned.place.refusal_kind is None
                 and (has_lease or not owned.is_cold())
             )
             for name, owned in self._holdings.owned.items()
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -127,11 +127,11 @@
             self._port.set_limit(before.searcher.address, 0)
             self._prober.mark_unreachable(owned, "moved")
         owned.ramp.resize(searcher.slots, searcher.cold_limit)
-        if place.refusal is not None:
+        if place.refusal_kind is not None:
             self._prober.mark_unreachable(owned, "out")
             self._prober.forget(owned.get_name())
             self._port.set_limit(owned.get_address(), 0)
-            self._runner.fail_waiting(owned, errors.Failure(place.refusal))
+            self._runner.fail_waiting(owned, errors.Failure(place.refusal_kind))
         else:
             self._open(owned)
             self._prober.probe_if_due(owned)
--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -64,7 +64,9 @@
         """Starts a health read if the next one is due."""
         now_s = _now_s()
         name = owned.get_name()
-        if owned.place.refusal is None and now_s >= self._due_s.get(name, 0.0):
+        if owned.place.refusal_kind is None and now_s >= self._due_s.get(
+            name, 0.0
+        ):
             # Jitter, so that an owner's reads of many searchers don't
             # coincide.
             spread = 0.75 + 0.5 * self._rng.random()
@@ -75,7 +77,7 @@
     def probe(self, owned: OwnedSearcher) -> None:
         """Starts a health read unless one is in progress."""
         name = owned.get_name()
-        if name in self._probes or owned.place.refusal is not None:
+        if name in self._probes or owned.place.refusal_kind is not None:
             return
         probe = asyncio.ensure_future(self._probe(owned))
         self._probes[name] = probe
