--- a/src/azureramp/controllers/directory.py
+++ b/src/azureramp/controllers/directory.py
@@ -23,7 +23,7 @@
     refusal_kind: errors.Kind | None
 
 
-class Directory:
+class SearcherDirectory:
     """The parts of the configuration that an owner needs.
 
     They are recomputed when the configuration changes.
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -63,7 +63,7 @@
     ) -> None:
         """Creates an owner without searchers; see `make`."""
         self._board = board
-        self._directory = directory.Directory(board)
+        self._directory = directory.SearcherDirectory(board)
         self._holdings = owned_searcher.Holdings()
         self._handoffs = handoffs.Handoffs(board, outbox)
         self._prober = probing.Prober(
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -44,7 +44,7 @@
         self,
         board: blackboard.Blackboard,
         port: searchers_api.Searchers,
-        places: directory.Directory,
+        places: directory.SearcherDirectory,
         holdings: owned_searcher.Holdings,
         transfers: handoffs.Handoffs,
         prober: probing.Prober,
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -55,7 +55,7 @@
         self,
         board: blackboard.Blackboard,
         port: searchers_api.Searchers,
-        places: directory.Directory,
+        places: directory.SearcherDirectory,
         holdings: owned_searcher.Holdings,
         detector: poisoning.PoisonDetector,
         prober: probing.Prober,
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -73,7 +73,7 @@
         board: blackboard.Blackboard,
         outbox: outbox_module.Outbox,
         port: searchers_api.Searchers,
-        places: directory.Directory,
+        places: directory.SearcherDirectory,
         holdings: owned_searcher.Holdings,
     ) -> None:
         """Creates it without suspect requests."""
