--- a/src/azureramp/controllers/directory.py
+++ b/src/azureramp/controllers/directory.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Place:
+class SearcherLocation:
     """A searcher with its backend server.
 
     Attributes:
@@ -35,10 +35,10 @@
         """Creates the directory of a process."""
         self._board = board
         self._source: tuple[int, int, int] | None = None
-        self._places: dict[str, Place] = {}
+        self._places: dict[str, SearcherLocation] = {}
         self._policy = resources.Policy(name="default")
 
-    def get_locations(self) -> dict[str, Place]:
+    def get_locations(self) -> dict[str, SearcherLocation]:
         """Returns the searchers with their servers, by searcher name."""
         self._refresh()
         return self._places
@@ -62,14 +62,16 @@
             self._policy = configuration.get_policy()
 
 
-def _make_places(configuration: resources.Configuration) -> dict[str, Place]:
+def _make_places(
+    configuration: resources.Configuration,
+) -> dict[str, SearcherLocation]:
     """Returns all searchers with their servers, by searcher name."""
     zones = configuration.get_zones()
     places = {}
     for server in configuration.get_backend_servers().values():
         refusal = _get_refusal(server, zones.get(server.zone))
         for searcher in server.searchers:
-            places[searcher.name] = Place(searcher, server, refusal)
+            places[searcher.name] = SearcherLocation(searcher, server, refusal)
     return places
 
 
--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -50,7 +50,7 @@
         "succeeded_s",
     )
 
-    def __init__(self, place: directory.Place) -> None:
+    def __init__(self, place: directory.SearcherLocation) -> None:
         """Creates the initial state of a searcher that was not probed yet."""
         searcher = place.searcher
         self.place = place
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -79,7 +79,9 @@
         """Returns True if this VM is the searcher's owner in its own view."""
         return self._board.owners.get(name) == self._board.settings.vm
 
-    def _try_acquire(self, name: str, place: directory.Place) -> None:
+    def _try_acquire(
+        self, name: str, place: directory.SearcherLocation
+    ) -> None:
         """Acquires a searcher if its former owner can no longer use it."""
         received = self._handoffs.pop_valid(name)
         if received is None and not self._handoffs.may_start(name):
@@ -118,7 +120,7 @@
         owned.confirmed_lost = self._port.get_links(owned.get_address()).lost
 
     def _update_place(
-        self, owned: OwnedSearcher, place: directory.Place
+        self, owned: OwnedSearcher, place: directory.SearcherLocation
     ) -> None:
         """Applies a change of a searcher's zone, server or declaration."""
         before, owned.place = owned.place, place
