--- a/src/azureramp/cli/checking.py
+++ b/src/azureramp/cli/checking.py
@@ -28,7 +28,7 @@
     client = client_module.Client(common)
     request = resource_answers.CheckRequest(
         resources=tuple(
-            resource_answers.Checked(
+            resource_answers.CheckItem(
                 resource=item.resource, expected=item.revision
             )
             for item in declared
--- a/src/azureramp/controllers/dry_run.py
+++ b/src/azureramp/controllers/dry_run.py
@@ -11,7 +11,7 @@
 
 def check(
     configuration: resources.Configuration,
-    items: Sequence[resource_answers.Checked],
+    items: Sequence[resource_answers.CheckItem],
 ) -> resource_answers.CheckAnswer:
     """Checks resources as if they were written one after another.
 
@@ -29,7 +29,7 @@
 
 
 def _check_one(
-    scratch: resources.Configuration, item: resource_answers.Checked
+    scratch: resources.Configuration, item: resource_answers.CheckItem
 ) -> resource_answers.CheckResult:
     """Checks one resource; adds it to the scratch copy if it is valid."""
     resource = item.resource
--- a/src/azureramp/controllers/resource_answers.py
+++ b/src/azureramp/controllers/resource_answers.py
@@ -54,7 +54,7 @@
     entry: resources.Versioned
 
 
-class Checked(msgspec.Struct, frozen=True, kw_only=True):
+class CheckItem(msgspec.Struct, frozen=True, kw_only=True):
     """A resource to check.
 
     Attributes:
@@ -73,7 +73,7 @@
         resources: The resources, in the order in which they would be written.
     """
 
-    resources: tuple[Checked, ...]
+    resources: tuple[CheckItem, ...]
 
 
 class CheckResult(msgspec.Struct, frozen=True, kw_only=True):
