--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -145,7 +145,7 @@
         service = admitted.service
 
         def record_pinned(version: int) -> None:
-            self._log.record_admitted(asked, admitted.header, version)
+            self._log.record_admission(asked, admitted.header, version)
 
         record_pinned(admitted.header.version)
         running = gathering.Gathering(
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -164,7 +164,7 @@
         if not admitted.ok.snapshot.replicas[shard.name]:
             return _refuse(errors.Kind.NO_SNAPSHOT), 0
         header = admitted.ok.header
-        self._log.record_admitted(
+        self._log.record_admission(
             asked, header, header.version, request.idempotency_key
         )
         run = single_run.SingleRun(
--- a/src/azureramp/controllers/request_log.py
+++ b/src/azureramp/controllers/request_log.py
@@ -24,7 +24,7 @@
         """Creates a log that writes to a process's timeline."""
         self._board = board
 
-    def record_admitted(
+    def record_admission(
         self,
         request: admitting.AdmissionRequest,
         header: dispatching.RequestHeader,
