--- a/src/azureramp/controllers/serving.py
+++ b/src/azureramp/controllers/serving.py
@@ -12,7 +12,7 @@
 searcher states, in seconds."""
 
 
-class Controller:
+class ServingController:
     """Derives `board.serving` from the rest of the blackboard."""
 
     __slots__ = ("_board", "_has_states", "_wait_until_s")
@@ -84,6 +84,6 @@
     return blackboard.Serving.READY
 
 
-def make(board: blackboard.Blackboard) -> Controller:
+def make(board: blackboard.Blackboard) -> ServingController:
     """Creates the serving controller of one process."""
-    return Controller(board)
+    return ServingController(board)
