--- a/src/azureramp/controllers/caller_api.py
+++ b/src/azureramp/controllers/caller_api.py
@@ -131,7 +131,7 @@
             body = self._execute_decoder.decode(request.body)
         except (msgspec.MsgspecError, RecursionError, ValueError) as error:
             return self._make_error(caller_input.describe(error), caller)
-        execute = coordinator_controller.Execute(
+        execute = coordinator_controller.ExecuteRequest(
             request_id=self._make_request_id(),
             caller=caller,
             service=unicodedata.normalize("NFC", body.service),
--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -51,7 +51,7 @@
     minimum_coverage: float = 0.0
 
 
-Execute = execution.ExecuteRequest
+ExecuteRequest = execution.ExecuteRequest
 
 Answered = expression.Result[responses.QueryAnswer, errors.Failure]
 
--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -373,10 +373,10 @@
         key: str = "grant-1",
         deadline_ms: float = 1000,
         body: bytes = b'{"grant":1}',
-    ) -> coordinator.Execute:
+    ) -> coordinator.ExecuteRequest:
         """Creates a non-repeatable request that starts now."""
         now_s = asyncio.get_running_loop().time()
-        return coordinator.Execute(
+        return coordinator.ExecuteRequest(
             request_id=f"execute-{number}",
             caller=self.board.configuration.get_callers()["clerk"],
             service="claims",
