--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -125,8 +125,10 @@
         """
         record = idempotency.decode_record(current.value or b"")
         if record is None:
-            return idempotency.judge(None, claim.nonce, claim.request_hash, 0.0)
-        verdict = idempotency.judge(
+            return idempotency.evaluate_claim(
+                None, claim.nonce, claim.request_hash, 0.0
+            )
+        verdict = idempotency.evaluate_claim(
             record, claim.nonce, claim.request_hash, 0.0
         )
         if not isinstance(verdict, idempotency.Refuse):
@@ -139,7 +141,7 @@
         record = idempotency.with_outcome(record, outcomes.get(record.nonce))
         now_s = asyncio.get_running_loop().time()
         age_s = self._observed.record_sighting(record.nonce, now_s)
-        verdict = idempotency.judge(
+        verdict = idempotency.evaluate_claim(
             record, claim.nonce, claim.request_hash, age_s
         )
         if (
--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -130,7 +130,7 @@
             return None
         if now_s >= until_s:
             return None
-        match idempotency.judge(record, "", request_hash, 0.0):
+        match idempotency.evaluate_claim(record, "", request_hash, 0.0):
             case idempotency.Replay(record=found):
                 return found
             case idempotency.Refuse(kind=kind):
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -151,7 +151,7 @@
         return None
 
 
-def judge(
+def evaluate_claim(
     record: Record | None, nonce: str, request_hash: int, age_s: float
 ) -> Verdict:
     """Decides how a claim proceeds when a record exists.
--- a/tests/controllers/test_idempotency_machine.py
+++ b/tests/controllers/test_idempotency_machine.py
@@ -31,7 +31,7 @@
     )
 
 
-JUDGE = policy.judge
+EVALUATE_CLAIM = policy.evaluate_claim
 CLAIM = record_claimer.RecordClaimer.claim
 
 
@@ -39,7 +39,7 @@
     record: policy.Record | None, nonce: str, request_hash: int, age_s: float
 ) -> policy.Verdict:
     """Treats an old claim as free, as if its request had never run."""
-    verdict = JUDGE(record, nonce, request_hash, age_s)
+    verdict = EVALUATE_CLAIM(record, nonce, request_hash, age_s)
     if verdict == policy.Refuse(errors.Kind.OUTCOME_UNKNOWN):
         return policy.Claimable()
     return verdict
@@ -51,7 +51,7 @@
     """Replays any claim as an outcome, even if its request has not run."""
     if record is not None and record.state is policy.State.CLAIMED:
         return policy.Replay(record)
-    return JUDGE(record, nonce, request_hash, age_s)
+    return EVALUATE_CLAIM(record, nonce, request_hash, age_s)
 
 
 def release_any_claim(
@@ -137,10 +137,10 @@
 
 BROKEN: dict[str, tuple[object, str, object, Script]] = {
     "an old claim is treated as free": (
-        policy, "judge", judge_old_claim_as_free, run_then_retry,
+        policy, "evaluate_claim", judge_old_claim_as_free, run_then_retry,
     ),
     "a claim is replayed as if it had run": (
-        policy, "judge", judge_claim_as_outcome, retry_after_timeout,
+        policy, "evaluate_claim", judge_claim_as_outcome, retry_after_timeout,
     ),
     "a late release overwrites another claim": (
         policy, "may_release", release_any_claim, release_late,
