--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -146,7 +146,7 @@
         )
         if (
             record.state is idempotency.State.CLAIMED
-            and age_s >= idempotency.UNKNOWN_S
+            and age_s >= idempotency.UNKNOWN_AFTER_S
             and not await self._record_unknown(current, record)
         ):
             return idempotency.Refuse(errors.Kind.IN_PROGRESS)
--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -111,7 +111,7 @@
         record it as unknown; the store still has it.
         """
         for store_key, held in list(self._claims.items()):
-            until_s = held.may_dispatch_until_s + idempotency.UNKNOWN_S
+            until_s = held.may_dispatch_until_s + idempotency.UNKNOWN_AFTER_S
             if now_s < until_s:
                 break
             del self._claims[store_key]
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -34,7 +34,7 @@
 DISPATCH_S = 10.0
 """How long after the start of its claim a holder may dispatch, in seconds."""
 
-UNKNOWN_S = 60.0
+UNKNOWN_AFTER_S = 60.0
 """After how long another VM treats a claim's outcome as unknown, in seconds.
 
 This counts from when that VM first read the claim, which is after the claim was
@@ -175,7 +175,7 @@
     match record.state:
         case State.FINISHED:
             return Replay(record)
-        case State.CLAIMED if age_s < UNKNOWN_S:
+        case State.CLAIMED if age_s < UNKNOWN_AFTER_S:
             return Refuse(errors.Kind.IN_PROGRESS)
         case _:
             return Refuse(errors.Kind.OUTCOME_UNKNOWN)
--- a/tests/controllers/test_idempotency.py
+++ b/tests/controllers/test_idempotency.py
@@ -116,7 +116,7 @@
         loop = asyncio.get_running_loop()
 
         assert await second.claim() is errors.Kind.IN_PROGRESS
-        await asyncio.sleep(policy.UNKNOWN_S)
+        await asyncio.sleep(policy.UNKNOWN_AFTER_S)
         assert loop.time() > claimed.may_dispatch_until_s
         assert await second.claim() is errors.Kind.OUTCOME_UNKNOWN
 
@@ -138,7 +138,7 @@
         first, second = records_vms.make_two_vms()
         claimed = await first.claim_free_key()
         await second.claim()
-        await asyncio.sleep(policy.UNKNOWN_S)
+        await asyncio.sleep(policy.UNKNOWN_AFTER_S)
         second.store.faults.delay_s = 0.1
         claiming = asyncio.ensure_future(second.claim())
         await asyncio.sleep(0.12)
@@ -258,7 +258,7 @@
         assert await claiming is errors.Kind.IN_PROGRESS
 
         second.store.faults = memory.Faults()
-        await asyncio.sleep(policy.UNKNOWN_S)
+        await asyncio.sleep(policy.UNKNOWN_AFTER_S)
         assert await second.claim_finished_key() == b"7"
 
     records_vms.run(go())
--- a/tests/controllers/test_idempotency_machine.py
+++ b/tests/controllers/test_idempotency_machine.py
@@ -149,7 +149,7 @@
         record_releases.RecordReleases, "add", drop_release, take_effect_late,
     ),
     "an outcome is answered as unknown too early": (
-        policy, "UNKNOWN_S", 5.0, retry_early,
+        policy, "UNKNOWN_AFTER_S", 5.0, retry_early,
     ),
     "a holder may dispatch for too long": (
         policy, "DISPATCH_S", 1000.0, retry_after_timeout,
