--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -132,7 +132,7 @@
             self._memory.cache_outcome(store_key, outcome, now_s)
         if not isinstance(outcome, int):
             return self._answer(key, outcome)
-        until_s = now_s + idempotency.DISPATCH_S
+        until_s = now_s + idempotency.DISPATCH_WINDOW_S
         claimed = Claimed(store_key, key, claim, outcome, until_s)
         self._board.metrics.count("idempotency.records")
         self._record(key, claim, "claimed")
--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -90,7 +90,7 @@
         key is free by then, and another request may have claimed it.
         """
         self.remove_claim(claimed)
-        began_s = claimed.may_dispatch_until_s - idempotency.DISPATCH_S
+        began_s = claimed.may_dispatch_until_s - idempotency.DISPATCH_WINDOW_S
         if now_s + CACHE_TTL_S < began_s + record_bounds.RETENTION_S:
             record = idempotency.with_outcome(claimed.record, outcome)
             self.cache_outcome(claimed.store_key, record, now_s)
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -31,15 +31,15 @@
 """Maximum number of claims whose outcomes share a group; also bounds the size
 of the group."""
 
-DISPATCH_S = 10.0
+DISPATCH_WINDOW_S = 10.0
 """How long after the start of its claim a holder may dispatch, in seconds."""
 
 UNKNOWN_AFTER_S = 60.0
 """After how long another VM treats a claim's outcome as unknown, in seconds.
 
 This counts from when that VM first read the claim, which is after the claim was
-sent. It is much longer than `DISPATCH_S`, so that no caller is told to check
-before sending another request while the holder may still dispatch.
+sent. It is much longer than `DISPATCH_WINDOW_S`, so that no caller is told to
+check before sending another request while the holder may still dispatch.
 """
 
 MAX_RESULT_BYTES = 4096
--- a/tests/controllers/test_idempotency_machine.py
+++ b/tests/controllers/test_idempotency_machine.py
@@ -152,7 +152,7 @@
         policy, "UNKNOWN_AFTER_S", 5.0, retry_early,
     ),
     "a holder may dispatch for too long": (
-        policy, "DISPATCH_S", 1000.0, retry_after_timeout,
+        policy, "DISPATCH_WINDOW_S", 1000.0, retry_after_timeout,
     ),
     "an unconfirmed claim is accepted": (
         record_claimer.RecordClaimer,
