--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -253,7 +253,7 @@
             revision=board.configuration.revision,
             confirmed_age_ms=(now_s - board.confirmed_s) * 1000,
             lease_ms=self._members.pace.lease_s * 1000,
-            searchers=self._announced.choose(
+            searchers=self._announced.select(
                 tuple(board.owned_states.values())
             ),
             claims=tuple(owning.lease.get_claims()),
--- a/src/azureramp/policy/telling.py
+++ b/src/azureramp/policy/telling.py
@@ -19,7 +19,7 @@
         self._sent: tuple[tuple[object, ...], ...] | None = None
         self._omitted = 0
 
-    def choose(
+    def select(
         self, states: tuple[messages.SearcherState, ...]
     ) -> tuple[messages.SearcherState, ...] | None:
         """Selects the states to include in the next heartbeat.
