--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -23,7 +23,7 @@
             return True
         part.alone = part.batch.isolated or self._detector.is_suspect(part)
         fingerprint = part.batch.fingerprint
-        if self._detector.trials.try_begin(fingerprint, part.key):
+        if self._detector.trials.try_start(fingerprint, part.key):
             return True
         self._waiting.setdefault(fingerprint, []).append(part)
         return False
--- a/src/azureramp/policy/trials.py
+++ b/src/azureramp/policy/trials.py
@@ -20,7 +20,7 @@
         """Creates an empty table."""
         self._running: dict[int, tuple[str, int]] = {}
 
-    def try_begin(self, fingerprint: int, key: tuple[str, int]) -> bool:
+    def try_start(self, fingerprint: int, key: tuple[str, int]) -> bool:
         """Starts a sub-request unless another one of its request is running.
 
         Args:
