--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -69,7 +69,7 @@
         match request:
             case requests.MalformedRequest(reason=reason):
                 failure = errors.Failure(errors.Kind.BAD_REQUEST, reason)
-                return requests.Refused(failure, closes_connection=True)
+                return requests.Refusal(failure, closes_connection=True)
             case requests.IncomingRequest():
                 self._board.running += 1
                 try:
@@ -99,7 +99,7 @@
         answer: requests.Answer | None = None
         try:
             answer = await run.run()
-            if not isinstance(answer, requests.Refused):
+            if not isinstance(answer, requests.Refusal):
                 self._crash_tracker.record_answer(request.message)
         finally:
             self._log.write(
@@ -146,13 +146,13 @@
         route: catalog.Route | None,
         kind: errors.Kind,
         retry_after_s: float | None = None,
-    ) -> requests.Refused:
+    ) -> requests.Refusal:
         """Refuses a request for which no call was made."""
         retry_after_ms = None
         if retry_after_s is not None:
             retry_after_ms = round(retry_after_s * 1000)
         failure = errors.Failure(kind, retry_after_ms=retry_after_ms)
-        refused = requests.Refused(failure, request.id)
+        refused = requests.Refusal(failure, request.id)
         self._log.write(request, route, (), refused)
         return refused
 
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -222,9 +222,9 @@
         """Returns True if any searcher ran the request, or may have."""
         return any(each.runs or each.is_waiting() for each in self.parts)
 
-    def _refuse(self, kind: errors.Kind, detail: str) -> requests.Refused:
+    def _refuse(self, kind: errors.Kind, detail: str) -> requests.Refusal:
         """Builds a refusal."""
-        return requests.Refused(errors.Failure(kind, detail), self._request.id)
+        return requests.Refusal(errors.Failure(kind, detail), self._request.id)
 
 
 def compute_partial_answer_delay_s(
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -88,7 +88,7 @@
         if request.deadline_s is not None:
             line["deadline_ms"] = round(request.deadline_s * 1000)
         match answer:
-            case requests.Refused(failure=failure):
+            case requests.Refusal(failure=failure):
                 line["detail"] = failure.detail
                 line["retry_after_ms"] = failure.get_retry_after_ms()
             case requests.MergedAnswer(missing=missing):
@@ -122,7 +122,7 @@
             case requests.MergedAnswer(missing=missing):
                 counters.count("forward.short")
                 counters.count("forward.missing", missing)
-            case requests.Refused(failure=failure):
+            case requests.Refusal(failure=failure):
                 ran = failure.get_answer().ran
                 refused = ran is errors.Ran.NOT_RUN
                 counters.count(
@@ -152,7 +152,7 @@
             return "answered" if reply.is_success() else "searcher_failed"
         case requests.MergedAnswer(missing=missing):
             return "short" if missing else "complete"
-        case requests.Refused(failure=failure):
+        case requests.Refusal(failure=failure):
             return failure.kind.value
 
 
--- a/src/azureramp/controllers/forwarding/requests.py
+++ b/src/azureramp/controllers/forwarding/requests.py
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Refused:
+class Refusal:
     """The answer to a request for which no searcher's answer is returned.
 
     Attributes:
@@ -86,4 +86,4 @@
     closes_connection: bool = False
 
 
-Answer = SearcherAnswer | MergedAnswer | Refused
+Answer = SearcherAnswer | MergedAnswer | Refusal
--- a/src/azureramp/controllers/forwarding/single.py
+++ b/src/azureramp/controllers/forwarding/single.py
@@ -113,9 +113,9 @@
         detail = f"rejected by {self._part.rejections} searchers; no other is"
         return self._refuse(errors.Kind.SHED, f"{detail} available")
 
-    def _refuse(self, kind: errors.Kind, detail: str) -> requests.Refused:
+    def _refuse(self, kind: errors.Kind, detail: str) -> requests.Refusal:
         """Builds a refusal."""
-        return requests.Refused(errors.Failure(kind, detail), self._request.id)
+        return requests.Refusal(errors.Failure(kind, detail), self._request.id)
 
 
 def is_returnable(reply: api.Reply) -> bool:
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -163,7 +163,7 @@
                     (MISSING_PARTS, str(answer.missing)),
                 ),
             )
-        case requests.Refused(failure=failure, request_id=request_id):
+        case requests.Refusal(failure=failure, request_id=request_id):
             headers = [(REQUEST_ID_NAME, request_id)] if request_id else []
             retry_after_ms = failure.get_retry_after_ms()
             table = failure.get_answer()
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -95,11 +95,11 @@
 
 
 def test_retry_after_is_sent_only_for_requests_that_did_not_run() -> None:
-    shed = requests.Refused(errors.Failure(errors.Kind.SHED), "r1")
+    shed = requests.Refusal(errors.Failure(errors.Kind.SHED), "r1")
     response = headers.encode_answer(shed)
     assert response.status == 503
     assert ("Retry-After", "0.500") in response.headers
-    unknown = requests.Refused(errors.Failure(errors.Kind.OUTCOME_UNKNOWN))
+    unknown = requests.Refusal(errors.Failure(errors.Kind.OUTCOME_UNKNOWN))
     response = headers.encode_answer(unknown)
     assert response.status == 502
     assert "Retry-After" not in dict(response.headers)
