--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -69,7 +69,7 @@
         self.metrics = board.metrics
         self._codec = codec
         self._rng = rng
-        self.bounds = shared_bounds.SharedBounds(board)
+        self.bounds = shared_bounds.SharedLimits(board)
 
     def add_or_update(self, searcher: catalog.Searcher) -> None:
         """Adds a searcher, or updates it from its newest entry."""
--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -21,7 +21,7 @@
 _logger = logbook.Logger("azureramp.searchers")
 
 
-class SharedBounds:
+class SharedLimits:
     """This VM's shares of extra calls and of calls to cold searchers."""
 
     __slots__ = ("_allowances", "_board", "_cold_share", "_extra_share")
--- a/src/azureramp_standins/soak/mutants.py
+++ b/src/azureramp_standins/soak/mutants.py
@@ -83,7 +83,7 @@
 def load_cold_searchers() -> None:
     """Sends cold searchers as many calls as warm ones."""
     patch(
-        shared_bounds.SharedBounds,
+        shared_bounds.SharedLimits,
         "is_warm_enough",
         lambda self, target, now: True,
     )
