--- a/src/azureramp/controllers/changes.py
+++ b/src/azureramp/controllers/changes.py
@@ -36,11 +36,11 @@
 
     Attributes:
         failure: The reason.
-        present: The current state, if the change conflicted with it.
+        current: The current state, if the change conflicted with it.
     """
 
     failure: errors.Failure
-    present: resources.Versioned | None = None
+    current: resources.Versioned | None = None
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
