--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -116,7 +116,7 @@
     def start(self) -> bool:
         """Makes the first call; returns False if no searcher is available."""
         now_s = asyncio.get_running_loop().time()
-        self._searchers.bounds.get_allowance(self.service).add_request(now_s)
+        self._searchers.limits.get_allowance(self.service).add_request(now_s)
         return self._start_call(now_s)
 
     def hedge(self, within_s: float = math.inf) -> bool:
@@ -264,9 +264,9 @@
             instead_of, now_s
         ):
             return False
-        if self._count_arrivals() and not self._searchers.bounds.get_allowance(
+        if self._count_arrivals() and not self._searchers.limits.get_allowance(
             self.service
-        ).spend(now_s, self._searchers.bounds.get_extra_call_share(now_s)):
+        ).spend(now_s, self._searchers.limits.get_extra_call_share(now_s)):
             self._searchers.metrics.count("call.withheld")
             return False
         self._searchers.metrics.count("call.sent")
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -39,7 +39,7 @@
     """Maintains the searchers on the blackboard and chooses among them.
 
     Attributes:
-        bounds: This VM's shares of the limits that apply to all VMs together.
+        limits: This VM's shares of the limits that apply to all VMs together.
         metrics: Counts the calls.
         rollouts: Determines which versions may be used.
     """
@@ -49,7 +49,7 @@
         "_codec",
         "_log",
         "_rng",
-        "bounds",
+        "limits",
         "metrics",
         "rollouts",
     )
@@ -69,7 +69,7 @@
         self.metrics = board.metrics
         self._codec = codec
         self._rng = rng
-        self.bounds = shared_bounds.SharedLimits(board)
+        self.limits = shared_bounds.SharedLimits(board)
 
     def add_or_update(self, searcher: catalog.Searcher) -> None:
         """Adds a searcher, or updates it from its newest entry."""
@@ -148,7 +148,7 @@
     def apply_connection_limits(self) -> None:
         """Applies the connection limits and opens connections ahead of need."""
         advertised.update_advertised(self._board)
-        self.bounds.update(asyncio.get_running_loop().time())
+        self.limits.update(asyncio.get_running_loop().time())
         used: set[str] = set()
         if self._is_advertised():
             used = advertised.find_used_services(self._board.configuration)
@@ -207,7 +207,7 @@
             for name, target in targets.items()
             if name not in excluded
             and self._is_usable(target, sides)
-            and self.bounds.is_warm_enough(target, now_s)
+            and self.limits.is_warm_enough(target, now_s)
         ]
         responsive = [
             (name, record)
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -303,7 +303,7 @@
                 "overload": self._members.run_load_check,
                 "roster": self._roster.run,
                 "crashes": self._crashes.run,
-                "shares": self._searchers.bounds.run,
+                "shares": self._searchers.limits.run,
                 "rollouts": self._claims.run,
             }
         for name, run in loops.items():
