--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -103,8 +103,8 @@
         request: The request as the server read it, undecoded.
 
     Returns:
-        The request; `requests.Malformed` if it has no id or if its deadline
-        isn't a number.
+        The request; `requests.MalformedRequest` if it has no id or if its
+        deadline isn't a number.
     """
     host = request_id = b""
     deadline: bytes | None = None
