--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -28,8 +28,8 @@
     __slots__ = (
         "_board",
         "_inputs",
+        "_issued_grants",
         "_pace",
-        "_promises",
         "_without_majority_from_s",
         "lease",
         "on_owners_changed",
@@ -42,7 +42,7 @@
         started_s: float,
         times: pace.HeartbeatTimes,
     ) -> None:
-        """Creates the state of a VM without searchers and without promises.
+        """Creates the state of a VM without searchers and without grants.
 
         Args:
             board: The process's state.
@@ -53,7 +53,9 @@
         lag_s = board.settings.list_lag_ms / 1000
         self._board = board
         self._inputs: Inputs | None = None
-        self._promises = leases.IssuedGrants(started_s, times.longest_lease_s)
+        self._issued_grants = leases.IssuedGrants(
+            started_s, times.longest_lease_s
+        )
         self._without_majority_from_s: dict[str, float] = {}
         self.lease = leases.ReceivedGrants(times.lease_s)
         self.window = lists.ListWindow(
@@ -79,7 +81,7 @@
         """
         refused = None
         if not leaving:
-            refused = self._promises.grant_claims(
+            refused = self._issued_grants.grant_claims(
                 holder, message.claims, message.lease_ms / 1000, now_s
             )
         return messages.HeartbeatAck(
@@ -113,7 +115,7 @@
         """Sets the durations for the current size of the cell."""
         self._pace = times
         self.lease.set_length(times.lease_s)
-        self._promises.set_max_lease(times.longest_lease_s)
+        self._issued_grants.set_max_lease(times.longest_lease_s)
 
     def get_differing_lists(self) -> tuple[tuple[str, ...], ...]:
         """Returns the recently read VM lists if there are several."""
@@ -129,7 +131,7 @@
             True if the set of searchers that this VM claims has changed.
         """
         board = self._board
-        self._promises.expire(now_s)
+        self._issued_grants.expire(now_s)
         self.window.expire(now_s)
         inputs = (board.configuration.revision, frozenset(candidates))
         if inputs == self._inputs:
--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -1,9 +1,9 @@
 """Heartbeat leases, which decide which VM may send to a cold searcher.
 
-A VM claims its searchers in each heartbeat. Each VM that receives it promises
-every claimed searcher that it has not promised to another VM, for the length
+A VM claims its searchers in each heartbeat. Each VM that receives it grants
+every claimed searcher that it has not granted to another VM, for the length
 of the lease, counted from the arrival. The claimant counts from the sending,
-so its lease always expires before the promises do. Since any two majorities
+so its lease always expires before the grants do. Since any two majorities
 share a VM, no two claimants ever hold the same searcher.
 """
 
@@ -43,11 +43,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Grant:
-    """A promise of one searcher to one holder.
+    """A grant of one searcher to one holder.
 
     Attributes:
         holder: The holder.
-        until_s: When the promise expires, in seconds on this VM's clock.
+        until_s: When the grant expires, in seconds on this VM's clock.
     """
 
     holder: Holder
@@ -55,9 +55,9 @@
 
 
 class IssuedGrants:
-    """The promises that this VM has made to other VMs and to itself.
+    """The grants that this VM has made to other VMs and to itself.
 
-    They are kept in memory only. A restarted VM has lost its promises, so it
+    They are kept in memory only. A restarted VM has lost its grants, so it
     makes none for the length of one lease: by then the lost ones have expired.
     """
 
@@ -104,21 +104,21 @@
             return None
         refused: set[int] = set()
         for claim in claims:
-            promise = self._by_claim.get(claim)
-            if promise is None or promise.until_s <= now_s:
+            grant = self._by_claim.get(claim)
+            if grant is None or grant.until_s <= now_s:
                 self._by_claim[claim] = Grant(holder, now_s + lease_s)
-            elif promise.holder == holder:
-                promise.until_s = max(promise.until_s, now_s + lease_s)
+            elif grant.holder == holder:
+                grant.until_s = max(grant.until_s, now_s + lease_s)
             else:
                 refused.add(claim)
         return frozenset(refused)
 
     def expire(self, now_s: float) -> None:
-        """Removes expired promises, to bound the size of the table."""
+        """Removes expired grants, to bound the size of the table."""
         self._by_claim = {
-            claim: promise
-            for claim, promise in self._by_claim.items()
-            if promise.until_s > now_s
+            claim: grant
+            for claim, grant in self._by_claim.items()
+            if grant.until_s > now_s
         }
 
 
@@ -156,7 +156,7 @@
         """Sets the length of the requested leases, in seconds.
 
         A shorter length applies at once, a longer one from the next heartbeat
-        on, since existing promises have the old length.
+        on, since existing grants have the old length.
         """
         held_s = lease_s * (1 - MAX_CLOCK_DRIFT)
         if held_s > self._lease_s:
