--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -51,7 +51,7 @@
         self._pins: dict[tuple[str, int, int], Pinned] = {}
 
     def pin(self, index: str, rolled_out: int, after: int) -> Pinned:
-        """Pins a version; see `snapshots.choose`."""
+        """Pins a version; see `snapshots.choose_version`."""
         key = (index, rolled_out, after)
         pinned = self._pins.get(key)
         if pinned is None:
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -178,8 +178,8 @@
         """Makes one attempt.
 
         Returns:
-            Its outcome, `Unknown` if there is no result in time; None if no
-            attempt can be made.
+            Its outcome, `UnmatchedResult` if there is no result in time; None
+            if no attempt can be made.
         """
         loop = asyncio.get_running_loop()
         progress = self._attempts.state.progress[self._shard.name]
