--- a/src/azureramp/controllers/answers.py
+++ b/src/azureramp/controllers/answers.py
@@ -36,7 +36,7 @@
     *,
     request_id: str = "",
     addresses: tuple[str, ...] = (),
-    present: resources.Versioned | None = None,
+    current: resources.Versioned | None = None,
     problems: Sequence[rules.Problem] = (),
 ) -> web_api.Response:
     """Creates the response for a failure from the table of failure kinds.
@@ -45,14 +45,14 @@
         failure: The failure.
         request_id: The request's id, if one was admitted.
         addresses: Other entry VMs to use, `IP:port`.
-        present: The current entry, if a change was rejected as stale.
+        current: The current entry, if a change was rejected as stale.
         problems: Validation problems of a resource.
     """
     body = make_error_body(
         failure,
         request_id=request_id,
         addresses=addresses,
-        present=present,
+        current=current,
         problems=problems,
     )
     headers: tuple[tuple[str, str], ...] = ()
@@ -75,7 +75,7 @@
     *,
     request_id: str = "",
     addresses: tuple[str, ...] = (),
-    present: resources.Versioned | None = None,
+    current: resources.Versioned | None = None,
     problems: Sequence[rules.Problem] = (),
 ) -> responses.ErrorAnswer:
     """Creates the response body for a failure; see `make_error`."""
@@ -91,7 +91,7 @@
         detail=failure.detail,
         request_id=request_id,
         addresses=addresses,
-        present=present,
+        present=current,
         problems=tuple(_make_problem(problem) for problem in problems),
     )
 
--- a/src/azureramp/controllers/dry_run.py
+++ b/src/azureramp/controllers/dry_run.py
@@ -47,7 +47,7 @@
         )
     elif item.expected is not None and item.expected != revision:
         error = answers.make_error_body(
-            errors.Failure(errors.Kind.CONFLICT), present=before
+            errors.Failure(errors.Kind.CONFLICT), current=before
         )
     else:
         scratch.entries[(kind, resource.name)] = entry
--- a/src/azureramp/controllers/resource_api.py
+++ b/src/azureramp/controllers/resource_api.py
@@ -257,7 +257,7 @@
 
 
 def _make_refusal(refusal: changes.Refusal) -> web_api.Response:
-    return answers.make_error(refusal.failure, present=refusal.current)
+    return answers.make_error(refusal.failure, current=refusal.current)
 
 
 def make(
