--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -161,7 +161,7 @@
             for name, sighting in self._get_observations().items()
             if members[name].accepts_searchers
             and policy.is_possible_owner(
-                policy.MemberState(members[name].state.value), sighting, now_s
+                policy.AssessedState(members[name].state.value), sighting, now_s
             )
         ]
         own = members.get(self._board.settings.vm)
--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 
-class MemberState(enum.Enum):
+class AssessedState(enum.Enum):
     """The state of another VM as this VM assesses it."""
 
     LISTED = "listed"
@@ -39,7 +39,7 @@
 
 def classify_members(
     sightings: Mapping[str, Observation], now_s: float, suspect_s: float
-) -> dict[str, MemberState]:
+) -> dict[str, AssessedState]:
     """Determines the state of every other VM.
 
     A VM whose heartbeats don't arrive may be healthy: the link may be
@@ -63,26 +63,28 @@
         if now_s - sighting.last_heartbeat_s <= suspect_s
     }
     majority = (len(reachable) + 1) // 2 + 1
-    standings: dict[str, MemberState] = {}
+    standings: dict[str, AssessedState] = {}
     for name, sighting in sightings.items():
         if name in reachable:
             leaving = sighting.leaving
             standings[name] = (
-                MemberState.LEAVING if leaving else MemberState.LIVE
+                AssessedState.LEAVING if leaving else AssessedState.LIVE
             )
         elif sighting.last_heartbeat_s == -math.inf:
-            standings[name] = MemberState.LISTED
+            standings[name] = AssessedState.LISTED
         else:
             missing = 1 + sum(
                 name in sightings[other].suspects for other in reachable
             )
             gone = sighting.leaving or missing >= majority
-            standings[name] = MemberState.GONE if gone else MemberState.SUSPECT
+            standings[name] = (
+                AssessedState.GONE if gone else AssessedState.SUSPECT
+            )
     return standings
 
 
 def is_possible_owner(
-    standing: MemberState, sighting: Observation, now_s: float
+    standing: AssessedState, sighting: Observation, now_s: float
 ) -> bool:
     """Returns True if a VM must be treated as an owner.
 
@@ -90,11 +92,11 @@
     then no other VM may start to use its searchers.
     """
     match standing:
-        case MemberState.LIVE | MemberState.SUSPECT:
+        case AssessedState.LIVE | AssessedState.SUSPECT:
             return True
-        case MemberState.GONE:
+        case AssessedState.GONE:
             return not sighting.leaving and now_s < sighting.may_own_until_s
-        case MemberState.LISTED | MemberState.LEAVING:
+        case AssessedState.LISTED | AssessedState.LEAVING:
             return False
 
 
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -67,17 +67,17 @@
 @pytest.mark.parametrize(
     ("standing", "leaving", "promised_s", "expected"),
     [
-        (membership.MemberState.LIVE, False, 0.0, True),
-        (membership.MemberState.SUSPECT, False, 0.0, True),
-        (membership.MemberState.GONE, False, NOW_S + 0.1, True),
-        (membership.MemberState.GONE, False, NOW_S, False),
-        (membership.MemberState.GONE, True, NOW_S + 0.1, False),
-        (membership.MemberState.LEAVING, True, NOW_S + 0.1, False),
-        (membership.MemberState.LISTED, False, NOW_S + 0.1, False),
+        (membership.AssessedState.LIVE, False, 0.0, True),
+        (membership.AssessedState.SUSPECT, False, 0.0, True),
+        (membership.AssessedState.GONE, False, NOW_S + 0.1, True),
+        (membership.AssessedState.GONE, False, NOW_S, False),
+        (membership.AssessedState.GONE, True, NOW_S + 0.1, False),
+        (membership.AssessedState.LEAVING, True, NOW_S + 0.1, False),
+        (membership.AssessedState.LISTED, False, NOW_S + 0.1, False),
     ],
 )
 def test_an_owner_stays_one_until_its_lease_must_have_expired(
-    standing: membership.MemberState,
+    standing: membership.AssessedState,
     leaving: bool,
     promised_s: float,
     expected: bool,
