--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -116,7 +116,7 @@
         while True:
             await self._contact.wait_until_stable(LAPSE_GRACE_S)
             self._searchers.remove_expired()
-            self._members.drop_lapsed()
+            self._members.remove_expired()
             self._searchers.apply_connection_limits()
 
     def _apply_one(self, entry: store_api.Entry) -> None:
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -117,7 +117,7 @@
             vm: The VM's name.
             store_stable: False if the store was unreachable until a moment
                 ago. The entry may then have lapsed although the VM is alive,
-                so the VM is kept until `drop_lapsed`.
+                so the VM is kept until `remove_expired`.
         """
         if vm == self._board.identity.vm:
             self._written = False
@@ -126,7 +126,7 @@
         elif self._board.members.pop(vm, None) is not None:
             self._log.count(change_log.Change.VM_GONE)
 
-    def drop_lapsed(self) -> None:
+    def remove_expired(self) -> None:
         """Removes the VMs whose lapsed entries have not been written again."""
         for vm in self._lapsed:
             if self._board.members.pop(vm, None) is not None:
