--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -162,7 +162,7 @@
                 incarnation=owned.health.incarnation if owned.health else 0,
                 in_use=owned.count_in_use(now_s),
                 limit=owned.ramp.limit,
-                service_ms=owned.ramp.get_usual_ms(),
+                service_ms=owned.ramp.get_usual_service_ms(),
                 running_ms=owned.get_longest_remaining_s(now_s) * 1000,
                 versions=owned.health.versions if owned.health else (),
                 slow=owned.ramp.count_slow(),
--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -176,7 +176,7 @@
             usable=usable,
             limit=self.ramp.limit,
             queued=len(self.queue),
-            service_ms=self.ramp.get_usual_ms(),
+            service_ms=self.ramp.get_usual_service_ms(),
             versions=health.versions if health else (),
         )
 
--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -203,10 +203,10 @@
         """
         service = owned.place.server.service
         known_ms = [
-            other.ramp.get_usual_ms()
+            other.ramp.get_usual_service_ms()
             for other in self._holdings.owned.values()
             if other.place.server.service == service
-            and other.ramp.get_usual_ms() > 0
+            and other.ramp.get_usual_service_ms() > 0
         ]
         return statistics.median_low(known_ms) if known_ms else 0.0
 
--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -155,7 +155,7 @@
         if self._usual_ms == 0.0 and not self._latencies_ms:
             self._usual_ms = usual_ms
 
-    def get_usual_ms(self) -> float:
+    def get_usual_service_ms(self) -> float:
         """Returns the usual service time, in milliseconds; 0 if unknown."""
         if self.state is State.WARM and self._median_ms:
             return self._median_ms
@@ -173,7 +173,7 @@
         if self.state is State.COLD and self._cold_latencies_ms:
             latest = list(self._cold_latencies_ms)[-RECENT_CALLS:]
             return max(self._usual_ms, statistics.median_low(latest))
-        return self.get_usual_ms()
+        return self.get_usual_service_ms()
 
     def reset_to_cold(self, reason: str) -> None:
         """Resets the ramp to the cold limit.
@@ -181,7 +181,7 @@
         Args:
             reason: The reason, in one word.
         """
-        self._usual_ms = self.get_usual_ms()
+        self._usual_ms = self.get_usual_service_ms()
         self._latencies_ms.clear()
         self._median_ms = 0.0
         self._cold_latencies_ms.clear()
@@ -221,7 +221,7 @@
             after_ms: The time until the cancellation, in milliseconds.
             epoch: The ramp's epoch when the call was dispatched.
         """
-        usual_ms = self.get_usual_ms()
+        usual_ms = self.get_usual_service_ms()
         if epoch != self.epoch or not usual_ms:
             return
         if after_ms > usual_ms * NORMAL_FACTOR:
@@ -242,7 +242,7 @@
 
     def _record_warm_success(self, took_ms: float) -> None:
         """Records the latency of a warm searcher's success."""
-        usual_ms = self.get_usual_ms()
+        usual_ms = self.get_usual_service_ms()
         slow = usual_ms > 0 and took_ms > usual_ms * SLOW_FACTOR
         self._latencies_ms.append(took_ms)
         self._since_median += 1
