--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -64,7 +64,7 @@
     ) -> expression.Result[
         idempotency.Claimed | idempotency.Recorded, errors.Failure
     ]:
-        """Claims a key; see `idempotency.Records`."""
+        """Claims a key; see `idempotency.IdempotencyRecords`."""
         ...
 
 
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -21,7 +21,7 @@
 
 
 class Recorder(Protocol):
-    """Records the outcome of a claim; see `idempotency.Records`."""
+    """Records the outcome of a claim; see `idempotency.IdempotencyRecords`."""
 
     async def finish(self, claimed: idempotency.Claimed, result: bytes) -> None:
         """Records the result."""
--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -38,7 +38,7 @@
 
 
 def classify_members(
-    sightings: Mapping[str, Observation], now_s: float, suspect_s: float
+    observations: Mapping[str, Observation], now_s: float, suspect_s: float
 ) -> dict[str, AssessedState]:
     """Determines the state of every other VM.
 
@@ -49,7 +49,7 @@
     is its own majority: it continues alone, without a lease.
 
     Args:
-        sightings: The observations of the other VMs, by name.
+        observations: The observations of the other VMs, by name.
         now_s: The current time, in seconds.
         suspect_s: Time without heartbeats after which a VM is suspect, in
             seconds.
@@ -59,43 +59,43 @@
     """
     reachable = {
         name
-        for name, sighting in sightings.items()
-        if now_s - sighting.last_heartbeat_s <= suspect_s
+        for name, observation in observations.items()
+        if now_s - observation.last_heartbeat_s <= suspect_s
     }
     majority = (len(reachable) + 1) // 2 + 1
-    standings: dict[str, AssessedState] = {}
-    for name, sighting in sightings.items():
+    states: dict[str, AssessedState] = {}
+    for name, observation in observations.items():
         if name in reachable:
-            leaving = sighting.leaving
-            standings[name] = (
+            leaving = observation.leaving
+            states[name] = (
                 AssessedState.LEAVING if leaving else AssessedState.LIVE
             )
-        elif sighting.last_heartbeat_s == -math.inf:
-            standings[name] = AssessedState.LISTED
+        elif observation.last_heartbeat_s == -math.inf:
+            states[name] = AssessedState.LISTED
         else:
             missing = 1 + sum(
-                name in sightings[other].suspects for other in reachable
+                name in observations[other].suspects for other in reachable
             )
-            gone = sighting.leaving or missing >= majority
-            standings[name] = (
-                AssessedState.GONE if gone else AssessedState.SUSPECT
-            )
-    return standings
+            gone = observation.leaving or missing >= majority
+            states[name] = AssessedState.GONE if gone else AssessedState.SUSPECT
+    return states
 
 
 def is_possible_owner(
-    standing: AssessedState, sighting: Observation, now_s: float
+    state: AssessedState, observation: Observation, now_s: float
 ) -> bool:
     """Returns True if a VM must be treated as an owner.
 
     A VM that is gone stays an owner until its lease must have expired: until
     then no other VM may start to use its searchers.
     """
-    match standing:
+    match state:
         case AssessedState.LIVE | AssessedState.SUSPECT:
             return True
         case AssessedState.GONE:
-            return not sighting.leaving and now_s < sighting.may_own_until_s
+            return (
+                not observation.leaving and now_s < observation.may_own_until_s
+            )
         case AssessedState.LISTED | AssessedState.LEAVING:
             return False
 
