--- a/tests/policy/test_version_evidence.py
+++ b/tests/policy/test_version_evidence.py
@@ -9,7 +9,7 @@
 from azureramp.policy import version_evidence
 
 WORSE = version_evidence.Verdict.WORSE
-OPEN = version_evidence.Verdict.UNDECIDED
+UNDECIDED = version_evidence.Verdict.UNDECIDED
 SEARCHERS = ("a", "b", "c")
 
 
@@ -99,9 +99,9 @@
     assert evidence.get_verdict() is WORSE
 
 
-def test_without_answers_the_verdict_is_open() -> None:
+def test_without_answers_the_verdict_is_undecided() -> None:
     evidence = version_evidence.Evidence(0.0)
-    assert evidence.get_verdict() is OPEN
+    assert evidence.get_verdict() is UNDECIDED
     assert evidence.describe() == "no answers of the new version"
 
 
