--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -52,7 +52,7 @@
 
     __slots__ = ()
 
-    def encode_message(self, message: api.Message) -> api.Fields:
+    def encode_message(self, message: api.Message) -> api.Headers:
         """Returns the headers that all calls for a message share."""
         fields = list(message.fields)
         if message.body or message.method not in (b"GET", b"HEAD"):
@@ -60,7 +60,7 @@
             fields.append((b"content-length", length))
         return fields
 
-    def encode_call(self, call: api.Call) -> api.Fields:
+    def encode_call(self, call: api.Call) -> api.Headers:
         """Returns the headers specific to one call; see `api.Codec`."""
         left_ms = max(1, int(call.left_s * 1000))
         return (
@@ -68,7 +68,7 @@
             (TARGET_INSTANCE, call.searcher.encode("latin-1")),
         )
 
-    def read_id(self, fields: api.Fields) -> bytes:
+    def read_id(self, fields: api.Headers) -> bytes:
         """Returns the request id of an answer; see `api.Codec`."""
         for name, value in fields:
             if name == REQUEST_ID:
@@ -76,7 +76,7 @@
         return b""
 
     def decode_reply(
-        self, status: int, fields: api.Fields, body: bytes
+        self, status: int, fields: api.Headers, body: bytes
     ) -> api.Reply:
         """Decodes a searcher's answer; see `api.Codec`."""
         values = dict(fields)
--- a/src/azureramp/ports/forwarding/api.py
+++ b/src/azureramp/ports/forwarding/api.py
@@ -9,7 +9,7 @@
 
 import h11
 
-Fields = Sequence[tuple[bytes, bytes]]
+Headers = Sequence[tuple[bytes, bytes]]
 """Headers in the order of a message, with names in lower case."""
 
 
@@ -31,7 +31,7 @@
     id: bytes
     method: bytes
     target: bytes
-    fields: Fields
+    fields: Headers
     body: bytes
     head: h11.Request | None = dataclasses.field(
         default=None, compare=False, repr=False
@@ -93,7 +93,7 @@
     """
 
     status: int
-    fields: Fields
+    fields: Headers
     body: bytes
     signature: bytes
     ran: Ran
@@ -135,19 +135,19 @@
 class Codec(Protocol):
     """Encodes and decodes the headers exchanged with searchers."""
 
-    def encode_message(self, message: Message) -> Fields:
+    def encode_message(self, message: Message) -> Headers:
         """Returns the headers that all calls of a message share."""
         ...
 
-    def encode_call(self, call: Call) -> Fields:
+    def encode_call(self, call: Call) -> Headers:
         """Returns the additional headers of one call."""
         ...
 
-    def read_id(self, fields: Fields) -> bytes:
+    def read_id(self, fields: Headers) -> bytes:
         """Returns the request id in a searcher's answer; empty if none."""
         ...
 
-    def decode_reply(self, status: int, fields: Fields, body: bytes) -> Reply:
+    def decode_reply(self, status: int, fields: Headers, body: bytes) -> Reply:
         """Decodes a searcher's answer."""
         ...
 
--- a/src/azureramp/ports/forwarding/link.py
+++ b/src/azureramp/ports/forwarding/link.py
@@ -296,7 +296,7 @@
             and self._transport.get_write_buffer_size() == 0
         )
 
-    def _read_keep_alive(self, fields: api.Fields) -> None:
+    def _read_keep_alive(self, fields: api.Headers) -> None:
         """Reads how long the searcher keeps an idle connection open."""
         for name, value in fields:
             if name == b"keep-alive":
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -72,7 +72,7 @@
     ],
 )
 def test_reply_states_whether_the_call_ran(
-    status: int, fields: api.Fields, ran: api.Ran
+    status: int, fields: api.Headers, ran: api.Ran
 ) -> None:
     reply = headers.Codec().decode_reply(status, fields, b"")
     assert reply.ran is ran
