--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -84,7 +84,7 @@
         not_run = misdirected or NOT_EXECUTED in values
         return api.Reply(
             status=status,
-            fields=fields,
+            headers=fields,
             body=body,
             signature=values.get(SIGNATURE, b""),
             ran=api.Ran.NO if not_run else api.Ran.YES,
@@ -149,7 +149,7 @@
                 status=reply.status,
                 body=reply.body,
                 content_type="",
-                headers=_to_text(_filter_end_to_end(reply.fields)),
+                headers=_to_text(_filter_end_to_end(reply.headers)),
             )
         case requests.Merged():
             signatures = b", ".join(answer.signatures).decode("latin-1")
--- a/src/azureramp/ports/forwarding/api.py
+++ b/src/azureramp/ports/forwarding/api.py
@@ -82,7 +82,7 @@
 
     Attributes:
         status: The HTTP status.
-        fields: The headers as received.
+        headers: The headers as received.
         body: The complete body.
         signature: The searcher's signature of the answer; empty if none.
         ran: Whether the searcher states that it ran the call.
@@ -93,7 +93,7 @@
     """
 
     status: int
-    fields: Headers
+    headers: Headers
     body: bytes
     signature: bytes
     ran: Ran
