--- a/src/azureramp/controllers/forwarding/attempt.py
+++ b/src/azureramp/controllers/forwarding/attempt.py
@@ -73,5 +73,5 @@
             return f"{status} unsigned"
         case api.Reply(status=status):
             return str(status)
-        case api.Lost(loss=loss, sent=sent):
+        case api.LostCall(loss=loss, sent=sent):
             return f"{loss.value}{'' if sent else ', not sent'}"
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -347,7 +347,7 @@
                 )
                 if not self.done:
                     self._handle_reply(outcome, now_s)
-            case api.Lost():
+            case api.LostCall():
                 if outcome.sent and not self.done:
                     self._report_end(attempt, rollout_view.End.FAILED, now_s)
                 self._record_loss(attempt.target, outcome, took_s, now_s)
@@ -375,7 +375,7 @@
     def _record_loss(
         self,
         target: board_module.Target,
-        lost: api.Lost,
+        lost: api.LostCall,
         took_s: float,
         now_s: float,
     ) -> None:
@@ -408,7 +408,7 @@
             self.failed_reply = reply
             self._retry_or_finish(now_s)
 
-    def _handle_loss(self, lost: api.Lost, now_s: float) -> None:
+    def _handle_loss(self, lost: api.LostCall, now_s: float) -> None:
         """Continues after a call without an answer."""
         if lost.sent:
             self.runs += 1
--- a/src/azureramp/ports/forwarding/api.py
+++ b/src/azureramp/ports/forwarding/api.py
@@ -116,7 +116,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Lost:
+class LostCall:
     """A call without an answer.
 
     Attributes:
@@ -128,7 +128,7 @@
     sent: bool
 
 
-Outcome = Reply | Lost
+Outcome = Reply | LostCall
 Receiver = Callable[[Outcome], None]
 
 
--- a/src/azureramp/ports/forwarding/link.py
+++ b/src/azureramp/ports/forwarding/link.py
@@ -337,7 +337,7 @@
         self._reset_call()
         self._on_closed(self, refused)
         if receiver is not None:
-            receiver(api.Lost(loss, sent=True))
+            receiver(api.LostCall(loss, sent=True))
 
 
 def parse_keep_alive(value: bytes) -> float | None:
--- a/src/azureramp/ports/forwarding/pool.py
+++ b/src/azureramp/ports/forwarding/pool.py
@@ -142,7 +142,7 @@
             self._send(link, pending_call)
         elif len(self._waiting) >= MAX_WAITING:
             loop = asyncio.get_running_loop()
-            lost = api.Lost(api.Loss.NO_ROOM, sent=False)
+            lost = api.LostCall(api.Loss.NO_ROOM, sent=False)
             loop.call_soon(pending_call.deliver, lost)
         else:
             self._waiting.append(pending_call)
@@ -366,4 +366,4 @@
         self._waiting.clear()
         loop = asyncio.get_running_loop()
         for pending_call in waiting:
-            loop.call_soon(pending_call.deliver, api.Lost(loss, sent=False))
+            loop.call_soon(pending_call.deliver, api.LostCall(loss, sent=False))
