--- a/src/azureramp/ports/forwarding/api.py
+++ b/src/azureramp/ports/forwarding/api.py
@@ -106,7 +106,7 @@
         return 200 <= self.status < 300 and bool(self.signature)
 
 
-class Loss(enum.Enum):
+class LossReason(enum.Enum):
     """Why a call has no answer."""
 
     NO_CONNECTION = "no_connection"
@@ -124,7 +124,7 @@
         sent: True if any byte of the call may have reached the searcher.
     """
 
-    loss: Loss
+    loss: LossReason
     sent: bool
 
 
--- a/src/azureramp/ports/forwarding/link.py
+++ b/src/azureramp/ports/forwarding/link.py
@@ -151,7 +151,7 @@
 
     def abort(self) -> None:
         """Closes the connection at once; a pending call is lost."""
-        self._end(api.Loss.BROKEN)
+        self._end(api.LossReason.BROKEN)
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -173,7 +173,7 @@
         if self.busy:
             self._feed(b"")
         if not self.closed:
-            self._end(api.Loss.BROKEN, refused=not self._received_any)
+            self._end(api.LossReason.BROKEN, refused=not self._received_any)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -183,7 +183,7 @@
         was received is not used.
         """
         if not self.closed:
-            self._end(api.Loss.BROKEN, refused=not self._received_any)
+            self._end(api.LossReason.BROKEN, refused=not self._received_any)
 
     def _encode(self, call: api.Call) -> bytes:
         """Encodes a call with h11.
@@ -229,7 +229,7 @@
                     case h11.EndOfMessage():
                         self._finish_answer()
                     case _:
-                        self._end(api.Loss.BROKEN)
+                        self._end(api.LossReason.BROKEN)
         except h11.RemoteProtocolError:
             self._abort_invalid()
 
@@ -315,7 +315,7 @@
 
     def _abort_invalid(self) -> None:
         """Closes the connection because it received an invalid answer."""
-        self._end(api.Loss.INVALID)
+        self._end(api.LossReason.INVALID)
         self._transport.abort()
 
     def _close(self) -> None:
@@ -326,7 +326,7 @@
         self._transport.close()
         self._on_closed(self, False)
 
-    def _end(self, loss: api.Loss, refused: bool = False) -> None:
+    def _end(self, loss: api.LossReason, refused: bool = False) -> None:
         """Ends the connection and reports the loss of a pending call."""
         if self.closed:
             return
--- a/src/azureramp/ports/forwarding/pool.py
+++ b/src/azureramp/ports/forwarding/pool.py
@@ -142,7 +142,7 @@
             self._send(link, pending_call)
         elif len(self._waiting) >= MAX_WAITING:
             loop = asyncio.get_running_loop()
-            lost = api.LostCall(api.Loss.NO_ROOM, sent=False)
+            lost = api.LostCall(api.LossReason.NO_ROOM, sent=False)
             loop.call_soon(pending_call.deliver, lost)
         else:
             self._waiting.append(pending_call)
@@ -211,7 +211,7 @@
             link.abort()
         for task in list(self._opening):
             task.cancel()
-        self._fail_waiting(api.Loss.NO_CONNECTION)
+        self._fail_waiting(api.LossReason.NO_CONNECTION)
 
     def _pop_idle(self) -> link_module.Link | None:
         """Removes and returns the usable idle connection that was used last."""
@@ -255,7 +255,7 @@
         ):
             self._open()
         if self._waiting and not self.count_open():
-            self._fail_waiting(api.Loss.NO_ROOM)
+            self._fail_waiting(api.LossReason.NO_ROOM)
 
     def _open(self, timeout_s: float = CONNECT_S) -> asyncio.Task[None]:
         """Opens one connection in the background.
@@ -311,7 +311,7 @@
         if failure is not None and not self._links:
             self._on_unreachable()
         if failed and not self._links and not self._opening:
-            self._fail_waiting(api.Loss.NO_CONNECTION)
+            self._fail_waiting(api.LossReason.NO_CONNECTION)
         elif not failed:
             self._serve_waiting()
 
@@ -360,7 +360,7 @@
         if self._waiting:
             self._open_more()
 
-    def _fail_waiting(self, loss: api.Loss) -> None:
+    def _fail_waiting(self, loss: api.LossReason) -> None:
         """Fails the waiting calls, of which no byte was sent."""
         waiting = list(self._waiting)
         self._waiting.clear()
