--- a/src/azureramp/controllers/forwarding/attempt.py
+++ b/src/azureramp/controllers/forwarding/attempt.py
@@ -67,7 +67,7 @@
     match outcome:
         case api.Reply(misdirected=True):
             return "another searcher answered"
-        case api.Reply(status=status, ran=api.Ran.NO):
+        case api.Reply(status=status, ran=api.Execution.NO):
             return f"{status} not run"
         case api.Reply(status=status, signature=b""):
             return f"{status} unsigned"
--- a/src/azureramp/controllers/forwarding/learning.py
+++ b/src/azureramp/controllers/forwarding/learning.py
@@ -43,7 +43,7 @@
     if reply.is_success():
         record.add_success()
         record.add_time(timings.add(took_s), now_s)
-    elif reply.ran is api.Ran.NO:
+    elif reply.ran is api.Execution.NO:
         # The searcher is full, not faulty: it is skipped briefly.
         record.waiting = max(record.waiting, record.slots)
         record.reported_s = now_s
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -329,7 +329,7 @@
         took_s = now_s - attempt.sent_s
         match outcome:
             case api.Reply():
-                if outcome.ran is not api.Ran.NO:
+                if outcome.ran is not api.Execution.NO:
                     answered = outcome.is_success()
                     self._report_end(
                         attempt,
@@ -392,7 +392,7 @@
 
     def _handle_reply(self, reply: api.Reply, now_s: float) -> None:
         """Continues after an answer: finishes, or makes another call."""
-        if reply.ran is api.Ran.NO:
+        if reply.ran is api.Execution.NO:
             self.rejections += 1
             self._searchers.metrics.count("call.rejected")
             self._retry_or_finish(now_s)
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -87,7 +87,7 @@
             headers=fields,
             body=body,
             signature=values.get(SIGNATURE, b""),
-            ran=api.Ran.NO if not_run else api.Ran.YES,
+            ran=api.Execution.NO if not_run else api.Execution.YES,
             misdirected=misdirected,
             load=_parse_load(values.get(SERVER_LOAD)),
             cold_s=_parse_milliseconds(values.get(COLD_REMAINING)),
--- a/src/azureramp/ports/forwarding/api.py
+++ b/src/azureramp/ports/forwarding/api.py
@@ -53,7 +53,7 @@
     left_s: float
 
 
-class Ran(enum.Enum):
+class Execution(enum.Enum):
     """Whether the searcher ran a call."""
 
     NO = "no"
@@ -96,7 +96,7 @@
     headers: Headers
     body: bytes
     signature: bytes
-    ran: Ran
+    ran: Execution
     misdirected: bool
     load: Load | None
     cold_s: float | None
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -65,14 +65,14 @@
 @pytest.mark.parametrize(
     ("status", "fields", "ran"),
     [
-        (503, ((b"azureramp-not-executed", b"1"),), api.Ran.NO),
-        (421, (), api.Ran.NO),
-        (503, (), api.Ran.YES),
-        (200, ((b"azureramp-server-stamp", b"s"),), api.Ran.YES),
+        (503, ((b"azureramp-not-executed", b"1"),), api.Execution.NO),
+        (421, (), api.Execution.NO),
+        (503, (), api.Execution.YES),
+        (200, ((b"azureramp-server-stamp", b"s"),), api.Execution.YES),
     ],
 )
 def test_reply_states_whether_the_call_ran(
-    status: int, fields: api.Headers, ran: api.Ran
+    status: int, fields: api.Headers, ran: api.Execution
 ) -> None:
     reply = headers.Codec().decode_reply(status, fields, b"")
     assert reply.ran is ran
