--- a/src/azureramp/ports/forwarding/link.py
+++ b/src/azureramp/ports/forwarding/link.py
@@ -20,7 +20,7 @@
 written to a connection that is just closing is lost."""
 
 
-class Link(asyncio.Protocol):
+class SearcherConnection(asyncio.Protocol):
     """A connection that carries calls one after another.
 
     A searcher's answer is used only if it is complete and carries the call's
@@ -61,8 +61,8 @@
     def __init__(
         self,
         codec: api.Codec,
-        on_idle: Callable[[Link], None],
-        on_closed: Callable[[Link, bool], None],
+        on_idle: Callable[[SearcherConnection], None],
+        on_closed: Callable[[SearcherConnection, bool], None],
     ) -> None:
         """Creates a protocol that is not connected yet.
 
--- a/src/azureramp/ports/forwarding/pool.py
+++ b/src/azureramp/ports/forwarding/pool.py
@@ -107,8 +107,8 @@
         self._on_unreachable = on_unreachable
         self._full_backoff_s = 0.0
         self._full_until_s = 0.0
-        self._idle: list[link_module.Link] = []
-        self._links: set[link_module.Link] = set()
+        self._idle: list[link_module.SearcherConnection] = []
+        self._links: set[link_module.SearcherConnection] = set()
         self._opening: set[asyncio.Task[None]] = set()
         self._opening_s = 0.0
         self._waiting: collections.deque[ticket_module.PendingCall] = (
@@ -213,7 +213,7 @@
             task.cancel()
         self._fail_waiting(api.LossReason.NO_CONNECTION)
 
-    def _pop_idle(self) -> link_module.Link | None:
+    def _pop_idle(self) -> link_module.SearcherConnection | None:
         """Removes and returns the usable idle connection that was used last."""
         now_s = asyncio.get_running_loop().time()
         while self._idle:
@@ -224,7 +224,9 @@
         return None
 
     def _send(
-        self, link: link_module.Link, pending_call: ticket_module.PendingCall
+        self,
+        link: link_module.SearcherConnection,
+        pending_call: ticket_module.PendingCall,
     ) -> None:
         """Writes a call and sets the time at which its connection is cut."""
         receiver = pending_call.receiver
@@ -292,9 +294,9 @@
         self._links.add(link)
         self._idle.append(link)
 
-    def _make_link(self) -> link_module.Link:
+    def _make_link(self) -> link_module.SearcherConnection:
         """Creates the protocol of a new connection."""
-        return link_module.Link(
+        return link_module.SearcherConnection(
             self._codec, self._handle_idle, self._handle_closed
         )
 
@@ -332,7 +334,7 @@
         """Returns True while the backoff for a full searcher lasts."""
         return asyncio.get_running_loop().time() < self._full_until_s
 
-    def _handle_idle(self, link: link_module.Link) -> None:
+    def _handle_idle(self, link: link_module.SearcherConnection) -> None:
         """Reuses a connection whose call has ended."""
         self._full_backoff_s = self._full_until_s = 0.0
         if self.unavailable:
@@ -344,7 +346,9 @@
         self._idle.append(link)
         self._serve_waiting()
 
-    def _handle_closed(self, link: link_module.Link, refused: bool) -> None:
+    def _handle_closed(
+        self, link: link_module.SearcherConnection, refused: bool
+    ) -> None:
         """Removes a connection that has closed."""
         if refused:
             backoff_s = max(MIN_FULL_BACKOFF_S, 2 * self._full_backoff_s)
--- a/src/azureramp/ports/forwarding/ticket.py
+++ b/src/azureramp/ports/forwarding/ticket.py
@@ -22,7 +22,7 @@
         """Creates a call that waits for a connection."""
         self.call = call
         self.receiver: api.Receiver | None = receiver
-        self.link: link_module.Link | None = None
+        self.link: link_module.SearcherConnection | None = None
 
     def is_sent(self) -> bool:
         """Returns True if the call was written to a connection."""
