--- a/tests/forwarding/scenes.py
+++ b/tests/forwarding/scenes.py
@@ -10,7 +10,7 @@
 Scenario = Callable[[deployment.Deployment], Awaitable[None]]
 
 SHARDS = ("shard-a", "shard-b", "shard-c", "shard-d")
-PLAIN = "statements"
+SINGLE_SERVICE = "statements"
 
 
 def run(
@@ -20,19 +20,21 @@
 
     The deployment has a route `/all/` to `SHARDS` that requires three shards, a
     route `/one/`, and a route `/once/` whose requests may run only once; the
-    last two lead to `PLAIN`.
+    last two lead to `SINGLE_SERVICE`.
     """
 
     async def run_scenario() -> None:
         scene = deployment.Deployment(seed)
         await scene.start()
-        for service in (*SHARDS, PLAIN):
+        for service in (*SHARDS, SINGLE_SERVICE):
             await scene.add_searchers(service, searchers)
         scene.add_route(
             "/all/", FanoutServices=list(SHARDS), TopK=3, MinShardShare=0.75
         )
-        scene.add_route("/one/", Backend=PLAIN)
-        scene.add_route("/once/", Backend=PLAIN, RouteType="non_idempotent")
+        scene.add_route("/one/", Backend=SINGLE_SERVICE)
+        scene.add_route(
+            "/once/", Backend=SINGLE_SERVICE, RouteType="non_idempotent"
+        )
         scene.declare()
         for number in range(vms):
             await scene.add_vm(f"vm-{number}", f"zone-{number % 2}")
--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -27,7 +27,7 @@
 def test_an_older_version_is_not_applied() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         old = msgspec.json.decode(msgspec.json.encode(scene.configuration))
-        scene.add_route("/new/", Backend=scenes.PLAIN)
+        scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.declare()
         await deployment.settle()
         scene.store.put("op/config", old)
@@ -49,7 +49,7 @@
         await deployment.settle(5.0)
         scene.store.faults.silent = True
         scene.store.remove("servers/statements-0")
-        scene.add_route("/new/", Backend=scenes.PLAIN)
+        scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.declare()
         scene.store.compact()
         scene.store.faults.silent = False
@@ -89,7 +89,7 @@
 def test_a_change_is_applied_while_the_store_is_slow() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.store.faults.slow_s = 0.3
-        scene.add_route("/new/", Backend=scenes.PLAIN)
+        scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.declare()
         await deployment.settle(2.0)
         assert (await scene.ask("vm-0", "/new/x")).status == 200
@@ -147,7 +147,7 @@
         await deployment.settle(3.0)
         assert (await scene.ask("late", "/one/x")).status == 200
         setattr(scene.store.faults, fault, False)
-        scene.add_route("/new/", Backend=scenes.PLAIN)
+        scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.declare()
         await deployment.settle(4.0)
         assert (await scene.ask("late", "/new/x")).status == 200
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -91,7 +91,9 @@
 
 
 async def add_new(
-    scene: deployment.Deployment, version: str, service: str = scenes.PLAIN
+    scene: deployment.Deployment,
+    version: str,
+    service: str = scenes.SINGLE_SERVICE,
 ) -> list[searcher.Searcher]:
     return [
         await scene.add_searcher(
@@ -105,16 +107,16 @@
     """Guards against requests to a version whose order has been replaced."""
 
     async def scenario(scene: deployment.Deployment) -> None:
-        scene.order_rollout(scenes.PLAIN, "v2", 30.0)
+        scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 30.0)
         await add_new(scene, "v2")
         await send(scene, "/one/x", 3.0)
-        scene.order_rollout(scenes.PLAIN, "v3", 8.0)
+        scene.order_rollout(scenes.SINGLE_SERVICE, "v3", 8.0)
         await add_new(scene, "v3")
         await send(scene, "/one/x", 1.0)
         counts_before = count_calls(scene)
         assert counts_before["v2"] > 0
         await send(scene, "/one/x", 7.5)
-        assert scene.read_rollout(scenes.PLAIN) == "completed"
+        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "completed"
         assert count_calls(scene)["v2"] == counts_before["v2"]
         assert count_calls(scene)["v3"] > 20
 
@@ -123,12 +125,12 @@
 
 def test_a_withdrawn_order_is_rolled_back() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        scene.order_rollout(scenes.PLAIN, "v2", 30.0)
+        scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 30.0)
         await add_new(scene, "v2")
         await send(scene, "/one/x", 2.0)
-        scene.store.remove(f"op/rollout/{scenes.PLAIN}")
+        scene.store.remove(f"op/rollout/{scenes.SINGLE_SERVICE}")
         await send(scene, "/one/x", 1.0)
-        assert scene.read_rollout(scenes.PLAIN) == "rolled_back"
+        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "rolled_back"
         counts_before = count_calls(scene)["v2"]
         assert await send(scene, "/one/x", 1.0) == 0
         assert count_calls(scene)["v2"] == counts_before
@@ -138,9 +140,9 @@
 
 def test_an_order_of_the_current_version_is_completed_at_once() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        scene.order_rollout(scenes.PLAIN, "v1", 12.0)
+        scene.order_rollout(scenes.SINGLE_SERVICE, "v1", 12.0)
         assert await send(scene, "/one/x", 2.0) == 0
-        assert scene.read_rollout(scenes.PLAIN) == "completed"
+        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "completed"
         assert await send(scene, "/one/x", 1.0) == 0
 
     scenes.run(scenario)
@@ -148,9 +150,9 @@
 
 def test_a_roll_out_without_new_searchers_is_rolled_back() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        scene.order_rollout(scenes.PLAIN, "v2", 4.0)
+        scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 4.0)
         assert await send(scene, "/one/x", 4.0) == 0
-        assert scene.read_rollout(scenes.PLAIN) == "rolled_back"
+        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "rolled_back"
 
     scenes.run(scenario)
 
@@ -177,12 +179,12 @@
     """Guards against the use of an expired grant by a VM without its driver."""
 
     async def scenario(scene: deployment.Deployment) -> None:
-        scene.order_rollout(scenes.PLAIN, "v2", 60.0)
+        scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 60.0)
         await add_new(scene, "v2")
         await send(scene, "/one/x", 3.0)
         assert count_calls(scene)["v2"] > 0
         for program in scene.programs.values():
-            running = program.rollouts.running[scenes.PLAIN]
+            running = program.rollouts.running[scenes.SINGLE_SERVICE]
             loop = asyncio.get_running_loop()
             sides = running.list_sides(True, loop.time() + 1.5)
             assert [side.value for side in sides] == ["old"]
@@ -194,13 +196,13 @@
     """Guards against a roll-out's age that restarts with each full read."""
 
     async def scenario(scene: deployment.Deployment) -> None:
-        scene.order_rollout(scenes.PLAIN, "v2", 6.0)
+        scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 6.0)
         await add_new(scene, "v2")
         for _ in range(5):
             await send(scene, "/one/x", 1.0)
             scene.store.compact()
         await send(scene, "/one/x", 1.0)
-        assert scene.read_rollout(scenes.PLAIN) == "completed"
+        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "completed"
 
     scenes.run(scenario)
 
@@ -210,12 +212,12 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         await scene.programs.pop("vm-0").kill()
-        scene.order_rollout(scenes.PLAIN, "v2", 8.0)
+        scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 8.0)
         await add_new(scene, "v2")
         await scene.add_vm("vm-0", "zone-0", 30000, first=False)
         await deployment.settle()
         assert await send(scene, "/one/x", 6.8) == 0
-        assert scene.read_rollout(scenes.PLAIN) == "completed"
+        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "completed"
         before = count_calls(scene)["v1"]
         assert await send(scene, "/one/x", 1.0) == 0
         assert count_calls(scene)["v1"] == before
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -29,7 +29,7 @@
 def test_the_request_and_the_answer_pass_unchanged() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         act = searcher.Act(body=b"\x00whole\xff")
-        set_script(scene, scenes.PLAIN, act)
+        set_script(scene, scenes.SINGLE_SERVICE, act)
         answer = await scene.ask(
             "vm-0", "/once/a%2Fb?x=1&x=2", "POST", b"grant", request_id="r-7"
         )
@@ -61,20 +61,20 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, searcher.Act(then="reset"))
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(then="reset"))
         answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 502
-        assert count_runs(scene, scenes.PLAIN) == 1
+        assert count_runs(scene, scenes.SINGLE_SERVICE) == 1
 
     scenes.run(scenario)
 
 
 def test_a_slow_request_that_runs_once_is_not_hedged() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, searcher.Act(after_s=0.5))
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(after_s=0.5))
         answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 200
-        assert count_runs(scene, scenes.PLAIN) == 1
+        assert count_runs(scene, scenes.SINGLE_SERVICE) == 1
 
     scenes.run(scenario)
 
@@ -82,7 +82,7 @@
 def test_a_rejected_request_that_runs_once_goes_to_another() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         def reject_first(seen: searcher.Seen) -> searcher.Act:
-            if count_runs(scene, scenes.PLAIN) == 1:
+            if count_runs(scene, scenes.SINGLE_SERVICE) == 1:
                 return searcher.Act(status=503, not_run=True, signed=False)
             return searcher.Act(body=b"done")
 
@@ -91,7 +91,7 @@
         answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 200
         assert answer.body == b"done"
-        assert count_runs(scene, scenes.PLAIN) == 2
+        assert count_runs(scene, scenes.SINGLE_SERVICE) == 2
 
     scenes.run(scenario)
 
@@ -99,7 +99,7 @@
 def test_a_request_that_no_searcher_ran_is_refused_as_not_run() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         act = searcher.Act(status=503, not_run=True, signed=False)
-        set_script(scene, scenes.PLAIN, act)
+        set_script(scene, scenes.SINGLE_SERVICE, act)
         answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 503
         assert float(scenes.get_headers(answer)["retry-after"]) > 0
@@ -110,7 +110,7 @@
 def test_a_repeatable_request_survives_a_reset() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         def reset_first(seen: searcher.Seen) -> searcher.Act:
-            if count_runs(scene, scenes.PLAIN) == 1:
+            if count_runs(scene, scenes.SINGLE_SERVICE) == 1:
                 return searcher.Act(then="reset")
             return searcher.Act(body=b"done")
 
@@ -144,7 +144,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, act)
+        set_script(scene, scenes.SINGLE_SERVICE, act)
         answer = await scene.ask("vm-0", "/one/x")
         assert answer.status in (502, 504)
         assert b"half" not in answer.body
@@ -170,7 +170,7 @@
             b"HTTP/1.1 200 OK\r\nAzureramp-Request-Id: mine\r\n"
             b"Azureramp-Server-Stamp: s\r\nContent-Length: 4\r\n\r\nmine"
         )
-        set_script(scene, scenes.PLAIN, searcher.Act(raw=late + own))
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(raw=late + own))
         answer = await scene.ask(
             "vm-0", "/once/x", "POST", b"grant", request_id="mine"
         )
@@ -183,7 +183,7 @@
 def test_bytes_after_an_answer_end_the_connection() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         act = searcher.Act(body=b"first", extra=b"HTTP/1.1 200 OK\r\n\r\n")
-        set_script(scene, scenes.PLAIN, act)
+        set_script(scene, scenes.SINGLE_SERVICE, act)
         for _ in range(3):
             answer = await scene.ask("vm-0", "/one/x")
             assert answer.body == b"first"
@@ -197,7 +197,7 @@
 def test_an_answer_without_a_length_ends_with_its_stream() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         act = searcher.Act(framed=False, body=b"whole", then="close")
-        set_script(scene, scenes.PLAIN, act)
+        set_script(scene, scenes.SINGLE_SERVICE, act)
         answer = await scene.ask("vm-0", "/one/x")
         assert answer.body == b"whole"
 
@@ -223,7 +223,7 @@
 
 def test_a_request_is_answered_at_its_routes_timeout() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, searcher.Act(then="hang"))
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(then="hang"))
         began_s = asyncio.get_running_loop().time()
         answer = await scene.ask("vm-0", "/one/x", deadline_ms=5000)
         took_s = asyncio.get_running_loop().time() - began_s
@@ -250,7 +250,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, searcher.Act(then="hang"))
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(then="hang"))
         target = next(iter(scene.programs["vm-0"].board.targets.values()))
         before = [
             asyncio.ensure_future(scene.ask("vm-0", "/once/x", "POST", b"a"))
@@ -281,14 +281,14 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         lost = searcher.Act(after_s=0.01, then="reset")
-        set_script(scene, scenes.PLAIN, lost)
+        set_script(scene, scenes.SINGLE_SERVICE, lost)
         for _ in range(4):
             await scene.ask("vm-0", "/one/x")
-        set_script(scene, scenes.PLAIN, searcher.Act())
-        before = count_runs(scene, scenes.PLAIN)
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act())
+        before = count_runs(scene, scenes.SINGLE_SERVICE)
         grant = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert grant.status == 503
-        assert count_runs(scene, scenes.PLAIN) == before
+        assert count_runs(scene, scenes.SINGLE_SERVICE) == before
         assert (await scene.ask("vm-0", "/one/x")).status == 200
 
     scenes.run(scenario)
