--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -208,7 +208,7 @@
             self._grants.drives,
             self._driver.adopt,
         )
-        self._relays = relays_http.HttpRelays()
+        self._relays = relays_http.HttpRelayClient()
         self._feed = feed.Feed(
             board,
             self._store,
--- a/src/azureramp/ports/relays/http.py
+++ b/src/azureramp/ports/relays/http.py
@@ -19,7 +19,7 @@
 and tries others when it fails."""
 
 
-class HttpRelays:
+class HttpRelayClient:
     """HTTP client of the other VMs; see `api.Relays`."""
 
     __slots__ = ("_pools",)
