--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -110,7 +110,7 @@
         self,
         board: board_module.Board,
         store: store_api.Store,
-        relays: relays_api.Relays,
+        relays: relays_api.RelayClient,
         seeds: Sequence[str],
         own_relay: relay.Relay,
         contacts: contact.Contacts,
--- a/src/azureramp/ports/relays/api.py
+++ b/src/azureramp/ports/relays/api.py
@@ -52,7 +52,7 @@
     announced: bool = False
 
 
-class Relays(Protocol):
+class RelayClient(Protocol):
     """Client of the other VMs.
 
     Errors: `STORE_UNAVAILABLE` if the VM doesn't follow the store or is
