--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -129,7 +129,7 @@
         )
         contacts = contact.Contacts(board)
         log = change_log.ChangeLog()
-        self._drivers = rollouts_http.HttpDrivers()
+        self._drivers = rollouts_http.HttpDriverClient()
         process = rollout_driver.make_process_name(
             process_settings.identity.vm, start
         )
--- a/src/azureramp/ports/rollouts/http.py
+++ b/src/azureramp/ports/rollouts/http.py
@@ -18,7 +18,7 @@
 same time."""
 
 
-class HttpDrivers:
+class HttpDriverClient:
     """HTTP client of the drivers; see `api.Drivers`."""
 
     __slots__ = ("_pools",)
