--- a/src/azureramp/controllers/forwarding/rollout_reports.py
+++ b/src/azureramp/controllers/forwarding/rollout_reports.py
@@ -56,7 +56,7 @@
         self,
         board: board_module.Board,
         rollout_registry: rollouts.Rollouts,
-        drivers: api.Drivers,
+        drivers: api.DriverClient,
         process: str,
     ) -> None:
         """Makes a controller without reports.
--- a/src/azureramp/ports/rollouts/api.py
+++ b/src/azureramp/ports/rollouts/api.py
@@ -79,7 +79,7 @@
     good_ms: int
 
 
-class Drivers(Protocol):
+class DriverClient(Protocol):
     """Client of the VMs that drive roll-outs.
 
     Errors: `NOT_OWNER` if the VM doesn't drive this roll-out or may not decide
