--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Weighted:
+class WeightedService:
     """A service and its weight in a route's traffic split.
 
     Attributes:
@@ -36,7 +36,7 @@
         choices: The services with their weights, at least one.
     """
 
-    choices: tuple[Weighted, ...]
+    choices: tuple[WeightedService, ...]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -219,10 +219,10 @@
     if body.traffic_split:
         return catalog.OneOf(
             tuple(
-                catalog.Weighted(part.backend or part.name, part.weight)
+                catalog.WeightedService(part.backend or part.name, part.weight)
                 for part in body.traffic_split
             )
         )
     if body.backend:
-        return catalog.OneOf((catalog.Weighted(body.backend, 1.0),))
+        return catalog.OneOf((catalog.WeightedService(body.backend, 1.0),))
     raise ValueError(f"route {body.name} names no service")
--- a/src/azureramp/policy/routing.py
+++ b/src/azureramp/policy/routing.py
@@ -63,10 +63,12 @@
     def __init__(self) -> None:
         """Creates a splitter with empty balances."""
         self._credits: dict[
-            tuple[str, tuple[catalog.Weighted, ...]], dict[str, float]
+            tuple[str, tuple[catalog.WeightedService, ...]], dict[str, float]
         ] = collections.defaultdict(dict)
 
-    def choose(self, route: str, choices: tuple[catalog.Weighted, ...]) -> str:
+    def choose(
+        self, route: str, choices: tuple[catalog.WeightedService, ...]
+    ) -> str:
         """Returns the service of a route's next request."""
         if len(choices) == 1:
             return choices[0].service
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -57,7 +57,10 @@
 def test_split_route() -> None:
     split = [{"Backend": "a", "Weight": 3}, {"Backend": "b", "Weight": 1}]
     route = decode_route(TrafficSplit=split)
-    expected = (catalog.Weighted("a", 3), catalog.Weighted("b", 1))
+    expected = (
+        catalog.WeightedService("a", 3),
+        catalog.WeightedService("b", 1),
+    )
     assert route.destination == catalog.OneOf(expected)
 
 
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -13,7 +13,7 @@
         name=prefix,
         host=host,
         prefix=prefix,
-        destination=catalog.OneOf((catalog.Weighted("s", 1.0),)),
+        destination=catalog.OneOf((catalog.WeightedService("s", 1.0),)),
         repeatable=True,
         timeout_s=1.0,
         target_s=0.1,
@@ -47,9 +47,9 @@
 def test_splits_deviate_from_the_weights_by_at_most_one_request() -> None:
     splitter = routing.Splitter()
     choices = (
-        catalog.Weighted("a", 0.7),
-        catalog.Weighted("b", 0.3),
-        catalog.Weighted("c", 0.0),
+        catalog.WeightedService("a", 0.7),
+        catalog.WeightedService("b", 0.3),
+        catalog.WeightedService("c", 0.0),
     )
     counts = dict.fromkeys("abc", 0)
     for number in range(1, 301):
