--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -54,7 +54,7 @@
 
     def encode_message(self, message: api.Message) -> api.Headers:
         """Returns the headers that all calls for a message share."""
-        fields = list(message.fields)
+        fields = list(message.headers)
         if message.body or message.method not in (b"GET", b"HEAD"):
             length = str(len(message.body)).encode("ascii")
             fields.append((b"content-length", length))
@@ -135,7 +135,7 @@
             id=request_id,
             method=request.method.encode("ascii"),
             target=request.target,
-            fields=_filter_end_to_end(request.fields, SET_BY_TIER),
+            headers=_filter_end_to_end(request.fields, SET_BY_TIER),
             body=request.body,
         ),
     )
--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -90,7 +90,7 @@
     Each retry has its own id and deadline, so these are left out.
     """
     digest = hashlib.blake2b(digest_size=12)
-    host = next((v for n, v in message.fields if n == b"host"), b"")
+    host = next((v for n, v in message.headers if n == b"host"), b"")
     for piece in (host, message.method, message.target, message.body):
         digest.update(len(piece).to_bytes(8, "big"))
         digest.update(piece)
--- a/src/azureramp/ports/forwarding/api.py
+++ b/src/azureramp/ports/forwarding/api.py
@@ -21,8 +21,8 @@
         id: The id that the caller gave this attempt.
         method: The HTTP method.
         target: The path with its query, as sent.
-        fields: The headers that are forwarded; excludes headers of the caller's
-            own connection and those that the tier sets itself.
+        headers: The headers that are forwarded; excludes headers of the
+            caller's own connection and those that the tier sets itself.
         body: The body.
         head: The request line and headers after h11 validated them; None until
             the first call is encoded.
@@ -31,7 +31,7 @@
     id: bytes
     method: bytes
     target: bytes
-    fields: Headers
+    headers: Headers
     body: bytes
     head: h11.Request | None = dataclasses.field(
         default=None, compare=False, repr=False
