--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class OneOf:
+class SplitDestination:
     """A destination that sends each request to one searcher of one service.
 
     Attributes:
@@ -55,7 +55,7 @@
     least_share: float
 
 
-Destination = OneOf | AllOf
+Destination = SplitDestination | AllOf
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp/controllers/forwarding/advertised.py
+++ b/src/azureramp/controllers/forwarding/advertised.py
@@ -57,7 +57,7 @@
     used: set[str] = set()
     for route in configuration.routes if configuration else ():
         match route.destination:
-            case catalog.OneOf(choices=choices):
+            case catalog.SplitDestination(choices=choices):
                 used.update(choice.service for choice in choices)
             case catalog.AllOf(services=services):
                 used.update(services)
--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -126,7 +126,7 @@
                     destination,
                     answer_by_s,
                 )
-            case catalog.OneOf(choices=choices):
+            case catalog.SplitDestination(choices=choices):
                 service = self._splitter.choose(route.name, choices)
                 return single.SingleRequest(
                     self._searchers,
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -217,12 +217,14 @@
             least_share=body.min_shard_share,
         )
     if body.traffic_split:
-        return catalog.OneOf(
+        return catalog.SplitDestination(
             tuple(
                 catalog.WeightedService(part.backend or part.name, part.weight)
                 for part in body.traffic_split
             )
         )
     if body.backend:
-        return catalog.OneOf((catalog.WeightedService(body.backend, 1.0),))
+        return catalog.SplitDestination(
+            (catalog.WeightedService(body.backend, 1.0),)
+        )
     raise ValueError(f"route {body.name} names no service")
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -61,7 +61,7 @@
         catalog.WeightedService("a", 3),
         catalog.WeightedService("b", 1),
     )
-    assert route.destination == catalog.OneOf(expected)
+    assert route.destination == catalog.SplitDestination(expected)
 
 
 @pytest.mark.parametrize("kind", ["non_idempotent", "something_new"])
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -13,7 +13,9 @@
         name=prefix,
         host=host,
         prefix=prefix,
-        destination=catalog.OneOf((catalog.WeightedService("s", 1.0),)),
+        destination=catalog.SplitDestination(
+            (catalog.WeightedService("s", 1.0),)
+        ),
         repeatable=True,
         timeout_s=1.0,
         target_s=0.1,
