--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -45,13 +45,13 @@
 
     Attributes:
         services: The names of the shards' services, without duplicates.
-        most_records: Maximum number of records in an answer.
+        max_records: Maximum number of records in an answer.
         least_share: Minimum share of the shards that an answer must cover,
             0 to 1.
     """
 
     services: tuple[str, ...]
-    most_records: int
+    max_records: int
     least_share: float
 
 
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -209,7 +209,7 @@
                 len(self.parts) - len(replies),
                 merging.merge(
                     (reply.body for reply in replies),
-                    self._destination.most_records,
+                    self._destination.max_records,
                 ),
             )
         detail = f"{len(replies)} of {len(self.parts)} shards answered"
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -213,7 +213,7 @@
     if body.fanout_services:
         return catalog.AllOf(
             services=tuple(dict.fromkeys(body.fanout_services)),
-            most_records=body.top_k,
+            max_records=body.top_k,
             least_share=body.min_shard_share,
         )
     if body.traffic_split:
