--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -46,13 +46,13 @@
     Attributes:
         services: The names of the shards' services, without duplicates.
         max_records: Maximum number of records in an answer.
-        least_share: Minimum share of the shards that an answer must cover,
+        min_shard_share: Minimum share of the shards that an answer must cover,
             0 to 1.
     """
 
     services: tuple[str, ...]
     max_records: int
-    least_share: float
+    min_shard_share: float
 
 
 Destination = SplitDestination | AllOf
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -250,7 +250,7 @@
     shards = len(destination.services)
     # A share such as 0.85 has no exact binary form: without the margin, 17 of
     # 20 would be too few.
-    return max(1, math.ceil(destination.least_share * shards - 1e-9))
+    return max(1, math.ceil(destination.min_shard_share * shards - 1e-9))
 
 
 def _is_answered(each: part.Part) -> bool:
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -214,7 +214,7 @@
         return catalog.AllOf(
             services=tuple(dict.fromkeys(body.fanout_services)),
             max_records=body.top_k,
-            least_share=body.min_shard_share,
+            min_shard_share=body.min_shard_share,
         )
     if body.traffic_split:
         return catalog.SplitDestination(
