--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class AllOf:
+class FanoutDestination:
     """A destination that sends each request to one searcher of every shard.
 
     Attributes:
@@ -55,7 +55,7 @@
     min_shard_share: float
 
 
-Destination = SplitDestination | AllOf
+Destination = SplitDestination | FanoutDestination
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp/controllers/forwarding/advertised.py
+++ b/src/azureramp/controllers/forwarding/advertised.py
@@ -59,7 +59,7 @@
         match route.destination:
             case catalog.SplitDestination(choices=choices):
                 used.update(choice.service for choice in choices)
-            case catalog.AllOf(services=services):
+            case catalog.FanoutDestination(services=services):
                 used.update(services)
     return used
 
--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -116,7 +116,7 @@
         if request.deadline_s is not None:
             timings.caller_delay.add(request.deadline_s)
         match route.destination:
-            case catalog.AllOf() as destination:
+            case catalog.FanoutDestination() as destination:
                 return gather.FanOutRequest(
                     self._searchers,
                     self._crash_tracker,
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -73,7 +73,7 @@
         timings: pacing.Pace,
         request: requests.Incoming,
         route: catalog.Route,
-        destination: catalog.AllOf,
+        destination: catalog.FanoutDestination,
         answer_by_s: float,
     ) -> None:
         """Creates a request that has sent nothing; see `run`."""
@@ -245,7 +245,7 @@
     return max(MIN_PARTIAL_ANSWER_SHARE * target_s, left_s)
 
 
-def compute_min_shards(destination: catalog.AllOf) -> int:
+def compute_min_shards(destination: catalog.FanoutDestination) -> int:
     """Returns the minimum number of shards that an answer must include."""
     shards = len(destination.services)
     # A share such as 0.85 has no exact binary form: without the margin, 17 of
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -211,7 +211,7 @@
         ValueError: The route names no service.
     """
     if body.fanout_services:
-        return catalog.AllOf(
+        return catalog.FanoutDestination(
             services=tuple(dict.fromkeys(body.fanout_services)),
             max_records=body.top_k,
             min_shard_share=body.min_shard_share,
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -48,7 +48,7 @@
 
 def test_fanout_route() -> None:
     route = decode_route(FanoutServices=["a", "b"], TopK=5, MinShardShare=0.75)
-    assert route.destination == catalog.AllOf(("a", "b"), 5, 0.75)
+    assert route.destination == catalog.FanoutDestination(("a", "b"), 5, 0.75)
     assert route.host == "search.example"
     assert route.timeout_s == 0.25
     assert route.repeatable
