--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -70,8 +70,8 @@
         repeatable: True if a request may run more than once.
         timeout_s: Maximum time until the caller gets an answer, in seconds.
         target_s: The latency target of an answer, in seconds.
-        attempts: Maximum number of searchers (of each shard) that may run one
-            request.
+        max_attempts: Maximum number of searchers (of each shard) that may run
+            one request.
         priority: The priority of its requests; 0 is the highest.
     """
 
@@ -82,7 +82,7 @@
     repeatable: bool
     timeout_s: float
     target_s: float
-    attempts: int
+    max_attempts: int
     priority: int
 
 
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -214,7 +214,7 @@
     def _may_send(self) -> bool:
         """Returns True if the route's limits allow another call."""
         waiting = sum(not attempt.ended for attempt in self._attempts)
-        attempts = self._context.route.attempts
+        attempts = self._context.route.max_attempts
         return (
             self.runs + waiting < attempts
             and len(self._attempts) < attempts + EXTRA_CALLS_AFTER_REJECTION
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -199,7 +199,7 @@
         ),
         timeout_s=body.timeout_ms / 1000,
         target_s=body.target_latency_ms / 1000,
-        attempts=max(1, body.attempts),
+        max_attempts=max(1, body.attempts),
         priority=body.priority,
     )
 
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -19,7 +19,7 @@
         repeatable=True,
         timeout_s=1.0,
         target_s=0.1,
-        attempts=2,
+        max_attempts=2,
         priority=1,
     )
 
