--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -69,7 +69,7 @@
         destination: Where the requests are sent.
         repeatable: True if a request may run more than once.
         timeout_s: Maximum time until the caller gets an answer, in seconds.
-        target_s: The latency target of an answer, in seconds.
+        target_latency_s: The latency target of an answer, in seconds.
         max_attempts: Maximum number of searchers (of each shard) that may run
             one request.
         priority: The priority of its requests; 0 is the highest.
@@ -81,7 +81,7 @@
     destination: Destination
     repeatable: bool
     timeout_s: float
-    target_s: float
+    target_latency_s: float
     max_attempts: int
     priority: int
 
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -118,7 +118,7 @@
 
     def _start(self, loop: asyncio.AbstractEventLoop, now_s: float) -> None:
         """Makes each shard's first call and sets the timers."""
-        target_s = self._context.route.target_s
+        target_s = self._context.route.target_latency_s
         self.caller_overhead_s = self._estimate_caller_overhead_s(target_s)
         self._partial_after_s = self._request.began_s + compute_cut_s(
             target_s, self.caller_overhead_s
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -66,7 +66,7 @@
         took_ms = (now_s - request.began_s) * 1000
         self._count(answer, took_ms)
         total_ms = took_ms + caller_overhead_s * 1000
-        late = route is not None and total_ms > route.target_s * 1000
+        late = route is not None and total_ms > route.target_latency_s * 1000
         good = outcome in GOOD_OUTCOMES and not late
         sampler = self._sampler if good else self._bad_sampler
         if not sampler.take(now_s):
@@ -82,7 +82,7 @@
             "advertised": self._is_advertised(),
         }
         if route is not None:
-            line["target_ms"] = round(route.target_s * 1000)
+            line["target_ms"] = round(route.target_latency_s * 1000)
         if request.deadline_s is not None:
             line["deadline_ms"] = round(request.deadline_s * 1000)
         match answer:
--- a/src/azureramp/controllers/forwarding/single.py
+++ b/src/azureramp/controllers/forwarding/single.py
@@ -71,7 +71,9 @@
         self._done = loop.create_future()
         if not self._part.start():
             return self._refuse(errors.Kind.OVERLOADED, "no searcher available")
-        hedge_s = self._timings.get_hedge_s(self._context.route.target_s)
+        hedge_s = self._timings.get_hedge_s(
+            self._context.route.target_latency_s
+        )
         timers = [
             loop.call_later(hedge_s, self._part.hedge),
             loop.call_at(self._context.answer_by_s, self._finish),
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -198,7 +198,7 @@
             body.route_type == REPEATABLE or bool(body.fanout_services)
         ),
         timeout_s=body.timeout_ms / 1000,
-        target_s=body.target_latency_ms / 1000,
+        target_latency_s=body.target_latency_ms / 1000,
         max_attempts=max(1, body.attempts),
         priority=body.priority,
     )
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -18,7 +18,7 @@
         ),
         repeatable=True,
         timeout_s=1.0,
-        target_s=0.1,
+        target_latency_s=0.1,
         max_attempts=2,
         priority=1,
     )
