--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -93,7 +93,7 @@
     Attributes:
         name: The service's name.
         health_path: The path of its searchers' health check.
-        connections: Maximum number of connections that one of its searchers
+        max_connections: Maximum number of connections that one of its searchers
             accepts from all VMs together.
         cold_s: How long a searcher is cold after its start, in seconds.
         cold_per_s: Maximum requests per second to a cold searcher; 0 for no
@@ -102,7 +102,7 @@
 
     name: str
     health_path: str
-    connections: int
+    max_connections: int
     cold_s: float
     cold_per_s: float
 
--- a/src/azureramp/controllers/forwarding/advertised.py
+++ b/src/azureramp/controllers/forwarding/advertised.py
@@ -105,7 +105,7 @@
         return 0
     return min(
         (
-            configuration.services[service].connections
+            configuration.services[service].max_connections
             for service in services
             if service in configuration.services
         ),
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -296,7 +296,9 @@
     def _get_share(self, name: str) -> int:
         """Returns how many connections this VM may hold to a searcher."""
         service = self._board.get_service(name)
-        connections = service.connections if service else DEFAULT_CONNECTIONS
+        connections = (
+            service.max_connections if service else DEFAULT_CONNECTIONS
+        )
         return advertising.get_link_share(
             connections, len(self._board.advertised), self._is_advertised()
         )
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -165,7 +165,7 @@
         service.name: catalog.Service(
             name=service.name,
             health_path=service.health_path,
-            connections=service.max_connections,
+            max_connections=service.max_connections,
             cold_s=service.cold_start_s,
             cold_per_s=service.cold_per_s,
         )
