--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -95,7 +95,7 @@
         health_path: The path of its searchers' health check.
         max_connections: Maximum number of connections that one of its searchers
             accepts from all VMs together.
-        cold_s: How long a searcher is cold after its start, in seconds.
+        cold_start_s: How long a searcher is cold after its start, in seconds.
         cold_per_s: Maximum requests per second to a cold searcher; 0 for no
             limit.
     """
@@ -103,7 +103,7 @@
     name: str
     health_path: str
     max_connections: int
-    cold_s: float
+    cold_start_s: float
     cold_per_s: float
 
 
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -166,7 +166,7 @@
             name=service.name,
             health_path=service.health_path,
             max_connections=service.max_connections,
-            cold_s=service.cold_start_s,
+            cold_start_s=service.cold_start_s,
             cold_per_s=service.cold_per_s,
         )
         for service in body.services
