--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -96,15 +96,15 @@
         max_connections: Maximum number of connections that one of its searchers
             accepts from all VMs together.
         cold_start_s: How long a searcher is cold after its start, in seconds.
-        cold_per_s: Maximum requests per second to a cold searcher; 0 for no
-            limit.
+        cold_requests_per_s: Maximum requests per second to a cold searcher; 0
+            for no limit.
     """
 
     name: str
     health_path: str
     max_connections: int
     cold_start_s: float
-    cold_per_s: float
+    cold_requests_per_s: float
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -82,10 +82,13 @@
         if not coldness.is_cold(target, now_s, self._board.pause):
             return True
         service = self._board.get_service(target.searcher.service)
-        if service is None or service.cold_per_s <= 0:
+        if service is None or service.cold_requests_per_s <= 0:
             return True
         bounds = self._board.bounds
-        bound = service.cold_per_s * bounds.cold_overage + bounds.cold_slack
+        bound = (
+            service.cold_requests_per_s * bounds.cold_overage
+            + bounds.cold_slack
+        )
         self.update(now_s)
         recent = coldness.count_recent_calls(target, now_s)
         return recent + 1 <= bound * self._cold_share.part
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -167,7 +167,7 @@
             health_path=service.health_path,
             max_connections=service.max_connections,
             cold_start_s=service.cold_start_s,
-            cold_per_s=service.cold_per_s,
+            cold_requests_per_s=service.cold_per_s,
         )
         for service in body.services
     }
