--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -186,7 +186,7 @@
         limits: The limits of the configuration in force.
         target: The server's limits, changed in place.
     """
-    target.header_bytes = limits.header_bytes
+    target.header_bytes = limits.max_header_bytes
     target.body_bytes = limits.body_bytes
     target.header_s = limits.header_s
     target.idle_s = limits.idle_s
