--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -187,7 +187,7 @@
         target: The server's limits, changed in place.
     """
     target.header_bytes = limits.max_header_bytes
-    target.body_bytes = limits.body_bytes
+    target.body_bytes = limits.max_body_bytes
     target.header_s = limits.header_s
     target.idle_s = limits.idle_s
 
