--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -115,13 +115,13 @@
         max_header_bytes: Maximum size of the request line and headers, in
             bytes.
         max_body_bytes: Maximum size of the body, in bytes.
-        header_s: Timeout for receiving the headers, in seconds.
+        header_timeout_s: Timeout for receiving the headers, in seconds.
         idle_s: Timeout of a connection between two requests, in seconds.
     """
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 1_000_000
-    header_s: float = 10.0
+    header_timeout_s: float = 10.0
     idle_s: float = 60.0
 
 
