--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -116,13 +116,14 @@
             bytes.
         max_body_bytes: Maximum size of the body, in bytes.
         header_timeout_s: Timeout for receiving the headers, in seconds.
-        idle_s: Timeout of a connection between two requests, in seconds.
+        idle_timeout_s: Timeout of a connection between two requests, in
+            seconds.
     """
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 1_000_000
     header_timeout_s: float = 10.0
-    idle_s: float = 60.0
+    idle_timeout_s: float = 60.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -175,7 +175,7 @@
         max_header_bytes=body.limits.max_header_bytes,
         max_body_bytes=body.limits.max_body_bytes,
         header_timeout_s=body.limits.header_timeout_ms / 1000,
-        idle_s=body.limits.idle_timeout_ms / 1000,
+        idle_timeout_s=body.limits.idle_timeout_ms / 1000,
     )
     return catalog.ConfigurationDeclared(
         catalog.Configuration(
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -189,7 +189,7 @@
     target.header_bytes = limits.max_header_bytes
     target.body_bytes = limits.max_body_bytes
     target.header_s = limits.header_timeout_s
-    target.idle_s = limits.idle_s
+    target.idle_s = limits.idle_timeout_s
 
 
 def _filter_end_to_end(
