--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -108,7 +108,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class CallerLimits:
+class RequestLimits:
     """Limits on the size and timing of callers' requests.
 
     Attributes:
@@ -140,7 +140,7 @@
     version: int
     routes: tuple[Route, ...]
     services: Mapping[str, Service]
-    limits: CallerLimits
+    limits: RequestLimits
 
 
 class SearcherState(enum.Enum):
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -171,7 +171,7 @@
         )
         for service in body.services
     }
-    limits = catalog.CallerLimits(
+    limits = catalog.RequestLimits(
         max_header_bytes=body.limits.max_header_bytes,
         max_body_bytes=body.limits.max_body_bytes,
         header_timeout_s=body.limits.header_timeout_ms / 1000,
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -179,7 +179,7 @@
             )
 
 
-def apply_limits(limits: catalog.CallerLimits, target: web_api.Limits) -> None:
+def apply_limits(limits: catalog.RequestLimits, target: web_api.Limits) -> None:
     """Applies the limits on callers' requests to a server.
 
     Args:
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -38,7 +38,7 @@
 )
 def test_the_longest_prefix_wins(path: str, expected: str) -> None:
     routes = tuple(make_route(each) for each in ("/", "/a/", "/a/b/"))
-    limits = catalog.CallerLimits()
+    limits = catalog.RequestLimits()
     table = routing.Table(catalog.Configuration(1, routes, {}, limits))
     found = table.find("h", path)
     assert found is not None
