--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -162,7 +162,7 @@
         zone: Its availability zone.
         slots: How many requests it runs concurrently.
         state: Whether it accepts new requests.
-        cold_s: Remaining time of its cold start when it wrote the
+        cold_remaining_s: Remaining time of its cold start when it wrote the
             announcement, in seconds.
         started_ms: When it started, in milliseconds since 1970; a different
             value under the same id is a different process.
@@ -175,7 +175,7 @@
     zone: str
     slots: int
     state: SearcherState
-    cold_s: float
+    cold_remaining_s: float
     started_ms: int
     version: str = ""
 
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -87,7 +87,7 @@
             by_id = self._board.by_service.setdefault(searcher.service, {})
             by_id[searcher.id] = target
         now_s = asyncio.get_running_loop().time()
-        target.cold_until_s = now_s + searcher.cold_s
+        target.cold_until_s = now_s + searcher.cold_remaining_s
         draining = searcher.state is catalog.SearcherState.DRAINING
         self._log_change(
             target,
@@ -270,7 +270,7 @@
         """Creates the state of a newly announced searcher."""
         near = searcher.zone == self._board.identity.zone
         record = selection.Record(searcher.slots, near)
-        if searcher.cold_s > 0:
+        if searcher.cold_remaining_s > 0:
             record.slowness = COLD_SLOWNESS
             record.measured_s = asyncio.get_running_loop().time()
 
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -150,7 +150,7 @@
             zone=body.zone,
             slots=max(1, body.slots),
             state=state,
-            cold_s=max(0.0, body.cold_remaining_ms / 1000),
+            cold_remaining_s=max(0.0, body.cold_remaining_ms / 1000),
             started_ms=body.born,
             version=body.version,
         )
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -84,7 +84,7 @@
             zone="z",
             slots=2,
             state=catalog.SearcherState.READY,
-            cold_s=1.5,
+            cold_remaining_s=1.5,
             started_ms=17,
         )
     )
