--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -242,7 +242,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class SearcherSeen:
+class SearcherAnnounced:
     """A searcher announced itself or updated its announcement."""
 
     searcher: Searcher
@@ -312,7 +312,7 @@
 
 Update = (
     ConfigurationDeclared
-    | SearcherSeen
+    | SearcherAnnounced
     | SearcherGone
     | ZoneEvacuated
     | MemberSeen
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -124,7 +124,7 @@
         match self._decode(entry):
             case catalog.ConfigurationDeclared(configuration=configuration):
                 self._take_configuration(configuration)
-            case catalog.SearcherSeen(searcher=searcher):
+            case catalog.SearcherAnnounced(searcher=searcher):
                 self._searchers.put(searcher)
             case catalog.SearcherGone(id=searcher):
                 self._handle_missing_searcher(searcher, entry)
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -142,7 +142,7 @@
     host, _, port = body.address.rpartition(":")
     if state is None or not host or not port.isdigit() or not body.backend:
         return catalog.SearcherGone(name)
-    return catalog.SearcherSeen(
+    return catalog.SearcherAnnounced(
         catalog.Searcher(
             id=name,
             service=body.backend,
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -76,7 +76,7 @@
 
 def test_searcher() -> None:
     update = decode("servers/i-1", SEARCHER)
-    assert update == catalog.SearcherSeen(
+    assert update == catalog.SearcherAnnounced(
         catalog.Searcher(
             id="i-1",
             service="s",
@@ -118,7 +118,7 @@
 
 def test_version_of_a_searcher() -> None:
     update = decode("servers/i-1", SEARCHER | {"Version": "v2"})
-    assert isinstance(update, catalog.SearcherSeen)
+    assert isinstance(update, catalog.SearcherAnnounced)
     assert update.searcher.version == "v2"
 
 
