--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -249,7 +249,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class SearcherGone:
+class SearcherRemoved:
     """A searcher's entry was deleted or is invalid."""
 
     id: str
@@ -313,7 +313,7 @@
 Update = (
     ConfigurationDeclared
     | SearcherAnnounced
-    | SearcherGone
+    | SearcherRemoved
     | ZoneEvacuated
     | MemberSeen
     | MemberGone
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -126,7 +126,7 @@
                 self._take_configuration(configuration)
             case catalog.SearcherAnnounced(searcher=searcher):
                 self._searchers.put(searcher)
-            case catalog.SearcherGone(id=searcher):
+            case catalog.SearcherRemoved(id=searcher):
                 self._handle_missing_searcher(searcher, entry)
             case catalog.ZoneEvacuated(zone=zone, out=out):
                 self._apply_evacuation(zone, out)
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -133,15 +133,15 @@
     entry was valid.
     """
     if value is None or not _HEADER_SAFE.fullmatch(name):
-        return catalog.SearcherGone(name)
+        return catalog.SearcherRemoved(name)
     try:
         body = _searcher_decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return catalog.SearcherGone(name)
+        return catalog.SearcherRemoved(name)
     state = SEARCHER_STATES.get(body.state)
     host, _, port = body.address.rpartition(":")
     if state is None or not host or not port.isdigit() or not body.backend:
-        return catalog.SearcherGone(name)
+        return catalog.SearcherRemoved(name)
     return catalog.SearcherAnnounced(
         catalog.Searcher(
             id=name,
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -105,11 +105,11 @@
     fields: dict[str, Any],
 ) -> None:
     update = decode("servers/i-1", SEARCHER | fields)
-    assert update == catalog.SearcherGone("i-1")
+    assert update == catalog.SearcherRemoved("i-1")
 
 
 def test_deletions_and_evacuations() -> None:
-    assert decode("servers/i-1", None) == catalog.SearcherGone("i-1")
+    assert decode("servers/i-1", None) == catalog.SearcherRemoved("i-1")
     assert decode("op/evacuate/z", {}) == catalog.ZoneEvacuated("z", True)
     assert decode("op/evacuate/z", None) == catalog.ZoneEvacuated("z", False)
     assert decode("azureramp/members/v", None) == catalog.MemberGone("v")
