--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -269,7 +269,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class MemberSeen:
+class MemberAnnounced:
     """A VM of this tier announced itself or updated its announcement."""
 
     member: Member
@@ -315,7 +315,7 @@
     | SearcherAnnounced
     | SearcherRemoved
     | ZoneEvacuated
-    | MemberSeen
+    | MemberAnnounced
     | MemberGone
     | RequestBlamed
     | RolloutOrdered
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -130,7 +130,7 @@
                 self._handle_missing_searcher(searcher, entry)
             case catalog.ZoneEvacuated(zone=zone, out=out):
                 self._apply_evacuation(zone, out)
-            case catalog.MemberSeen(member=member):
+            case catalog.MemberAnnounced(member=member):
                 self._members.put(member)
             case catalog.MemberGone(vm=vm):
                 self._members.remove(
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -71,7 +71,7 @@
         if key.startswith(VM_PREFIX):
             if value is None:
                 return catalog.MemberGone(key.removeprefix(VM_PREFIX))
-            return catalog.MemberSeen(_vm_decoder.decode(value))
+            return catalog.MemberAnnounced(_vm_decoder.decode(value))
         if key.startswith(CRASH_REPORT_PREFIX) and value is not None:
             return _crash_report_decoder.decode(value)
         if key.startswith(ROLLOUT_ORDER_PREFIX):
