--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -276,7 +276,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class MemberGone:
+class MemberRemoved:
     """A VM's entry was deleted."""
 
     vm: str
@@ -316,7 +316,7 @@
     | SearcherRemoved
     | ZoneEvacuated
     | MemberAnnounced
-    | MemberGone
+    | MemberRemoved
     | RequestBlamed
     | RolloutOrdered
     | RolloutWithdrawn
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -132,7 +132,7 @@
                 self._apply_evacuation(zone, out)
             case catalog.MemberAnnounced(member=member):
                 self._members.put(member)
-            case catalog.MemberGone(vm=vm):
+            case catalog.MemberRemoved(vm=vm):
                 self._members.remove(
                     vm, self._contact.has_been_reachable(LAPSE_GRACE_S)
                 )
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -70,7 +70,7 @@
             return catalog.ZoneEvacuated(zone, out=value is not None)
         if key.startswith(VM_PREFIX):
             if value is None:
-                return catalog.MemberGone(key.removeprefix(VM_PREFIX))
+                return catalog.MemberRemoved(key.removeprefix(VM_PREFIX))
             return catalog.MemberAnnounced(_vm_decoder.decode(value))
         if key.startswith(CRASH_REPORT_PREFIX) and value is not None:
             return _crash_report_decoder.decode(value)
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -112,7 +112,7 @@
     assert decode("servers/i-1", None) == catalog.SearcherRemoved("i-1")
     assert decode("op/evacuate/z", {}) == catalog.ZoneEvacuated("z", True)
     assert decode("op/evacuate/z", None) == catalog.ZoneEvacuated("z", False)
-    assert decode("azureramp/members/v", None) == catalog.MemberGone("v")
+    assert decode("azureramp/members/v", None) == catalog.MemberRemoved("v")
     assert decode("status/else", {}) is None
 
 
