--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -256,7 +256,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class ZoneEvacuated:
+class ZoneEvacuationChanged:
     """Operators took a zone's searchers out of use, or back into use.
 
     Attributes:
@@ -314,7 +314,7 @@
     ConfigurationDeclared
     | SearcherAnnounced
     | SearcherRemoved
-    | ZoneEvacuated
+    | ZoneEvacuationChanged
     | MemberAnnounced
     | MemberRemoved
     | RequestBlamed
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -128,7 +128,7 @@
                 self._searchers.put(searcher)
             case catalog.SearcherRemoved(id=searcher):
                 self._handle_missing_searcher(searcher, entry)
-            case catalog.ZoneEvacuated(zone=zone, out=out):
+            case catalog.ZoneEvacuationChanged(zone=zone, out=out):
                 self._apply_evacuation(zone, out)
             case catalog.MemberAnnounced(member=member):
                 self._members.put(member)
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -67,7 +67,7 @@
             return _decode_searcher(name, value)
         if key.startswith(EVACUATION_PREFIX):
             zone = key.removeprefix(EVACUATION_PREFIX)
-            return catalog.ZoneEvacuated(zone, out=value is not None)
+            return catalog.ZoneEvacuationChanged(zone, out=value is not None)
         if key.startswith(VM_PREFIX):
             if value is None:
                 return catalog.MemberRemoved(key.removeprefix(VM_PREFIX))
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -110,8 +110,12 @@
 
 def test_deletions_and_evacuations() -> None:
     assert decode("servers/i-1", None) == catalog.SearcherRemoved("i-1")
-    assert decode("op/evacuate/z", {}) == catalog.ZoneEvacuated("z", True)
-    assert decode("op/evacuate/z", None) == catalog.ZoneEvacuated("z", False)
+    assert decode("op/evacuate/z", {}) == catalog.ZoneEvacuationChanged(
+        "z", True
+    )
+    assert decode("op/evacuate/z", None) == catalog.ZoneEvacuationChanged(
+        "z", False
+    )
     assert decode("azureramp/members/v", None) == catalog.MemberRemoved("v")
     assert decode("status/else", {}) is None
 
