--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -283,7 +283,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class RequestBlamed:
+class CrashReport:
     """A VM's report that a request crashed searchers.
 
     The attributes are the keys of its encoding in the store.
@@ -317,7 +317,7 @@
     | ZoneEvacuationChanged
     | MemberAnnounced
     | MemberRemoved
-    | RequestBlamed
+    | CrashReport
     | RolloutOrdered
     | RolloutWithdrawn
     | RolloutRecorded
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -136,7 +136,7 @@
                 self._members.remove(
                     vm, self._contact.has_been_reachable(LAPSE_GRACE_S)
                 )
-            case catalog.RequestBlamed() as blamed:
+            case catalog.CrashReport() as blamed:
                 self._crashes.adopt(blamed)
             case catalog.RolloutOrdered(order=order):
                 self._rollouts.apply_order(order)
--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -20,7 +20,7 @@
 """Maximum number of reports that wait to be written. The crash of a whole zone
 is attributed to many requests once; only requests that recur matter."""
 
-Encode = Callable[[catalog.RequestBlamed], tuple[str, bytes]]
+Encode = Callable[[catalog.CrashReport], tuple[str, bytes]]
 """Returns a report's key and value in the store."""
 
 _logger = logbook.Logger("azureramp.crashes")
@@ -48,7 +48,7 @@
         self._store = store
         self._encode = encode
         self._crash_counts = blame.Blames()
-        self._reports: asyncio.Queue[catalog.RequestBlamed] = asyncio.Queue(
+        self._reports: asyncio.Queue[catalog.CrashReport] = asyncio.Queue(
             MAX_PENDING_REPORTS
         )
 
@@ -87,7 +87,7 @@
 
         target.pool.probe(handle_probe)
 
-    def adopt(self, report: catalog.RequestBlamed) -> None:
+    def adopt(self, report: catalog.CrashReport) -> None:
         """Records the crashes that another VM reports."""
         if report.vm == self._board.identity.vm:
             return
@@ -137,12 +137,12 @@
             and not self._reports.full()
         ):
             self._reports.put_nowait(
-                catalog.RequestBlamed(
+                catalog.CrashReport(
                     fingerprint, self._board.identity.vm, crashes
                 )
             )
 
-    async def _write(self, report: catalog.RequestBlamed, lease: str) -> None:
+    async def _write(self, report: catalog.CrashReport, lease: str) -> None:
         """Writes a report, replacing an earlier one of this request if any."""
         key, value = self._encode(report)
         result = await self._store.write(key, value, store_api.CREATE, lease)
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -43,7 +43,7 @@
 _configuration_decoder = msgspec.json.Decoder(bodies.ConfigurationBody)
 _searcher_decoder = msgspec.json.Decoder(bodies.SearcherBody)
 _vm_decoder = msgspec.json.Decoder(catalog.Member)
-_crash_report_decoder = msgspec.json.Decoder(catalog.RequestBlamed)
+_crash_report_decoder = msgspec.json.Decoder(catalog.CrashReport)
 _order_decoder = msgspec.json.Decoder(bodies.RolloutOrderBody)
 _record_decoder = msgspec.json.Decoder(rollout_types.Record)
 
@@ -91,7 +91,7 @@
 
 
 def encode_crash_report(
-    crash_report: catalog.RequestBlamed,
+    crash_report: catalog.CrashReport,
 ) -> tuple[str, bytes]:
     """Returns the key and value of a crash report on a request."""
     name = f"{crash_report.fingerprint}/{crash_report.vm}"
