--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -300,7 +300,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Unreadable:
+class InvalidEntry:
     """An entry with a known key could not be decoded.
 
     Attributes:
@@ -321,6 +321,6 @@
     | RolloutOrdered
     | RolloutWithdrawn
     | RolloutRecorded
-    | Unreadable
+    | InvalidEntry
 )
 """An update decoded from one entry of the store."""
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -144,7 +144,7 @@
                 self._rollouts.withdraw(service)
             case catalog.RolloutRecorded(record=record, revision=revision):
                 self._rollouts.apply_record(record, revision)
-            case catalog.Unreadable(reason=reason):
+            case catalog.InvalidEntry(reason=reason):
                 self._skip(reason)
             case _:
                 pass
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -81,7 +81,7 @@
                 _record_decoder.decode(value), entry.revision
             )
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
-        return catalog.Unreadable(f"{key}: {error}")
+        return catalog.InvalidEntry(f"{key}: {error}")
     return None
 
 
@@ -118,7 +118,7 @@
         return catalog.RolloutWithdrawn(service)
     body = _order_decoder.decode(entry.value)
     if not body.target_version:
-        return catalog.Unreadable(f"{entry.key}: TargetVersion is empty")
+        return catalog.InvalidEntry(f"{entry.key}: TargetVersion is empty")
     return catalog.RolloutOrdered(
         rollout_types.Order(
             service, body.target_version, body.duration_s, entry.revision
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -71,7 +71,7 @@
 
 def test_invalid_configuration_is_unreadable() -> None:
     update = decode("op/config", {"Version": "x"})
-    assert isinstance(update, catalog.Unreadable)
+    assert isinstance(update, catalog.InvalidEntry)
 
 
 def test_searcher() -> None:
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("body", [{}, {"TargetVersion": ""}, [1], "x"])
 def test_invalid_rollout_order_is_unreadable(body: Any) -> None:
-    assert isinstance(decode("op/rollout/s", body), catalog.Unreadable)
+    assert isinstance(decode("op/rollout/s", body), catalog.InvalidEntry)
 
 
 @pytest.mark.parametrize(
