--- a/src/azureramp/cli/client.py
+++ b/src/azureramp/cli/client.py
@@ -24,7 +24,7 @@
 def make_error_answer(
     kind: errors.Kind,
     detail: str = "",
-    ran: errors.Ran | None = None,
+    ran: errors.Execution | None = None,
 ) -> responses.ErrorAnswer:
     """Builds the error answer for a failure that the tool itself detected."""
     answer = errors.ANSWERS[kind]
@@ -86,7 +86,7 @@
         if query:
             target += "?" + urllib.parse.urlencode(query)
         failure = make_error_answer(
-            errors.Kind.CONNECTION_LOST, ran=errors.Ran.NOT_RUN
+            errors.Kind.CONNECTION_LOST, ran=errors.Execution.NOT_RUN
         )
         unknown_outcome: responses.ErrorAnswer | None = None
         for address in self.common.addresses:
@@ -96,7 +96,10 @@
             failure = (
                 result.error if result.is_error() else _decode_error(result.ok)
             )
-            if failure.ran == errors.Ran.UNKNOWN.value and method != "GET":
+            if (
+                failure.ran == errors.Execution.UNKNOWN.value
+                and method != "GET"
+            ):
                 unknown_outcome = failure
             if not _may_succeed_elsewhere(failure):
                 break
@@ -123,7 +126,7 @@
                 make_error_answer(
                     errors.Kind.CONNECTION_LOST,
                     connected.error.detail,
-                    errors.Ran.NOT_RUN,
+                    errors.Execution.NOT_RUN,
                 )
             )
         link = connected.ok
@@ -140,7 +143,7 @@
                 make_error_answer(
                     errors.Kind.CONNECTION_LOST,
                     f"{address}: {error}",
-                    errors.Ran.NOT_RUN,
+                    errors.Execution.NOT_RUN,
                 )
             )
         except (connection.BrokenError, TimeoutError) as error:
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -122,7 +122,7 @@
                 counters.count("forward.missing", missing)
             case requests.Refused(failure=failure):
                 ran = failure.get_answer().ran
-                refused = ran is errors.Ran.NOT_RUN
+                refused = ran is errors.Execution.NOT_RUN
                 counters.count(
                     "forward.refused" if refused else "forward.failed"
                 )
--- a/src/azureramp/controllers/request_log.py
+++ b/src/azureramp/controllers/request_log.py
@@ -59,7 +59,7 @@
                 event = events.RequestAnswered(
                     request_id=request_id,
                     code="ok",
-                    ran=errors.Ran.RAN.value,
+                    ran=errors.Execution.RAN.value,
                     version=answer.version,
                     coverage=answer.coverage,
                     missing=tuple((m.low, m.high) for m in answer.missing),
@@ -93,7 +93,7 @@
                 event = events.RequestAnswered(
                     request_id=request_id,
                     code="ok",
-                    ran=errors.Ran.RAN.value,
+                    ran=errors.Execution.RAN.value,
                     version=version,
                     took_ms=self._count(started_s),
                     idempotency_key=idempotency_key,
@@ -114,7 +114,7 @@
     ) -> None:
         """Records and counts a request without a result."""
         ran = failure.get_answer().ran
-        if ran is errors.Ran.NOT_RUN:
+        if ran is errors.Execution.NOT_RUN:
             self._board.metrics.count("request.refused")
         event = events.RequestAnswered(
             request_id=request_id,
--- a/src/azureramp/errors.py
+++ b/src/azureramp/errors.py
@@ -12,7 +12,7 @@
 import enum
 
 
-class Ran(enum.Enum):
+class Execution(enum.Enum):
     """Whether a failed request was executed."""
 
     NOT_RUN = "not_run"
@@ -85,7 +85,7 @@
     """
 
     status: int
-    ran: Ran
+    ran: Execution
     retry: Retry
     retry_after_ms: int = 0
 
@@ -117,43 +117,47 @@
 
 
 ANSWERS: dict[Kind, Answer] = {
-    Kind.BAD_REQUEST: Answer(400, Ran.NOT_RUN, Retry.NEVER),
-    Kind.TOO_LARGE: Answer(413, Ran.NOT_RUN, Retry.NEVER),
-    Kind.UNAUTHENTICATED: Answer(401, Ran.NOT_RUN, Retry.NEVER),
-    Kind.FORBIDDEN: Answer(403, Ran.NOT_RUN, Retry.NEVER),
-    Kind.NOT_FOUND: Answer(404, Ran.NOT_RUN, Retry.NEVER),
-    Kind.METHOD_NOT_ALLOWED: Answer(405, Ran.NOT_RUN, Retry.NEVER),
-    Kind.INVALID_RESOURCE: Answer(422, Ran.NOT_RUN, Retry.NEVER),
-    Kind.CONFLICT: Answer(409, Ran.NOT_RUN, Retry.READ_STATE),
-    Kind.NOT_IN_FORCE: Answer(503, Ran.UNKNOWN, Retry.READ_STATE, 1000),
-    Kind.OVERLOADED: Answer(503, Ran.NOT_RUN, Retry.SAME, 1000),
-    Kind.DEADLINE_TOO_SHORT: Answer(503, Ran.NOT_RUN, Retry.SAME, 1000),
-    Kind.DEADLINE_PASSED: Answer(504, Ran.UNKNOWN, Retry.SAME),
-    Kind.SHARDS_UNREACHABLE: Answer(503, Ran.NOT_RUN, Retry.SAME, 300),
-    Kind.SHARDS_MISSING: Answer(502, Ran.UNKNOWN, Retry.SAME),
-    Kind.STORE_HISTORY_GONE: Answer(503, Ran.NOT_RUN, Retry.SAME),
-    Kind.COVERAGE_TOO_LOW: Answer(503, Ran.RAN, Retry.SAME, 1000),
-    Kind.NO_SNAPSHOT: Answer(503, Ran.NOT_RUN, Retry.SAME, 1000),
-    Kind.QUARANTINED: Answer(503, Ran.NOT_RUN, Retry.SAME, 60000),
-    Kind.SHED: Answer(503, Ran.NOT_RUN, Retry.SAME, 500),
-    Kind.COLD: Answer(503, Ran.NOT_RUN, Retry.SAME, 1000),
-    Kind.NOT_OWNER: Answer(503, Ran.NOT_RUN, Retry.SAME, 200),
-    Kind.ZONE_OUT: Answer(503, Ran.NOT_RUN, Retry.OTHER_ADDRESS),
-    Kind.LEAVING: Answer(503, Ran.NOT_RUN, Retry.OTHER_ADDRESS),
-    Kind.STALE_CONFIGURATION: Answer(503, Ran.NOT_RUN, Retry.OTHER_ADDRESS),
-    Kind.NO_CONFIGURATION: Answer(503, Ran.NOT_RUN, Retry.OTHER_ADDRESS, 500),
-    Kind.STORE_UNAVAILABLE: Answer(503, Ran.NOT_RUN, Retry.SAME, 2000),
+    Kind.BAD_REQUEST: Answer(400, Execution.NOT_RUN, Retry.NEVER),
+    Kind.TOO_LARGE: Answer(413, Execution.NOT_RUN, Retry.NEVER),
+    Kind.UNAUTHENTICATED: Answer(401, Execution.NOT_RUN, Retry.NEVER),
+    Kind.FORBIDDEN: Answer(403, Execution.NOT_RUN, Retry.NEVER),
+    Kind.NOT_FOUND: Answer(404, Execution.NOT_RUN, Retry.NEVER),
+    Kind.METHOD_NOT_ALLOWED: Answer(405, Execution.NOT_RUN, Retry.NEVER),
+    Kind.INVALID_RESOURCE: Answer(422, Execution.NOT_RUN, Retry.NEVER),
+    Kind.CONFLICT: Answer(409, Execution.NOT_RUN, Retry.READ_STATE),
+    Kind.NOT_IN_FORCE: Answer(503, Execution.UNKNOWN, Retry.READ_STATE, 1000),
+    Kind.OVERLOADED: Answer(503, Execution.NOT_RUN, Retry.SAME, 1000),
+    Kind.DEADLINE_TOO_SHORT: Answer(503, Execution.NOT_RUN, Retry.SAME, 1000),
+    Kind.DEADLINE_PASSED: Answer(504, Execution.UNKNOWN, Retry.SAME),
+    Kind.SHARDS_UNREACHABLE: Answer(503, Execution.NOT_RUN, Retry.SAME, 300),
+    Kind.SHARDS_MISSING: Answer(502, Execution.UNKNOWN, Retry.SAME),
+    Kind.STORE_HISTORY_GONE: Answer(503, Execution.NOT_RUN, Retry.SAME),
+    Kind.COVERAGE_TOO_LOW: Answer(503, Execution.RAN, Retry.SAME, 1000),
+    Kind.NO_SNAPSHOT: Answer(503, Execution.NOT_RUN, Retry.SAME, 1000),
+    Kind.QUARANTINED: Answer(503, Execution.NOT_RUN, Retry.SAME, 60000),
+    Kind.SHED: Answer(503, Execution.NOT_RUN, Retry.SAME, 500),
+    Kind.COLD: Answer(503, Execution.NOT_RUN, Retry.SAME, 1000),
+    Kind.NOT_OWNER: Answer(503, Execution.NOT_RUN, Retry.SAME, 200),
+    Kind.ZONE_OUT: Answer(503, Execution.NOT_RUN, Retry.OTHER_ADDRESS),
+    Kind.LEAVING: Answer(503, Execution.NOT_RUN, Retry.OTHER_ADDRESS),
+    Kind.STALE_CONFIGURATION: Answer(
+        503, Execution.NOT_RUN, Retry.OTHER_ADDRESS
+    ),
+    Kind.NO_CONFIGURATION: Answer(
+        503, Execution.NOT_RUN, Retry.OTHER_ADDRESS, 500
+    ),
+    Kind.STORE_UNAVAILABLE: Answer(503, Execution.NOT_RUN, Retry.SAME, 2000),
     Kind.STORE_OUTCOME_UNKNOWN: Answer(
-        503, Ran.UNKNOWN, Retry.READ_STATE, 2000
+        503, Execution.UNKNOWN, Retry.READ_STATE, 2000
     ),
-    Kind.KEY_REUSED: Answer(422, Ran.NOT_RUN, Retry.NEVER),
-    Kind.IN_PROGRESS: Answer(409, Ran.UNKNOWN, Retry.SAME, 500),
-    Kind.OUTCOME_UNKNOWN: Answer(502, Ran.UNKNOWN, Retry.READ_STATE),
-    Kind.CONNECTION_LOST: Answer(502, Ran.UNKNOWN, Retry.SAME),
-    Kind.CROSSED_REPLY: Answer(502, Ran.UNKNOWN, Retry.SAME),
-    Kind.VERSION_GONE: Answer(503, Ran.NOT_RUN, Retry.SAME, 200),
-    Kind.BACKEND_CRASHED: Answer(502, Ran.UNKNOWN, Retry.SAME),
-    Kind.BACKEND_FAILED: Answer(502, Ran.UNKNOWN, Retry.SAME),
-    Kind.CANCELLED: Answer(499, Ran.UNKNOWN, Retry.SAME),
-    Kind.INTERNAL: Answer(500, Ran.UNKNOWN, Retry.SAME, 1000),
+    Kind.KEY_REUSED: Answer(422, Execution.NOT_RUN, Retry.NEVER),
+    Kind.IN_PROGRESS: Answer(409, Execution.UNKNOWN, Retry.SAME, 500),
+    Kind.OUTCOME_UNKNOWN: Answer(502, Execution.UNKNOWN, Retry.READ_STATE),
+    Kind.CONNECTION_LOST: Answer(502, Execution.UNKNOWN, Retry.SAME),
+    Kind.CROSSED_REPLY: Answer(502, Execution.UNKNOWN, Retry.SAME),
+    Kind.VERSION_GONE: Answer(503, Execution.NOT_RUN, Retry.SAME, 200),
+    Kind.BACKEND_CRASHED: Answer(502, Execution.UNKNOWN, Retry.SAME),
+    Kind.BACKEND_FAILED: Answer(502, Execution.UNKNOWN, Retry.SAME),
+    Kind.CANCELLED: Answer(499, Execution.UNKNOWN, Retry.SAME),
+    Kind.INTERNAL: Answer(500, Execution.UNKNOWN, Retry.SAME, 1000),
 }
--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -19,7 +19,7 @@
 )
 """Error kinds by which a queue or a searcher reports overload."""
 
-NOT_RUN = errors.Ran.NOT_RUN
+NOT_RUN = errors.Execution.NOT_RUN
 
 
 @dataclasses.dataclass(slots=True)
--- a/tests/controllers/test_admitting.py
+++ b/tests/controllers/test_admitting.py
@@ -58,7 +58,7 @@
         outcome.sent += 1
         if result.is_ok():
             outcome.complete += result.ok.complete
-        elif result.error.get_answer().ran is errors.Ran.NOT_RUN:
+        elif result.error.get_answer().ran is errors.Execution.NOT_RUN:
             outcome.refused += 1
             outcome.quick_refusals += loop.time() - began_s < 0.001
 
@@ -162,7 +162,7 @@
 
     assert failure.kind.value == expected, case_name
     ran = failure.get_answer().ran
-    assert (ran is errors.Ran.NOT_RUN) == (kind.value != "backend_failed")
+    assert (ran is errors.Execution.NOT_RUN) == (kind.value != "backend_failed")
 
 
 def test_refusal_after_a_part_ran_is_not_reported_as_not_run() -> None:
@@ -180,7 +180,7 @@
 
     failure = query_cell.run(main())
 
-    assert failure.get_answer().ran is not errors.Ran.NOT_RUN
+    assert failure.get_answer().ran is not errors.Execution.NOT_RUN
 
 
 def test_abandoned_query_cancels_all_its_parts() -> None:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -50,7 +50,7 @@
     decided = admission.decide(demand, draw)
 
     assert decided is kind
-    assert kind is None or errors.ANSWERS[kind].ran is errors.Ran.NOT_RUN
+    assert kind is None or errors.ANSWERS[kind].ran is errors.Execution.NOT_RUN
 
 
 def overload(
