--- a/src/azureramp/cli/explain.py
+++ b/src/azureramp/cli/explain.py
@@ -58,7 +58,7 @@
         yield f"  {fields['detail']}"
     yield f"cause: {explanation.cause}"
     yield from _format_lines(
-        "preceding log lines of the VM:", explanation.beliefs, own
+        "preceding log lines of the VM:", explanation.vm_state_lines, own
     )
     yield from _format_lines(
         "preceding log lines on the called searchers:", explanation.states, own
--- a/src/azureramp/explanations.py
+++ b/src/azureramp/explanations.py
@@ -55,8 +55,8 @@
     Attributes:
         request: The request's own line.
         calls: The calls in the request's line.
-        beliefs: The VM's last line in each channel of `VM_STATE_CHANNELS`
-            before the request.
+        vm_state_lines: The VM's last line in each channel of
+            `VM_STATE_CHANNELS` before the request.
         states: The VM's last line about each called searcher.
         observations: Unsuccessful calls of other requests to each called
             searcher.
@@ -67,7 +67,7 @@
 
     request: log_lines.Line
     calls: list[log_lines.Call]
-    beliefs: list[log_lines.Line]
+    vm_state_lines: list[log_lines.Line]
     states: list[log_lines.Line]
     observations: dict[str, CallObservations]
     crashes: list[log_lines.Line]
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -63,7 +63,7 @@
     ]
     assert "i-7 mostly '503 not run' (2 of 2" in explanation.cause
     assert "seen by 2 VMs" in explanation.cause
-    assert [line.message for line in explanation.beliefs] == [
+    assert [line.message for line in explanation.vm_state_lines] == [
         "started on 10.0.0.1:80"
     ]
     assert [
