--- a/src/azureramp/cli/explain.py
+++ b/src/azureramp/cli/explain.py
@@ -61,7 +61,9 @@
         "preceding log lines of the VM:", explanation.vm_state_lines, own
     )
     yield from _format_lines(
-        "preceding log lines on the called searchers:", explanation.states, own
+        "preceding log lines on the called searchers:",
+        explanation.searcher_lines,
+        own,
     )
     yield from _format_lines("crashes:", explanation.crashes, own)
     if explanation.calls:
--- a/src/azureramp/explanations.py
+++ b/src/azureramp/explanations.py
@@ -57,7 +57,7 @@
         calls: The calls in the request's line.
         vm_state_lines: The VM's last line in each channel of
             `VM_STATE_CHANNELS` before the request.
-        states: The VM's last line about each called searcher.
+        searcher_lines: The VM's last line about each called searcher.
         observations: Unsuccessful calls of other requests to each called
             searcher.
         crashes: Lines about crashes of the called searchers.
@@ -68,7 +68,7 @@
     request: log_lines.Line
     calls: list[log_lines.Call]
     vm_state_lines: list[log_lines.Line]
-    states: list[log_lines.Line]
+    searcher_lines: list[log_lines.Line]
     observations: dict[str, CallObservations]
     crashes: list[log_lines.Line]
     cause: str = ""
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -67,7 +67,8 @@
         "started on 10.0.0.1:80"
     ]
     assert [
-        line.at_s - explanation.request.at_s for line in explanation.states
+        line.at_s - explanation.request.at_s
+        for line in explanation.searcher_lines
     ] == [-8.0]
     assert not explanation.gaps
 
