--- a/src/azureramp/cli/explain.py
+++ b/src/azureramp/cli/explain.py
@@ -65,7 +65,7 @@
         explanation.searcher_lines,
         own,
     )
-    yield from _format_lines("crashes:", explanation.crashes, own)
+    yield from _format_lines("crashes:", explanation.crash_lines, own)
     if explanation.calls:
         yield "calls, ms after the request's first byte:"
     for call in explanation.calls:
--- a/src/azureramp/explanations.py
+++ b/src/azureramp/explanations.py
@@ -60,7 +60,7 @@
         searcher_lines: The VM's last line about each called searcher.
         observations: Unsuccessful calls of other requests to each called
             searcher.
-        crashes: Lines about crashes of the called searchers.
+        crash_lines: Lines about crashes of the called searchers.
         cause: The cause in one sentence.
         gaps: Descriptions of missing log lines.
     """
@@ -70,7 +70,7 @@
     vm_state_lines: list[log_lines.Line]
     searcher_lines: list[log_lines.Line]
     observations: dict[str, CallObservations]
-    crashes: list[log_lines.Line]
+    crash_lines: list[log_lines.Line]
     cause: str = ""
     gaps: list[str] = dataclasses.field(default_factory=list)
 
@@ -125,7 +125,7 @@
                 "no searcher was usable: each was draining, gone, in an"
                 f" evacuated zone or had just failed ({detail})"
             )
-        case "outcome_unknown" if explanation.crashes:
+        case "outcome_unknown" if explanation.crash_lines:
             return "the searcher crashed while it ran"
         case "outcome_unknown":
             return "the answer was lost: nothing shows a crash of the searcher"
@@ -174,7 +174,7 @@
         name, _, state = str(entry).partition(" ")
         if name == searcher:
             return f"{searcher} was {state}"
-    if any(searcher in line.message for line in explanation.crashes):
+    if any(searcher in line.message for line in explanation.crash_lines):
         return f"{searcher} crashed"
     observed = explanation.observations.get(searcher, CallObservations())
     total = sum(observed.ends.values())
