--- a/src/azureramp/cli/explain.py
+++ b/src/azureramp/cli/explain.py
@@ -72,7 +72,7 @@
         ended = "" if call.ended_ms is None else f"{call.ended_ms} "
         name = call.searcher or "nobody"
         yield f"  {call.sent_ms:>6} {call.service} {name}: {ended}{call.end}"
-    for gap in explanation.gaps:
+    for gap in explanation.missing_lines:
         yield f"missing: {gap}"
 
 
--- a/src/azureramp/explanations.py
+++ b/src/azureramp/explanations.py
@@ -62,7 +62,7 @@
             searcher.
         crash_lines: Lines about crashes of the called searchers.
         cause: The cause in one sentence.
-        gaps: Descriptions of missing log lines.
+        missing_lines: Descriptions of missing log lines.
     """
 
     request: log_lines.Line
@@ -72,7 +72,7 @@
     observations: dict[str, CallObservations]
     crash_lines: list[log_lines.Line]
     cause: str = ""
-    gaps: list[str] = dataclasses.field(default_factory=list)
+    missing_lines: list[str] = dataclasses.field(default_factory=list)
 
 
 def explain(lines: list[log_lines.Line], request: str) -> Explanation | None:
@@ -99,7 +99,7 @@
         _find_crashes(lines, request_line, searchers),
     )
     explanation.cause = summarize_cause(explanation)
-    explanation.gaps = _find_gaps(lines, request_line)
+    explanation.missing_lines = _find_gaps(lines, request_line)
     return explanation
 
 
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -70,7 +70,7 @@
         line.at_s - explanation.request.at_s
         for line in explanation.searcher_lines
     ] == [-8.0]
-    assert not explanation.gaps
+    assert not explanation.missing_lines
 
 
 def test_short_answer_is_explained_for_each_missing_shard() -> None:
@@ -95,7 +95,9 @@
     assert shards[1] == "c: no searcher may get it"
     assert shards[2].endswith("no retry or hedged request was allowed")
     assert len(shards) == 3
-    assert explanation.gaps == ["no earlier line of vm-0: its logs start later"]
+    assert explanation.missing_lines == [
+        "no earlier line of vm-0: its logs start later"
+    ]
 
 
 @pytest.mark.parametrize("crashed", [True, False])
