--- a/src/azureramp/cli/losses.py
+++ b/src/azureramp/cli/losses.py
@@ -71,7 +71,7 @@
             f"{cause.value} {count}"
             for cause, count in lost.causes.most_common()
         )
-        yield f"    calls: {causes}; asked once: {lost.single} shards"
+        yield f"    calls: {causes}; asked once: {lost.called_once} shards"
     for title, names in (
         ("shards", lost.shards),
         ("searchers", lost.searchers),
--- a/src/azureramp/losses.py
+++ b/src/azureramp/losses.py
@@ -74,7 +74,7 @@
         counts: The requests by loss. One that is late and short counts twice.
         weight: Their total loss, in units of one good answer.
         causes: The calls to the shards that delayed them, by cause.
-        single: How often such a shard was called only once.
+        called_once: How often such a shard was called only once.
         shards: The requests by the service that delayed them.
         searchers: The requests by the searcher that delayed them.
         vms: The requests by the VM that handled them.
@@ -87,7 +87,7 @@
     causes: collections.Counter[loss_causes.Cause] = dataclasses.field(
         default_factory=collections.Counter
     )
-    single: int = 0
+    called_once: int = 0
     shards: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
@@ -171,7 +171,7 @@
     lost.vms[line.vm] += 1
     for service, calls in find_delaying_services(line).items():
         lost.shards[service] += 1
-        lost.single += len(calls) == 1 and bool(calls[0].searcher)
+        lost.called_once += len(calls) == 1 and bool(calls[0].searcher)
         lost.searchers.update({call.searcher for call in calls} - {""})
         lost.causes.update(
             loss_causes.classify_call(call, line.at_s, call_times)
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -160,7 +160,7 @@
         rows.append(write(at + 0.1, "complete", "b paused 0: 40 200"))
     (lost,) = collect(*rows, span_s=10.0)
     assert lost.causes == dict.fromkeys(loss_causes.Cause, 3)
-    assert lost.single == 3 * 6
+    assert lost.called_once == 3 * 6
 
 
 def test_network_delay_of_the_caller_counts_as_latency() -> None:
