--- a/src/azureramp/losses.py
+++ b/src/azureramp/losses.py
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Lost:
+class SpanLosses:
     """The poorly served requests of a span.
 
     Attributes:
@@ -99,7 +99,9 @@
     )
 
 
-def collect(lines: list[log_lines.Line], span_s: float) -> dict[Span, Lost]:
+def collect(
+    lines: list[log_lines.Line], span_s: float
+) -> dict[Span, SpanLosses]:
     """Collects the losses of each span.
 
     Routes on which no logged request was answered are left out: they have no
@@ -115,7 +117,7 @@
     """
     served = find_served_routes(lines)
     call_times = loss_causes.CallTimes(lines)
-    lost_by_span: dict[Span, Lost] = {}
+    lost_by_span: dict[Span, SpanLosses] = {}
     for line in lines:
         losses = classify(line)
         route = str(line.fields.get("route", ""))
@@ -124,7 +126,12 @@
         if not line.fields.get("advertised", True):
             continue
         span = Span(line.at_s // span_s * span_s, route)
-        _add(lost_by_span.setdefault(span, Lost()), line, losses, call_times)
+        _add(
+            lost_by_span.setdefault(span, SpanLosses()),
+            line,
+            losses,
+            call_times,
+        )
     order = sorted(lost_by_span, key=lambda each: (each.begins_s, each.route))
     return {span: lost_by_span[span] for span in order}
 
@@ -160,7 +167,7 @@
 
 
 def _add(
-    lost: Lost,
+    lost: SpanLosses,
     line: log_lines.Line,
     losses: list[Loss],
     call_times: loss_causes.CallTimes,
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -31,7 +31,7 @@
     return msgspec.json.encode(line | more).decode()
 
 
-def collect(*rows: str, span_s: float = 1.0) -> list[losses.Lost]:
+def collect(*rows: str, span_s: float = 1.0) -> list[losses.SpanLosses]:
     return list(losses.collect(log_lines.parse(rows), span_s).values())
 
 
