--- a/src/azureramp/cli/losses.py
+++ b/src/azureramp/cli/losses.py
@@ -60,7 +60,7 @@
 
 
 def format_losses(
-    span: losses_module.Span, lost: losses_module.SpanLosses
+    span: losses_module.RouteSpan, lost: losses_module.SpanLosses
 ) -> Iterator[str]:
     """Yields the output lines for the losses of a span."""
     counts = " ".join(f"{lost.counts[loss]:>4}" for loss in losses_module.Loss)
--- a/src/azureramp/losses.py
+++ b/src/azureramp/losses.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Span:
+class RouteSpan:
     """A span of time on one route.
 
     Attributes:
@@ -101,7 +101,7 @@
 
 def collect(
     lines: list[log_lines.Line], span_s: float
-) -> dict[Span, SpanLosses]:
+) -> dict[RouteSpan, SpanLosses]:
     """Collects the losses of each span.
 
     Routes on which no logged request was answered are left out: they have no
@@ -117,7 +117,7 @@
     """
     served = find_served_routes(lines)
     call_times = loss_causes.CallTimes(lines)
-    lost_by_span: dict[Span, SpanLosses] = {}
+    lost_by_span: dict[RouteSpan, SpanLosses] = {}
     for line in lines:
         losses = classify(line)
         route = str(line.fields.get("route", ""))
@@ -125,7 +125,7 @@
             continue
         if not line.fields.get("advertised", True):
             continue
-        span = Span(line.at_s // span_s * span_s, route)
+        span = RouteSpan(line.at_s // span_s * span_s, route)
         _add(
             lost_by_span.setdefault(span, SpanLosses()),
             line,
