--- a/src/azureramp/ports/peers/memory.py
+++ b/src/azureramp/ports/peers/memory.py
@@ -157,7 +157,7 @@
     def send(self, address: str, *batch: messages.PeerMessage) -> bool:
         """Sends messages; see `api.Peers`."""
         envelope = messages.Envelope(
-            self._vm, self._incarnation, self._timeline.read_clock(), batch
+            self._vm, self._incarnation, self._timeline.advance_clock(), batch
         )
         data = self._encoder.encode(envelope)
         self._network.carry(self._address, address, data)
--- a/src/azureramp/ports/peers/nng.py
+++ b/src/azureramp/ports/peers/nng.py
@@ -115,7 +115,7 @@
         if not link.pipes:
             return False
         envelope = messages.Envelope(
-            self._vm, self._incarnation, self._timeline.read_clock(), batch
+            self._vm, self._incarnation, self._timeline.advance_clock(), batch
         )
         sent_ms = int(asyncio.get_running_loop().time() * 1000)
         payload = self._encoder.encode(envelope)
--- a/src/azureramp/timelines.py
+++ b/src/azureramp/timelines.py
@@ -95,7 +95,7 @@
             maxlen=capacity
         )
 
-    def read_clock(self) -> int:
+    def advance_clock(self) -> int:
         """Advances the clock for a local event or a message to be sent.
 
         Returns:
@@ -119,7 +119,7 @@
         if len(self._records) == self._records.maxlen:
             self.dropped += 1
         record = Record(
-            clock=self.read_clock(),
+            clock=self.advance_clock(),
             vm=self.vm,
             at_s=self._read_wall_clock(),
             monotonic_s=monotonic_s,
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -24,10 +24,10 @@
     ahead = timelines.Timeline("a", wall=lambda: 100.0)
     behind = timelines.Timeline("b", wall=lambda: 1.0)
 
-    sent = ahead.read_clock()
+    sent = ahead.advance_clock()
     behind.observe_clock(sent)
 
-    assert behind.read_clock() > sent
+    assert behind.advance_clock() > sent
 
 
 @pytest.mark.parametrize("kind", errors.Kind)
