--- a/src/azureramp/controllers/inbox.py
+++ b/src/azureramp/controllers/inbox.py
@@ -40,7 +40,7 @@
 
     def receive(self, envelope: messages.Envelope) -> None:
         """Dispatches the messages of an envelope, in order."""
-        self._board.timeline.observe_clock(envelope.clock)
+        self._board.timeline.merge_clock(envelope.clock)
         self._receivers.envelope(envelope.sender, envelope.incarnation)
         for message in envelope.messages:
             self.receive_one(envelope.sender, message)
--- a/src/azureramp/timelines.py
+++ b/src/azureramp/timelines.py
@@ -105,7 +105,7 @@
         self._clock = max(self._clock + 1, physical)
         return self._clock
 
-    def observe_clock(self, received: int) -> None:
+    def merge_clock(self, received: int) -> None:
         """Advances the clock past the clock value of a received message."""
         self._clock = max(self._clock, received) + 1
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -25,7 +25,7 @@
     behind = timelines.Timeline("b", wall=lambda: 1.0)
 
     sent = ahead.advance_clock()
-    behind.observe_clock(sent)
+    behind.merge_clock(sent)
 
     assert behind.advance_clock() > sent
 
