--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -319,7 +319,7 @@
         else:
             for server in self._servers:
                 aborted += await server.stop(LOOKUP_DRAIN_S)
-        await self.kill()
+        await self.abort()
         _logger.info("stopped; {} requests aborted", aborted)
         return aborted
 
@@ -339,7 +339,7 @@
         drive = self._grants.drives.get(service)
         return 0 if drive is None else round(drive.evidence.count_new().bad)
 
-    async def kill(self) -> None:
+    async def abort(self) -> None:
         """Stops immediately, without waiting for running requests."""
         for task in self._tasks:
             task.cancel()
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -225,7 +225,7 @@
     async def kill(self) -> None:
         """Stops all daemons, the searchers and the store at once."""
         for each in self.programs.values():
-            await each.kill()
+            await each.abort()
         for other in self.searchers.values():
             other.crash()
         await self.store.server.stop(0.0)
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -309,7 +309,7 @@
     async def _restart(self, vms: list[str]) -> None:
         """Kills VMs and restarts them after 0.5 seconds."""
         for vm in vms:
-            await self._fleet.programs.pop(vm).kill()
+            await self._fleet.programs.pop(vm).abort()
         await asyncio.sleep(0.5)
         for vm in vms:
             number = int(vm.removeprefix("vm-"))
--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -72,7 +72,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await scene.programs["vm-0"].kill()
+        await scene.programs["vm-0"].abort()
         setattr(scene.store.faults, fault, True)
         await scene.add_vm("late")
         await deployment.settle()
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -66,7 +66,7 @@
         directory = await start_directory()
         await deployment.settle(2.0)
         assert await look_up() is None
-        await directory.kill()
+        await directory.abort()
 
     scenes.run(scenario, vms=0)
 
@@ -75,9 +75,9 @@
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
         await deployment.settle(4.0)
-        await scene.programs.pop("vm-1").kill()
+        await scene.programs.pop("vm-1").abort()
         await deployment.settle(5.0)
         assert await look_up() == sorted(map(scene.get_address, scene.programs))
-        await directory.kill()
+        await directory.abort()
 
     scenes.run(scenario, vms=VMS)
--- a/tests/forwarding/test_members.py
+++ b/tests/forwarding/test_members.py
@@ -38,7 +38,7 @@
 def test_a_killed_vm_is_advertised_for_a_few_seconds_at_most() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await deployment.settle(2.0)
-        await scene.programs["vm-1"].kill()
+        await scene.programs["vm-1"].abort()
         await deployment.settle(5.0)
         assert scene.get_address("vm-1") not in await resolve(scene, "vm-0")
 
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -56,7 +56,7 @@
 def test_a_killed_relay_is_replaced_in_time() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
-        await scene.programs.pop(relay).kill()
+        await scene.programs.pop(relay).abort()
         await check_change(scene, 2.0)
 
     scenes.run(scenario, vms=VMS)
@@ -78,7 +78,7 @@
         isolated._feed._store = isolated._members._store = unreachable
         isolated._roster._store = unreachable
         await check_change(scene, 2.9)
-        await isolated.kill()
+        await isolated.abort()
 
     scenes.run(scenario, vms=VMS)
 
@@ -96,7 +96,7 @@
             server._handler = hang  # type: ignore[assignment]
         await asyncio.sleep(1.0)
         await check_change(scene, 2.0)
-        await hanging.kill()
+        await hanging.abort()
 
     scenes.run(scenario, vms=VMS, seed=seed)
 
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -211,7 +211,7 @@
     """Guards against requests to old searchers that stop without draining."""
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await scene.programs.pop("vm-0").kill()
+        await scene.programs.pop("vm-0").abort()
         scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 8.0)
         await add_new(scene, "v2")
         await scene.add_vm("vm-0", "zone-0", 30000, first=False)
--- a/tests/forwarding/test_roster.py
+++ b/tests/forwarding/test_roster.py
@@ -108,7 +108,7 @@
 def test_a_killed_standby_is_soon_removed() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        await scene.programs.pop(pick_standby(scene)).kill()
+        await scene.programs.pop(pick_standby(scene)).abort()
         await deployment.settle(2.0)
         check_members(scene)
 
@@ -168,7 +168,7 @@
         lost = relays["zone-0"]
         match how:
             case "kill":
-                await scene.programs.pop(lost).kill()
+                await scene.programs.pop(lost).abort()
             case "still":
                 hang_servers(scene, lost)
                 cut_from_store(scene, lost)
@@ -216,7 +216,7 @@
         back = await scene.add_vm("vm-new", "zone-0")
         scene.store.faults.lost = 2
         await deployment.settle(0.4)
-        await back.kill()
+        await back.abort()
         scene.programs.pop("vm-new")
         await deployment.settle(REMOVAL_S)
         check_members(scene)
@@ -229,7 +229,7 @@
         await settle(scene)
         killed = list(scene.programs)
         for vm in killed:
-            await scene.programs[vm].kill()
+            await scene.programs[vm].abort()
         await deployment.settle(1.5)
         zones = {
             vm: program.board.identity.zone
@@ -260,7 +260,7 @@
         }
         assert standbys
         base = int(scene.get_address(relay).rpartition(":")[2])
-        await scene.programs.pop(relay).kill()
+        await scene.programs.pop(relay).abort()
         await deployment.settle(0.2)
         await scene.add_vm(relay, "zone-0", base)
         for _ in range(12):
