--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -323,7 +323,7 @@
         _logger.info("stopped; {} requests aborted", aborted)
         return aborted
 
-    def list_servers(self) -> tuple[web_server.Server, ...]:
+    def get_servers(self) -> tuple[web_server.Server, ...]:
         """Returns the servers that the process listens with."""
         return self._servers
 
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -259,7 +259,7 @@
                 # The driver stops listening. It continues to grant calls, but
                 # its writes have no effect.
                 driver = fleet.programs[self._find_driver()]
-                for server in driver.list_servers():
+                for server in driver.get_servers():
                     await server.stop(0.0)
             case Fault.ALL_KILLED:
                 await self._restart(list(fleet.programs))
