--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -215,7 +215,7 @@
             board.lease = ""
             return
         if board.lease:
-            kept = await self._store.keep_lease(board.lease)
+            kept = await self._store.renew_lease(board.lease)
             if kept.is_error():
                 self._contact.record_failure(kept.error)
                 return
--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -160,7 +160,7 @@
             lambda granted: str(granted.lease)
         )
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; see `api.Store`."""
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -183,7 +183,7 @@
         """
         ...
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; returns False if it has already expired."""
--- a/src/azureramp/ports/store/counting.py
+++ b/src/azureramp/ports/store/counting.py
@@ -74,12 +74,12 @@
         self._metrics.count("store.leases")
         return self._check(await self._store.grant_lease(ttl_s))
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; see `api.Store`."""
         self._metrics.count("store.renewals")
-        return self._check(await self._store.keep_lease(lease))
+        return self._check(await self._store.renew_lease(lease))
 
     async def close(self) -> None:
         """Closes the store."""
--- a/src/azureramp/ports/store/http.py
+++ b/src/azureramp/ports/store/http.py
@@ -106,7 +106,7 @@
             lambda body: body.lease
         )
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; see `api.Store`."""
--- a/src/azureramp/ports/store/memory.py
+++ b/src/azureramp/ports/store/memory.py
@@ -126,14 +126,14 @@
         now_s = asyncio.get_running_loop().time()
         return expression.Ok(self.state.grant_lease(ttl_s, now_s))
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; see `api.Store`."""
         if not await self._begin_call():
             return expression.Error(_fail_down())
         now_s = asyncio.get_running_loop().time()
-        return expression.Ok(self.state.keep_lease(lease, now_s))
+        return expression.Ok(self.state.renew_lease(lease, now_s))
 
     async def close(self) -> None:
         """Does nothing, since there are no connections."""
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -141,7 +141,7 @@
         self._leases[lease] = Lease(ttl_s, now_s + ttl_s)
         return lease
 
-    def keep_lease(self, lease: str, now_s: float) -> bool:
+    def renew_lease(self, lease: str, now_s: float) -> bool:
         """Renews a lease; returns False if it does not exist."""
         record = self._leases.get(lease)
         if record is None:
--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -199,7 +199,7 @@
             number = int(lease.removeprefix("lease-"))
             return _make_response(200, {"Lease": number, "TtlMs": ttl_ms})
         number = int(request.path.rpartition("/")[2])
-        if self.state.keep_lease(f"lease-{number}", now_s):
+        if self.state.renew_lease(f"lease-{number}", now_s):
             return _make_response(200, {"TtlMs": 0})
         return _make_response(404, {})
 
--- a/src/azureramp_standins/platform.py
+++ b/src/azureramp_standins/platform.py
@@ -236,7 +236,7 @@
             lease = self.state.grant_lease(ttl_s, now_s)
             return _make_response(200, {"lease": lease})
         lease = request.query["lease"]
-        renewed = self.state.keep_lease(lease, now_s)
+        renewed = self.state.renew_lease(lease, now_s)
         return _make_response(200 if renewed else 404, {"lease": lease})
 
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -114,9 +114,9 @@
         lease = (await client.grant_lease(3.0)).ok
         assert (await client.write("k", b"x", api.CREATE, lease)).is_ok()
         await asyncio.sleep(2.0)
-        assert (await client.keep_lease(lease)).ok
+        assert (await client.renew_lease(lease)).ok
         await asyncio.sleep(4.0)
-        assert not (await client.keep_lease(lease)).ok
+        assert not (await client.renew_lease(lease)).ok
         assert (await client.read("k")).ok is None
 
     run(scenario)
--- a/tests/ports/store/test_contract.py
+++ b/tests/ports/store/test_contract.py
@@ -181,7 +181,7 @@
     assert isinstance(created, api.Written)
     assert isinstance(kept, api.Written)
     await store.write("/k/b", b"2", kept.revision)
-    alive = (await store.keep_lease(lease)).ok
+    alive = (await store.renew_lease(lease)).ok
     watch = asyncio.ensure_future(
         store.watch("/k/a", created.revision, wait_s=9.0)
     )
@@ -192,7 +192,7 @@
     assert [entry.value for entry in listing.entries] == [None]
     assert (await store.read("/k/a")).ok is None
     assert (await store.read("/k/b")).ok is not None
-    assert not (await store.keep_lease(lease)).ok
+    assert not (await store.renew_lease(lease)).ok
     assert late.error.kind is errors.Kind.NOT_FOUND
 
 
@@ -260,7 +260,7 @@
             await store.read_prefix("/k"),
             await store.watch("/k", 0, wait_s=1.0),
             await store.grant_lease(1.0),
-            await store.keep_lease("none"),
+            await store.renew_lease("none"),
         ]
         for result in results:
             assert result.error.kind is errors.Kind.STORE_UNAVAILABLE
