--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -507,7 +507,7 @@
     return behave
 
 
-def stay_silent() -> Behaviour:
+def never_reply() -> Behaviour:
     """Creates a behaviour in which no sub-request gets a reply."""
 
     async def behave(
--- a/tests/controllers/test_admitting.py
+++ b/tests/controllers/test_admitting.py
@@ -127,7 +127,7 @@
     async def main() -> collections.Counter[str]:
         cell = query_cell.Cell()
         for searcher in cell.searchers.values():
-            searcher.behaviour = query_cell.stay_silent()
+            searcher.behaviour = query_cell.never_reply()
         queries = [
             cell.make_query(n, priority=resources.Priority.DEFERRABLE)
             for n in range(400)
@@ -172,7 +172,7 @@
         cell = query_cell.Cell()
         for name, searcher in cell.searchers.items():
             searcher.behaviour = (
-                query_cell.stay_silent()
+                query_cell.never_reply()
                 if name in cell.get_replicas(0)
                 else query_cell.fail(errors.Kind.OVERLOADED, False)
             )
--- a/tests/controllers/test_caller_api.py
+++ b/tests/controllers/test_caller_api.py
@@ -333,7 +333,7 @@
     async def main() -> web_api.Response:
         cell = query_cell.Cell(query_cell.Shape(shards=2))
         for searcher in cell.searchers.values():
-            searcher.behaviour = query_cell.stay_silent()
+            searcher.behaviour = query_cell.never_reply()
         task = asyncio.ensure_future(call(cell, make_request()))
         await asyncio.sleep(0.005)
         for request_id in list(cell.coordinator._dispatcher._receivers):
--- a/tests/controllers/test_coordinator.py
+++ b/tests/controllers/test_coordinator.py
@@ -35,7 +35,7 @@
     async def main() -> responses.QueryAnswer:
         cell = query_cell.Cell()
         for name in cell.get_replicas(2):
-            cell.searchers[name].behaviour = query_cell.stay_silent()
+            cell.searchers[name].behaviour = query_cell.never_reply()
         result = await cell.coordinator.query(cell.make_query())
         return result.ok
 
--- a/tests/controllers/test_execution.py
+++ b/tests/controllers/test_execution.py
@@ -57,7 +57,7 @@
 
 def never_reply(cell: query_cell.Cell) -> query_cell.Behaviour:
     """Returns the behaviour of a step without a reply."""
-    return query_cell.stay_silent()
+    return query_cell.never_reply()
 
 
 def set_steps(cell: query_cell.Cell, *steps: Step) -> list[str]:
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -256,7 +256,7 @@
         cell.put(resources.Policy(name="default", retry_budget=0))
         for name, searcher in cell.searchers.items():
             if cell.board.owners[name] == "vm-1":
-                searcher.behaviour = query_cell.stay_silent()
+                searcher.behaviour = query_cell.never_reply()
 
         def notice() -> None:
             member = cell.board.members["vm-1"]
@@ -285,7 +285,7 @@
         cell = query_cell.Cell()
         cell.put(resources.Policy(name="default", hedge_budget=0))
         await warm_up(cell)
-        cell.searchers["s0-0"].behaviour = query_cell.stay_silent()
+        cell.searchers["s0-0"].behaviour = query_cell.never_reply()
         complete = []
         for number in range(30):
             query = cell.make_query(number, deadline_ms=100)
