--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -495,7 +495,9 @@
     return f"peer-{vm}"
 
 
-def fail(kind: errors.Kind, sent: bool, delay_s: float = 0.001) -> Behaviour:
+def fail_with(
+    kind: errors.Kind, sent: bool, delay_s: float = 0.001
+) -> Behaviour:
     """Creates a behaviour in which every sub-request fails."""
 
     async def behave(
--- a/tests/controllers/test_admitting.py
+++ b/tests/controllers/test_admitting.py
@@ -155,7 +155,7 @@
     async def main() -> errors.Failure:
         cell = query_cell.Cell()
         for searcher in cell.searchers.values():
-            searcher.behaviour = query_cell.fail(kind, sent)
+            searcher.behaviour = query_cell.fail_with(kind, sent)
         return (await cell.coordinator.query(cell.make_query())).error
 
     failure = query_cell.run(main())
@@ -174,7 +174,7 @@
             searcher.behaviour = (
                 query_cell.never_reply()
                 if name in cell.get_replicas(0)
-                else query_cell.fail(errors.Kind.OVERLOADED, False)
+                else query_cell.fail_with(errors.Kind.OVERLOADED, False)
             )
         return (await cell.coordinator.query(cell.make_query())).error
 
--- a/tests/controllers/test_coordinator.py
+++ b/tests/controllers/test_coordinator.py
@@ -51,7 +51,7 @@
     async def main() -> responses.QueryAnswer:
         cell = query_cell.Cell()
         for name in cell.get_replicas(0):
-            cell.searchers[name].behaviour = query_cell.fail(
+            cell.searchers[name].behaviour = query_cell.fail_with(
                 errors.Kind.BACKEND_FAILED, sent=True
             )
         result = await cell.coordinator.query(cell.make_query())
--- a/tests/controllers/test_execution.py
+++ b/tests/controllers/test_execution.py
@@ -52,7 +52,7 @@
 
 def refuse(kind: Kind, *, sent: bool, delay_s: float = 0.001) -> Step:
     """Creates a step in which the owner or the searcher refuses."""
-    return lambda cell: query_cell.fail(kind, sent, delay_s)
+    return lambda cell: query_cell.fail_with(kind, sent, delay_s)
 
 
 def never_reply(cell: query_cell.Cell) -> query_cell.Behaviour:
--- a/tests/controllers/test_gathering.py
+++ b/tests/controllers/test_gathering.py
@@ -269,7 +269,7 @@
         cell = query_cell.Cell()
         cell.delay_s = 0.3
         for name in cell.get_replicas(0):
-            cell.searchers[name].behaviour = query_cell.fail(
+            cell.searchers[name].behaviour = query_cell.fail_with(
                 errors.Kind.BACKEND_FAILED, sent=True
             )
         loop = asyncio.get_running_loop()
@@ -317,7 +317,7 @@
         cell = query_cell.Cell(query_cell.Shape(replicas=1))
         moved = "s1-0"
         good = cell.searchers[moved].behaviour
-        cell.searchers[moved].behaviour = query_cell.fail(
+        cell.searchers[moved].behaviour = query_cell.fail_with(
             errors.Kind.NOT_OWNER, sent=False
         )
 
--- a/tests/controllers/test_lateness.py
+++ b/tests/controllers/test_lateness.py
@@ -229,7 +229,7 @@
     async def main() -> query_cell.Cell:
         cell = query_cell.Cell()
         for searcher in cell.searchers.values():
-            searcher.behaviour = query_cell.fail(
+            searcher.behaviour = query_cell.fail_with(
                 errors.Kind.BACKEND_FAILED, sent=True
             )
         for number in range(100):
@@ -367,7 +367,7 @@
     async def main() -> query_cell.Cell:
         cell = query_cell.Cell()
         for number, searcher in enumerate(cell.searchers.values()):
-            crashes = query_cell.fail(
+            crashes = query_cell.fail_with(
                 errors.Kind.BACKEND_CRASHED, True, 0.002 + number / 1000
             )
             searcher.behaviour = crashes
