--- a/src/azureramp/settings.py
+++ b/src/azureramp/settings.py
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Word:
+class String:
     """A setting that is a string.
 
     Attributes:
@@ -97,7 +97,7 @@
     high: int
 
 
-Form = Word | Address | Sha256 | Integer
+Form = String | Address | Sha256 | Integer
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -158,8 +158,8 @@
 
 
 OPTIONS: tuple[Option, ...] = (
-    Option("vm", Word(), "This VM's name."),
-    Option("zone", Word(), "The name of its availability zone."),
+    Option("vm", String(), "This VM's name."),
+    Option("zone", String(), "The name of its availability zone."),
     Option("http_address", Address(), "IP:port for callers and operators."),
     Option("peer_address", Address(), "IP:port for the other daemons."),
     Option("store_address", Address(), "IP:port of the key-value service."),
@@ -170,7 +170,7 @@
         "IP:port of the statsd server; empty for none.",
         "",
     ),
-    Option("peer_key", Word(), "Key of the peer messages' MAC."),
+    Option("peer_key", String(), "Key of the peer messages' MAC."),
     Option(
         "operator_token_sha256",
         Sha256(),
@@ -245,7 +245,7 @@
 def _check(option: Option, value: str | None) -> str | int | Problem:
     """Validates one value; returns it in its final type, or a problem."""
     match option.form:
-        case Word(may_be_empty):
+        case String(may_be_empty):
             if value is not None and (value or may_be_empty):
                 return unicodedata.normalize("NFC", value)
             return Problem(option, value, "a string that is not empty")
--- a/src/azureramp_standins/reference.py
+++ b/src/azureramp_standins/reference.py
@@ -129,7 +129,7 @@
 def describe_form(form: settings.Form) -> str:
     """Describes the allowed values of a setting."""
     match form:
-        case settings.Word(may_be_empty):
+        case settings.String(may_be_empty):
             return "any text" if may_be_empty else "a word"
         case settings.Address(may_be_empty):
             return "IP:port or empty" if may_be_empty else "IP:port"
