--- a/src/azureramp/settings.py
+++ b/src/azureramp/settings.py
@@ -97,7 +97,7 @@
     high: int
 
 
-Form = String | Address | Sha256 | Integer
+ValueType = String | Address | Sha256 | Integer
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -112,7 +112,7 @@
     """
 
     field: str
-    form: Form
+    form: ValueType
     help: str
     default: str | None = None
 
--- a/src/azureramp_standins/reference.py
+++ b/src/azureramp_standins/reference.py
@@ -126,7 +126,7 @@
     )
 
 
-def describe_form(form: settings.Form) -> str:
+def describe_form(form: settings.ValueType) -> str:
     """Describes the allowed values of a setting."""
     match form:
         case settings.String(may_be_empty):
