--- a/src/azureramp/settings.py
+++ b/src/azureramp/settings.py
@@ -106,13 +106,13 @@
 
     Attributes:
         field: The field of `Settings`.
-        form: The values that are allowed.
+        value_type: The values that are allowed.
         help: The help text.
         default: The default value; None if the setting is required.
     """
 
     field: str
-    form: ValueType
+    value_type: ValueType
     help: str
     default: str | None = None
 
@@ -244,7 +244,7 @@
 
 def _check(option: Option, value: str | None) -> str | int | Problem:
     """Validates one value; returns it in its final type, or a problem."""
-    match option.form:
+    match option.value_type:
         case String(may_be_empty):
             if value is not None and (value or may_be_empty):
                 return unicodedata.normalize("NFC", value)
--- a/src/azureramp_standins/reference.py
+++ b/src/azureramp_standins/reference.py
@@ -105,7 +105,7 @@
         [
             f"`{option.flag}`",
             f"`{option.variable}`",
-            describe_form(option.form),
+            describe_form(option.value_type),
             "required" if option.default is None else option.default,
             option.help,
         ]
