--- a/src/azureramp/cli/output.py
+++ b/src/azureramp/cli/output.py
@@ -30,7 +30,7 @@
         *subjects: Words such as `revision=18`.
         err: Whether to print to stderr.
     """
-    text = select_language(texts.TOOL[code], common)
+    text = select_language(texts.TOOL_MESSAGES[code], common)
     click.echo(" ".join((code, *subjects, "-", text)), err=err)
 
 
--- a/src/azureramp/texts.py
+++ b/src/azureramp/texts.py
@@ -218,7 +218,7 @@
 }
 
 
-TOOL: dict[str, Text] = {
+TOOL_MESSAGES: dict[str, Text] = {
     "unchanged": Text("It is already so.", "Már így van."),
     "valid": Text(
         "It is valid; nothing was changed.",
--- a/src/azureramp_standins/reference.py
+++ b/src/azureramp_standins/reference.py
@@ -46,7 +46,10 @@
         "## Messages of the commands\n",
         make_table(
             ["code", "English", "magyar"],
-            ([f"`{code}`", t.en, t.hu] for code, t in texts.TOOL.items()),
+            (
+                [f"`{code}`", t.en, t.hu]
+                for code, t in texts.TOOL_MESSAGES.items()
+            ),
         ),
     ]
     return "\n".join(parts)
