--- a/src/azureramp/cli/client.py
+++ b/src/azureramp/cli/client.py
@@ -28,7 +28,7 @@
 ) -> responses.ErrorAnswer:
     """Builds the error answer for a failure that the tool itself detected."""
     answer = errors.ANSWERS[kind]
-    text = texts.KINDS[kind]
+    text = texts.ERROR_TEXTS[kind]
     return responses.ErrorAnswer(
         code=kind.value,
         ran=(ran or answer.ran).value,
--- a/src/azureramp/controllers/answers.py
+++ b/src/azureramp/controllers/answers.py
@@ -80,7 +80,7 @@
 ) -> responses.ErrorAnswer:
     """Creates the response body for a failure; see `make_error`."""
     answer = failure.get_answer()
-    text = texts.KINDS[failure.kind]
+    text = texts.ERROR_TEXTS[failure.kind]
     return responses.ErrorAnswer(
         code=failure.kind.value,
         ran=answer.ran.value,
--- a/src/azureramp/texts.py
+++ b/src/azureramp/texts.py
@@ -25,7 +25,7 @@
     hu: str
 
 
-KINDS: dict[errors.Kind, Text] = {
+ERROR_TEXTS: dict[errors.Kind, Text] = {
     errors.Kind.BAD_REQUEST: Text(
         "The request can't be read.", "A kérés nem értelmezhető."
     ),
--- a/src/azureramp_standins/reference.py
+++ b/src/azureramp_standins/reference.py
@@ -146,7 +146,7 @@
     """Makes the page of the error kinds and of the resources' rules."""
     kinds = []
     for kind in errors.Kind:
-        answer, text = errors.ANSWERS[kind], texts.KINDS[kind]
+        answer, text = errors.ANSWERS[kind], texts.ERROR_TEXTS[kind]
         kinds.append(
             [
                 f"`{kind.value}`",
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("kind", errors.Kind)
 def test_each_kind_has_a_text_in_both_languages(kind: errors.Kind) -> None:
-    text = texts.KINDS[kind]
+    text = texts.ERROR_TEXTS[kind]
 
     assert text.en
     assert text.hu
