--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -234,7 +234,7 @@
             process_settings.front_address,
             self._answers.handle_request,
             self._limits,
-            request_reader.keep_request,
+            request_reader.make_raw_request,
         )
         self._servers = self._make_servers(process_settings)
         self._tasks: list[asyncio.Task[None]] = []
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -194,7 +194,7 @@
         )
 
 
-def keep_request(
+def make_raw_request(
     head: h11.Request, body: bytes, arrival: Arrival
 ) -> api.Request:
     """Converts an h11 request that is to be forwarded unchanged.
