--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -36,7 +36,7 @@
 
 UNKNOWN_ARRIVAL = Arrival()
 
-Parse = Callable[[h11.Request, bytes, Arrival], api.Request]
+RequestParser = Callable[[h11.Request, bytes, Arrival], api.Request]
 """Makes a request from its h11 head, its body and its arrival data."""
 
 
@@ -78,7 +78,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         limits: api.Limits,
-        parse: Parse,
+        parse: RequestParser,
     ) -> None:
         """Makes a reader for one connection."""
         self._http = http
--- a/src/azureramp/ports/web/server.py
+++ b/src/azureramp/ports/web/server.py
@@ -50,7 +50,7 @@
         address: str,
         handler: api.Handler,
         limits: api.Limits | None = None,
-        parse: request_reader.Parse = request_reader.parse_request,
+        parse: request_reader.RequestParser = request_reader.parse_request,
     ) -> None:
         """Makes a server that is not listening yet.
 
--- a/src/azureramp/ports/web/server_connection.py
+++ b/src/azureramp/ports/web/server_connection.py
@@ -69,7 +69,7 @@
         writer: asyncio.StreamWriter,
         protocol: ClientProtocol,
         limits: api.Limits,
-        parse: request_reader.Parse,
+        parse: request_reader.RequestParser,
     ) -> None:
         """Makes the server side of a connection."""
         self._handler = handler
