--- a/src/azureramp/controllers/forwarding/leaving.py
+++ b/src/azureramp/controllers/forwarding/leaving.py
@@ -49,7 +49,7 @@
     _logger.info("shutting down with {} running requests", board.running)
     removal = asyncio.ensure_future(member_registry.leave())
     await asyncio.sleep(ACCEPT_SHARE * grace_s / 2)
-    front.closing = True
+    front.closes_connections = True
     await asyncio.sleep(ACCEPT_SHARE * grace_s / 2)
     timeout_s = began_s + CANCEL_SHARE * grace_s - loop.time()
     cancelled = await front.stop(max(0.0, timeout_s))
--- a/src/azureramp/controllers/shutdown.py
+++ b/src/azureramp/controllers/shutdown.py
@@ -29,7 +29,7 @@
     """The part of the HTTP server that is used here."""
 
     running: int
-    closing: bool
+    closes_connections: bool
 
     async def stop(self, limit_s: float) -> int:
         """Stops gracefully; returns the number of aborted requests."""
@@ -85,7 +85,7 @@
         settings = self._board.settings
         self._end_s = _now_s() + settings.drain_ms / 1000
         self._membership.announce_leaving()
-        self._server.closing = True
+        self._server.closes_connections = True
         self._record("unadvertised")
         await self._wait_for_address_expiry()
         self._record("handing_off")
--- a/src/azureramp/ports/web/server.py
+++ b/src/azureramp/ports/web/server.py
@@ -29,8 +29,8 @@
     Attributes:
         address: `IP:port` that it listens on.
         running: Number of requests in progress.
-        closing: True if each response closes its connection; new connections
-            are still accepted.
+        closes_connections: True if each response closes its connection; new
+            connections are still accepted.
     """
 
     __slots__ = (
@@ -41,7 +41,7 @@
         "_server",
         "_stopping",
         "address",
-        "closing",
+        "closes_connections",
         "running",
     )
 
@@ -64,7 +64,7 @@
         """
         self.address = address
         self.running = 0
-        self.closing = False
+        self.closes_connections = False
         self._handler = handler
         self._limits = limits or api.Limits()
         self._parse = parse
@@ -123,7 +123,7 @@
         self.running += 1
         try:
             response = await self._handler(request)
-            if self.closing:
+            if self.closes_connections:
                 return dataclasses.replace(response, closes=True)
             return response
         finally:
--- a/tests/controllers/test_shutdown.py
+++ b/tests/controllers/test_shutdown.py
@@ -28,7 +28,7 @@
 
     def __init__(self, work_s: float) -> None:
         self.running = 2
-        self.closing = False
+        self.closes_connections = False
         self.steps: list[tuple[str, float]] = []
         self._work_s = work_s
 
@@ -126,7 +126,7 @@
         await server.start()
         seen = []
         for closing in (False, True, True):
-            server.closing = closing
+            server.closes_connections = closing
             opened = await web_connection.connect("127.0.0.1:80", 1.0)
             got = await opened.ok.exchange("GET", "/", [])
             seen.append((got.status, opened.ok.is_reusable()))
