--- a/src/azureramp/controllers/shutdown.py
+++ b/src/azureramp/controllers/shutdown.py
@@ -28,7 +28,7 @@
 class StoppableServer(Protocol):
     """The part of the HTTP server that is used here."""
 
-    running: int
+    running_requests: int
     closes_connections: bool
 
     async def stop(self, limit_s: float) -> int:
@@ -146,7 +146,7 @@
     def _record(self, step: str, running: int | None = None) -> None:
         """Records a step in the timeline."""
         if running is None:
-            running = self._server.running
+            running = self._server.running_requests
         self._board.timeline.record(
             events.StopChanged(step=step, running=running), _now_s()
         )
--- a/src/azureramp/ports/web/server.py
+++ b/src/azureramp/ports/web/server.py
@@ -28,7 +28,7 @@
 
     Attributes:
         address: `IP:port` that it listens on.
-        running: Number of requests in progress.
+        running_requests: Number of requests in progress.
         closes_connections: True if each response closes its connection; new
             connections are still accepted.
     """
@@ -42,7 +42,7 @@
         "_stopping",
         "address",
         "closes_connections",
-        "running",
+        "running_requests",
     )
 
     def __init__(
@@ -63,7 +63,7 @@
             parse: Makes the requests that are passed to the handler.
         """
         self.address = address
-        self.running = 0
+        self.running_requests = 0
         self.closes_connections = False
         self._handler = handler
         self._limits = limits or api.Limits()
@@ -111,7 +111,7 @@
         while self._connections and loop.time() < deadline_s:
             remaining_s = deadline_s - loop.time()
             await asyncio.wait(self._connections, timeout=remaining_s)
-        aborted = self.running
+        aborted = self.running_requests
         for task in list(self._connections):
             task.cancel()
         if self._connections:
@@ -120,14 +120,14 @@
 
     async def _handle(self, request: api.Request) -> api.Response:
         """Runs the handler and counts the requests in progress."""
-        self.running += 1
+        self.running_requests += 1
         try:
             response = await self._handler(request)
             if self.closes_connections:
                 return dataclasses.replace(response, closes=True)
             return response
         finally:
-            self.running -= 1
+            self.running_requests -= 1
 
     def _make_protocol(self) -> server_connection.ClientProtocol:
         """Makes the protocol instance for an accepted connection."""
--- a/tests/controllers/test_shutdown.py
+++ b/tests/controllers/test_shutdown.py
@@ -27,7 +27,7 @@
     """Replaces the membership, the owner, the records and the server."""
 
     def __init__(self, work_s: float) -> None:
-        self.running = 2
+        self.running_requests = 2
         self.closes_connections = False
         self.steps: list[tuple[str, float]] = []
         self._work_s = work_s
@@ -46,8 +46,8 @@
         self.record("stop")
         await asyncio.sleep(min(self._work_s, limit_s))
         if self._work_s <= limit_s:
-            self.running = 0
-        return self.running
+            self.running_requests = 0
+        return self.running_requests
 
 
 def run(
--- a/tests/ports/web/test_server.py
+++ b/tests/ports/web/test_server.py
@@ -59,7 +59,7 @@
             await scenario(handler, served)
         finally:
             await served.stop(1.0)
-        assert served.running == 0
+        assert served.running_requests == 0
 
     with asyncio.Runner(loop_factory=async_solipsism.EventLoop) as runner:
         runner.run(run_scenario())
@@ -105,12 +105,12 @@
         client = await connect()
         pending = asyncio.ensure_future(client.exchange("GET", "/x", ()))
         await asyncio.sleep(1.0)
-        running = served.running
+        running = served.running_requests
         pending.cancel()
         await asyncio.sleep(0.01)
 
         assert running == 1
-        assert served.running == 0
+        assert served.running_requests == 0
         assert handler.cancelled == 1
 
     run(scenario)
