--- a/src/azureramp/controllers/answers.py
+++ b/src/azureramp/controllers/answers.py
@@ -66,7 +66,7 @@
         status=answer.status,
         body=msgspec.json.encode(body),
         headers=headers,
-        closes=answer.retry is errors.Retry.OTHER_ADDRESS,
+        closes_connection=answer.retry is errors.Retry.OTHER_ADDRESS,
     )
 
 
--- a/src/azureramp/platform/answers.py
+++ b/src/azureramp/platform/answers.py
@@ -49,7 +49,7 @@
         """Handles a caller's request."""
         if request.method == web_api.UNREADABLE:
             return web_api.Response(
-                int(request.path[1:]), content_type="", closes=True
+                int(request.path[1:]), content_type="", closes_connection=True
             )
         answer = await self._entry.handle(headers.decode_request(request))
         return headers.encode_answer(answer)
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -175,7 +175,7 @@
                 body=failure.kind.value.encode("ascii"),
                 content_type="text/plain; charset=utf-8",
                 headers=tuple(headers),
-                closes=answer.closes,
+                closes_connection=answer.closes,
             )
 
 
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -74,14 +74,15 @@
         content_type: The media type of the body; empty if `headers` contain
             it.
         headers: Additional headers.
-        closes: True if the connection must be closed after this response.
+        closes_connection: True if the connection must be closed after this
+            response.
     """
 
     status: int
     body: bytes = b""
     content_type: str = "application/json; charset=utf-8"
     headers: tuple[tuple[str, str], ...] = ()
-    closes: bool = False
+    closes_connection: bool = False
 
 
 Handler = Callable[[Request], Awaitable[Response]]
--- a/src/azureramp/ports/web/server.py
+++ b/src/azureramp/ports/web/server.py
@@ -124,7 +124,7 @@
         try:
             response = await self._handler(request)
             if self.closes_connections:
-                return dataclasses.replace(response, closes=True)
+                return dataclasses.replace(response, closes_connection=True)
             return response
         finally:
             self.running_requests -= 1
--- a/src/azureramp/ports/web/server_connection.py
+++ b/src/azureramp/ports/web/server_connection.py
@@ -108,7 +108,7 @@
         response = await self._handle(request)
         if response is None:
             return False
-        closes = response.closes or self._stopping
+        closes = response.closes_connection or self._stopping
         await self._write(response, closes)
         return not closes and self._http.our_state is not h11.MUST_CLOSE
 
--- a/src/azureramp_standins/searcher.py
+++ b/src/azureramp_standins/searcher.py
@@ -223,7 +223,9 @@
         if self.faults.truncated:
             self.faults.truncated -= 1
             half = response.body[: len(response.body) // 2]
-            return web_api.Response(status=200, body=half, closes=True)
+            return web_api.Response(
+                status=200, body=half, closes_connection=True
+            )
         return response
 
 
