--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -108,7 +108,7 @@
     """
     host = request_id = b""
     deadline: bytes | None = None
-    for name, value in request.fields:
+    for name, value in request.raw_headers:
         if name == b"host":
             host = value
         elif name == REQUEST_ID:
@@ -135,7 +135,7 @@
             id=request_id,
             method=request.method.encode("ascii"),
             target=request.target,
-            headers=_filter_end_to_end(request.fields, SET_BY_TIER),
+            headers=_filter_end_to_end(request.raw_headers, SET_BY_TIER),
             body=request.body,
         ),
     )
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -23,7 +23,7 @@
             name wins.
         body: The body.
         target: The raw request target (path and query).
-        fields: The raw headers, in order, names in lower case.
+        raw_headers: The raw headers, in order, names in lower case.
         began_s: Event loop time at which its first byte was read, in seconds.
         round_trip_s: The kernel's round-trip time estimate for the
             connection, in seconds; 0 if there is none.
@@ -36,7 +36,7 @@
     headers: Mapping[str, str]
     body: bytes = b""
     target: bytes = b""
-    fields: tuple[tuple[bytes, bytes], ...] = ()
+    raw_headers: tuple[tuple[bytes, bytes], ...] = ()
     began_s: float = 0.0
     round_trip_s: float = 0.0
     first: bool = False
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -209,7 +209,7 @@
         headers={},
         body=body,
         target=head.target,
-        fields=tuple(head.headers),
+        raw_headers=tuple(head.headers),
         began_s=arrival.began_s,
         round_trip_s=arrival.round_trip_s,
         first=arrival.first,
