--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -122,7 +122,7 @@
         deadline_s = _parse_milliseconds(deadline)
         if deadline_s is None:
             return requests.Malformed("the deadline is not a number")
-    path = request.target.partition(b"?")[0].decode("latin-1")
+    path = request.raw_target.partition(b"?")[0].decode("latin-1")
     return requests.Incoming(
         id=request_id.decode("latin-1"),
         host=host.decode("latin-1").partition(":")[0].lower(),
@@ -134,7 +134,7 @@
         message=api.Message(
             id=request_id,
             method=request.method.encode("ascii"),
-            target=request.target,
+            target=request.raw_target,
             headers=_filter_end_to_end(request.raw_headers, SET_BY_TIER),
             body=request.body,
         ),
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -22,7 +22,7 @@
         headers: The headers by lower-case name; the last value of a repeated
             name wins.
         body: The body.
-        target: The raw request target (path and query).
+        raw_target: The raw request target (path and query).
         raw_headers: The raw headers, in order, names in lower case.
         began_s: Event loop time at which its first byte was read, in seconds.
         round_trip_s: The kernel's round-trip time estimate for the
@@ -35,7 +35,7 @@
     query: Mapping[str, str]
     headers: Mapping[str, str]
     body: bytes = b""
-    target: bytes = b""
+    raw_target: bytes = b""
     raw_headers: tuple[tuple[bytes, bytes], ...] = ()
     began_s: float = 0.0
     round_trip_s: float = 0.0
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -208,7 +208,7 @@
         query={},
         headers={},
         body=body,
-        target=head.target,
+        raw_target=head.target,
         raw_headers=tuple(head.headers),
         began_s=arrival.began_s,
         round_trip_s=arrival.round_trip_s,
