--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -130,7 +130,9 @@
         deadline_s=deadline_s,
         began_s=request.began_s,
         round_trip_s=request.round_trip_s,
-        connection_setup_s=request.round_trip_s if request.first else 0.0,
+        connection_setup_s=request.round_trip_s
+        if request.is_first_on_connection
+        else 0.0,
         message=api.Message(
             id=request_id,
             method=request.method.encode("ascii"),
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -27,7 +27,8 @@
         began_s: Event loop time at which its first byte was read, in seconds.
         round_trip_s: The kernel's round-trip time estimate for the
             connection, in seconds; 0 if there is none.
-        first: True if this is the first request on its connection.
+        is_first_on_connection: True if this is the first request on its
+            connection.
     """
 
     method: str
@@ -39,7 +40,7 @@
     raw_headers: tuple[tuple[bytes, bytes], ...] = ()
     began_s: float = 0.0
     round_trip_s: float = 0.0
-    first: bool = False
+    is_first_on_connection: bool = False
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -212,7 +212,7 @@
         raw_headers=tuple(head.headers),
         began_s=arrival.began_s,
         round_trip_s=arrival.round_trip_s,
-        first=arrival.first,
+        is_first_on_connection=arrival.first,
     )
 
 
@@ -245,5 +245,5 @@
         body,
         began_s=arrival.began_s,
         round_trip_s=arrival.round_trip_s,
-        first=arrival.first,
+        is_first_on_connection=arrival.first,
     )
