--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -128,7 +128,7 @@
         host=host.decode("latin-1").partition(":")[0].lower(),
         path=path,
         deadline_s=deadline_s,
-        began_s=request.began_s,
+        began_s=request.received_s,
         round_trip_s=request.round_trip_s,
         connection_setup_s=request.round_trip_s
         if request.is_first_on_connection
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -24,7 +24,8 @@
         body: The body.
         raw_target: The raw request target (path and query).
         raw_headers: The raw headers, in order, names in lower case.
-        began_s: Event loop time at which its first byte was read, in seconds.
+        received_s: Event loop time at which its first byte was read, in
+            seconds.
         round_trip_s: The kernel's round-trip time estimate for the
             connection, in seconds; 0 if there is none.
         is_first_on_connection: True if this is the first request on its
@@ -38,7 +39,7 @@
     body: bytes = b""
     raw_target: bytes = b""
     raw_headers: tuple[tuple[bytes, bytes], ...] = ()
-    began_s: float = 0.0
+    received_s: float = 0.0
     round_trip_s: float = 0.0
     is_first_on_connection: bool = False
 
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -210,7 +210,7 @@
         body=body,
         raw_target=head.target,
         raw_headers=tuple(head.headers),
-        began_s=arrival.began_s,
+        received_s=arrival.began_s,
         round_trip_s=arrival.round_trip_s,
         is_first_on_connection=arrival.first,
     )
@@ -243,7 +243,7 @@
         dict(pairs),
         headers,
         body,
-        began_s=arrival.began_s,
+        received_s=arrival.began_s,
         round_trip_s=arrival.round_trip_s,
         is_first_on_connection=arrival.first,
     )
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -18,7 +18,7 @@
         *extra,
     )
     return web_api.Request(
-        "POST", "", {}, {}, b"x", b"/a/b?c", fields, began_s=3.0
+        "POST", "", {}, {}, b"x", b"/a/b?c", fields, received_s=3.0
     )
 
 
