--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -226,7 +226,7 @@
             log_writer,
         )
         self._limits = web_api.Limits(
-            connections=max(
+            max_connections=max(
                 100, process_settings.descriptors - RESERVED_DESCRIPTORS
             )
         )
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -55,7 +55,7 @@
         request_s: Maximum time from the end of the headers to the end of the
             body, in seconds.
         idle_s: Maximum time between two requests on a connection, in seconds.
-        connections: Maximum number of concurrent connections.
+        max_connections: Maximum number of concurrent connections.
     """
 
     header_bytes: int = 16_384
@@ -63,7 +63,7 @@
     header_s: float = 10.0
     request_s: float = 10.0
     idle_s: float = 60.0
-    connections: int = 2000
+    max_connections: int = 2000
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp/ports/web/server.py
+++ b/src/azureramp/ports/web/server.py
@@ -151,7 +151,10 @@
     ) -> None:
         """Serves one connection until it is closed."""
         task = asyncio.current_task()
-        if task is None or len(self._connections) >= self._limits.connections:
+        if (
+            task is None
+            or len(self._connections) >= self._limits.max_connections
+        ):
             writer.transport.abort()
             return
         connection = server_connection.ServerConnection(
