--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -49,7 +49,8 @@
     """Limits that a server applies to its clients; mutable at any time.
 
     Attributes:
-        header_bytes: Maximum size of the request line and headers, in bytes.
+        max_header_bytes: Maximum size of the request line and headers, in
+            bytes.
         body_bytes: Maximum size of a request body, in bytes.
         header_s: Maximum time to receive the request headers, in seconds.
         request_s: Maximum time from the end of the headers to the end of the
@@ -58,7 +59,7 @@
         max_connections: Maximum number of concurrent connections.
     """
 
-    header_bytes: int = 16_384
+    max_header_bytes: int = 16_384
     body_bytes: int = 1_000_000
     header_s: float = 10.0
     request_s: float = 10.0
--- a/src/azureramp/ports/web/server_connection.py
+++ b/src/azureramp/ports/web/server_connection.py
@@ -77,7 +77,7 @@
         self._protocol = protocol
         self._stopping = False
         self._http = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=limits.header_bytes
+            h11.SERVER, max_incomplete_event_size=limits.max_header_bytes
         )
         self._requests = request_reader.RequestReader(
             self._http, reader, writer, limits, parse
