--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -189,7 +189,7 @@
         target: The server's limits, changed in place.
     """
     target.max_header_bytes = limits.max_header_bytes
-    target.body_bytes = limits.max_body_bytes
+    target.max_body_bytes = limits.max_body_bytes
     target.header_s = limits.header_timeout_s
     target.idle_s = limits.idle_timeout_s
 
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -51,7 +51,7 @@
     Attributes:
         max_header_bytes: Maximum size of the request line and headers, in
             bytes.
-        body_bytes: Maximum size of a request body, in bytes.
+        max_body_bytes: Maximum size of a request body, in bytes.
         header_s: Maximum time to receive the request headers, in seconds.
         request_s: Maximum time from the end of the headers to the end of the
             body, in seconds.
@@ -60,7 +60,7 @@
     """
 
     max_header_bytes: int = 16_384
-    body_bytes: int = 1_000_000
+    max_body_bytes: int = 1_000_000
     header_s: float = 10.0
     request_s: float = 10.0
     idle_s: float = 60.0
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -135,7 +135,7 @@
                     self._deadline_s = loop.time() + self._limits.request_s
                 case h11.Data() as event:
                     body += event.data
-                    if len(body) > self._limits.body_bytes:
+                    if len(body) > self._limits.max_body_bytes:
                         raise BadRequestError(
                             413, "the request body is too large"
                         )
