--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -174,7 +174,7 @@
         if not self._started:
             self._started = True
             self._started_s = asyncio.get_running_loop().time()
-            self._deadline_s = self._started_s + self._limits.header_s
+            self._deadline_s = self._started_s + self._limits.header_timeout_s
 
 
 def check_framing(head: h11.Request) -> None:
