--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -54,8 +54,8 @@
         max_body_bytes: Maximum size of a request body, in bytes.
         header_timeout_s: Maximum time to receive the request headers, in
             seconds.
-        request_s: Maximum time from the end of the headers to the end of the
-            body, in seconds.
+        request_timeout_s: Maximum time from the end of the headers to the end
+            of the body, in seconds.
         idle_s: Maximum time between two requests on a connection, in seconds.
         max_connections: Maximum number of concurrent connections.
     """
@@ -63,7 +63,7 @@
     max_header_bytes: int = 16_384
     max_body_bytes: int = 1_000_000
     header_timeout_s: float = 10.0
-    request_s: float = 10.0
+    request_timeout_s: float = 10.0
     idle_s: float = 60.0
     max_connections: int = 2000
 
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -132,7 +132,9 @@
                     head = event
                     check_framing(head)
                     self._record_start()
-                    self._deadline_s = loop.time() + self._limits.request_s
+                    self._deadline_s = (
+                        loop.time() + self._limits.request_timeout_s
+                    )
                 case h11.Data() as event:
                     body += event.data
                     if len(body) > self._limits.max_body_bytes:
