--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -191,7 +191,7 @@
     target.max_header_bytes = limits.max_header_bytes
     target.max_body_bytes = limits.max_body_bytes
     target.header_timeout_s = limits.header_timeout_s
-    target.idle_s = limits.idle_timeout_s
+    target.idle_timeout_s = limits.idle_timeout_s
 
 
 def _filter_end_to_end(
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -56,7 +56,8 @@
             seconds.
         request_timeout_s: Maximum time from the end of the headers to the end
             of the body, in seconds.
-        idle_s: Maximum time between two requests on a connection, in seconds.
+        idle_timeout_s: Maximum time between two requests on a connection, in
+            seconds.
         max_connections: Maximum number of concurrent connections.
     """
 
@@ -64,7 +65,7 @@
     max_body_bytes: int = 1_000_000
     header_timeout_s: float = 10.0
     request_timeout_s: float = 10.0
-    idle_s: float = 60.0
+    idle_timeout_s: float = 60.0
     max_connections: int = 2000
 
 
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -120,7 +120,7 @@
         loop = asyncio.get_running_loop()
         self._started = False
         self._deadline_s = loop.time() + (
-            LINGER_S if self._stopping else self._limits.idle_s
+            LINGER_S if self._stopping else self._limits.idle_timeout_s
         )
         head: h11.Request | None = None
         body = bytearray()
