--- a/src/azureramp/cli/client.py
+++ b/src/azureramp/cli/client.py
@@ -138,7 +138,7 @@
         try:
             async with asyncio.timeout(self.common.timeout_s + wait_s):
                 response = await link.exchange(method, target, headers, body)
-        except connection.UnsentError as error:
+        except connection.NotSentError as error:
             return expression.Error(
                 make_error_answer(
                     errors.Kind.CONNECTION_LOST,
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -190,7 +190,7 @@
             return check_reply(
                 call, await link.call(call, remaining_ms, permission.ask), link
             )
-        except web_connection.UnsentError:
+        except web_connection.NotSentError:
             # The searcher closed an idle connection, or this process was
             # paused. No byte was written, so another connection may be used
             # unless `may_write` returned False.
--- a/src/azureramp/ports/searchers/health.py
+++ b/src/azureramp/ports/searchers/health.py
@@ -136,7 +136,7 @@
         except TimeoutError:
             report = expression.Error(_make_timeout())
         except (
-            web_connection.UnsentError,
+            web_connection.NotSentError,
             web_connection.BrokenError,
         ) as error:
             links.lost += 1
--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -57,9 +57,9 @@
     ) -> calls.Outcome:
         """Makes a call; see `calls.Link`."""
         if self._lost.done():
-            raise web_connection.UnsentError("closed")
+            raise web_connection.NotSentError("closed")
         if not may_write():
-            raise web_connection.UnsentError("not allowed")
+            raise web_connection.NotSentError("not allowed")
         started_s = asyncio.get_running_loop().time()
         serving = asyncio.ensure_future(self._serve(call))
         try:
@@ -86,7 +86,7 @@
     async def read_health(self) -> health.Report:
         """Reads the searcher's health; see `calls.Link`."""
         if self._lost.done():
-            raise web_connection.UnsentError("closed")
+            raise web_connection.NotSentError("closed")
         if self.silent:
             await asyncio.wait({self._lost})
             raise web_connection.BrokenError("lost")
--- a/src/azureramp/ports/web/connection.py
+++ b/src/azureramp/ports/web/connection.py
@@ -36,7 +36,7 @@
 """Byte offset of `tcpi_rtt` in Linux's `struct tcp_info`."""
 
 
-class UnsentError(Exception):
+class NotSentError(Exception):
     """The exchange failed before any byte was written."""
 
 
@@ -176,11 +176,11 @@
         """
         data = self._encode(method, target, headers, body, host)
         if self._writer.is_closing() or self._reader.at_eof():
-            raise UnsentError("closed")
+            raise NotSentError("closed")
         if may_write is not None and not may_write():
             # Nothing was written, so the connection can be reused as if new.
             self._http = h11.Connection(h11.CLIENT)
-            raise UnsentError("not allowed")
+            raise NotSentError("not allowed")
         try:
             self._writer.write(data)
             await self._writer.drain()
--- a/src/azureramp/ports/web/pool.py
+++ b/src/azureramp/ports/web/pool.py
@@ -73,7 +73,7 @@
                     response = await connection.exchange(
                         method, target, headers, body
                     )
-            except web_connection.UnsentError:
+            except web_connection.NotSentError:
                 connection.abort()
                 continue
             except web_connection.BrokenError as error:
--- a/tests/cluster/callers.py
+++ b/tests/cluster/callers.py
@@ -92,7 +92,7 @@
         headers = [("Authorization", f"Bearer {self.token}")]
         try:
             return await connection.exchange(method, path, headers, body)
-        except web_connection.UnsentError:
+        except web_connection.NotSentError:
             return None
         except web_connection.BrokenError:
             self.outcomes["cut"] += 1
