--- a/src/azureramp/cli/client.py
+++ b/src/azureramp/cli/client.py
@@ -146,7 +146,7 @@
                     errors.Execution.NOT_RUN,
                 )
             )
-        except (connection.BrokenError, TimeoutError) as error:
+        except (connection.ConnectionBrokenError, TimeoutError) as error:
             kind = errors.Kind.CONNECTION_LOST
             if method != "GET":
                 kind = errors.Kind.STORE_OUTCOME_UNKNOWN
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -200,7 +200,7 @@
             return expression.Error(
                 errors.Failure(errors.Kind.NOT_OWNER, "may not write")
             )
-        except web_connection.BrokenError as error:
+        except web_connection.ConnectionBrokenError as error:
             broke = True
             return expression.Error(
                 errors.Failure(errors.Kind.CONNECTION_LOST, str(error))
--- a/src/azureramp/ports/searchers/health.py
+++ b/src/azureramp/ports/searchers/health.py
@@ -137,7 +137,7 @@
             report = expression.Error(_make_timeout())
         except (
             web_connection.NotSentError,
-            web_connection.BrokenError,
+            web_connection.ConnectionBrokenError,
         ) as error:
             links.lost += 1
             failure = errors.Failure(errors.Kind.CONNECTION_LOST, str(error))
--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -66,9 +66,9 @@
             futures: set[asyncio.Future[Any]] = {serving, self._lost}
             await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
             if not serving.done():
-                raise web_connection.BrokenError("lost")
+                raise web_connection.ConnectionBrokenError("lost")
             outcome = serving.result()
-        except (asyncio.CancelledError, web_connection.BrokenError):
+        except (asyncio.CancelledError, web_connection.ConnectionBrokenError):
             self.abort()
             raise
         finally:
@@ -89,7 +89,7 @@
             raise web_connection.NotSentError("closed")
         if self.silent:
             await asyncio.wait({self._lost})
-            raise web_connection.BrokenError("lost")
+            raise web_connection.ConnectionBrokenError("lost")
         searcher = self._searcher
         searcher.health_reads += 1
         cold = searcher.faults.reports_cold
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -248,7 +248,9 @@
             self.effects.append(call.body)
         if faults.truncated:
             faults.truncated -= 1
-            raise web_connection.BrokenError("the reply was truncated")
+            raise web_connection.ConnectionBrokenError(
+                "the reply was truncated"
+            )
         call_id = call.call_id
         if faults.crossed:
             faults.crossed -= 1
--- a/src/azureramp/ports/web/connection.py
+++ b/src/azureramp/ports/web/connection.py
@@ -40,7 +40,7 @@
     """The exchange failed before any byte was written."""
 
 
-class BrokenError(Exception):
+class ConnectionBrokenError(Exception):
     """The connection failed after bytes may have been written."""
 
 
@@ -187,7 +187,9 @@
             response = await self._read_response()
         except (OSError, h11.ProtocolError, EOFError) as error:
             self.abort()
-            raise BrokenError(str(error) or type(error).__name__) from error
+            raise ConnectionBrokenError(
+                str(error) or type(error).__name__
+            ) from error
         except asyncio.CancelledError:
             self.abort()
             raise
--- a/src/azureramp/ports/web/pool.py
+++ b/src/azureramp/ports/web/pool.py
@@ -76,7 +76,7 @@
             except web_connection.NotSentError:
                 connection.abort()
                 continue
-            except web_connection.BrokenError as error:
+            except web_connection.ConnectionBrokenError as error:
                 return _fail(errors.Kind.STORE_OUTCOME_UNKNOWN, str(error))
             except TimeoutError:
                 self.close()
--- a/src/azureramp_standins/demo.py
+++ b/src/azureramp_standins/demo.py
@@ -99,7 +99,7 @@
                 code = answer.get("code", "complete")
                 if response.status != 200 or not answer["complete"]:
                     code = answer.get("code", "short")
-            except (OSError, web_connection.BrokenError) as error:
+            except (OSError, web_connection.ConnectionBrokenError) as error:
                 code = type(error).__name__
             codes[code] = codes.get(code, 0) + 1
             await asyncio.sleep(0.005)
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -279,7 +279,7 @@
         BrokenError: The connection could not be opened.
     """
     if opened.is_error():
-        raise web_connection.BrokenError(opened.error.detail)
+        raise web_connection.ConnectionBrokenError(opened.error.detail)
     return opened.ok
 
 
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -191,7 +191,7 @@
                 continue
             try:
                 answer = await self._fleet.ask(vm, target)
-            except (web_connection.BrokenError, OSError):
+            except (web_connection.ConnectionBrokenError, OSError):
                 continue
             if answer.status == 200:
                 self._succeeded.append(True)
--- a/src/azureramp_standins/soak/callers.py
+++ b/src/azureramp_standins/soak/callers.py
@@ -100,7 +100,10 @@
         except TimeoutError:
             request.status = -1
             self.close()
-        except (web_connection.BrokenError, web_connection.NotSentError):
+        except (
+            web_connection.ConnectionBrokenError,
+            web_connection.NotSentError,
+        ):
             self.close()
         else:
             request.status = answer.status
--- a/src/azureramp_standins/traffic.py
+++ b/src/azureramp_standins/traffic.py
@@ -149,7 +149,7 @@
             list(request.headers.items()),
             request.body,
         )
-    except (web_connection.BrokenError, web_connection.NotSentError):
+    except (web_connection.ConnectionBrokenError, web_connection.NotSentError):
         return web_api.Response(status=0)
     finally:
         connection.abort()
--- a/tests/cluster/callers.py
+++ b/tests/cluster/callers.py
@@ -94,7 +94,7 @@
             return await connection.exchange(method, path, headers, body)
         except web_connection.NotSentError:
             return None
-        except web_connection.BrokenError:
+        except web_connection.ConnectionBrokenError:
             self.outcomes["cut"] += 1
             return None
 
--- a/tests/ports/web/test_server.py
+++ b/tests/ports/web/test_server.py
@@ -173,7 +173,7 @@
         pending = asyncio.ensure_future(client.exchange("GET", "/x", ()))
         await asyncio.sleep(1.0)
         aborted = await served.stop(2.0)
-        with pytest.raises(web_connection.BrokenError):
+        with pytest.raises(web_connection.ConnectionBrokenError):
             await pending
 
         assert aborted == 1
