--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -71,6 +71,6 @@
             deadline_ms=max(0.0, left_s * 1000),
             body=batch.body,
             repeatable=batch.repeatable,
-            overdue_ms=connections.get_overdue_ms(expected_ms),
+            suspect_after_ms=connections.get_overdue_ms(expected_ms),
             give_up_ms=connections.get_give_up_ms(expected_ms, cold),
         )
--- a/src/azureramp/ports/searchers/api.py
+++ b/src/azureramp/ports/searchers/api.py
@@ -27,7 +27,7 @@
         deadline_ms: Remaining time, in milliseconds; sent to the searcher.
         body: The query as JSON.
         repeatable: False if the call has side effects and must not be repeated.
-        overdue_ms: Time without a reply, in milliseconds, after which the
+        suspect_after_ms: Time without a reply, in milliseconds, after which the
             connection is suspected to be half-open; 0 for never.
         give_up_ms: Time without a reply, in milliseconds, after which a
             repeatable call on a suspected connection is aborted; 0 for never.
@@ -43,7 +43,7 @@
     deadline_ms: float
     body: bytes
     repeatable: bool = True
-    overdue_ms: float = 0.0
+    suspect_after_ms: float = 0.0
     give_up_ms: float = 0.0
 
 
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -176,9 +176,9 @@
         permission.computed_s = loop.time()
         remaining_ms = (deadline_s - permission.computed_s) * 1000
         timer = None
-        if call.overdue_ms:
+        if call.suspect_after_ms:
             timer = loop.call_later(
-                call.overdue_ms / 1000,
+                call.suspect_after_ms / 1000,
                 self._start_overdue_check,
                 pooled,
                 link,
