--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -72,5 +72,5 @@
             body=batch.body,
             repeatable=batch.repeatable,
             suspect_after_ms=connections.get_overdue_ms(expected_ms),
-            give_up_ms=connections.get_give_up_ms(expected_ms, cold),
+            abort_after_ms=connections.get_give_up_ms(expected_ms, cold),
         )
--- a/src/azureramp/ports/searchers/api.py
+++ b/src/azureramp/ports/searchers/api.py
@@ -29,7 +29,7 @@
         repeatable: False if the call has side effects and must not be repeated.
         suspect_after_ms: Time without a reply, in milliseconds, after which the
             connection is suspected to be half-open; 0 for never.
-        give_up_ms: Time without a reply, in milliseconds, after which a
+        abort_after_ms: Time without a reply, in milliseconds, after which a
             repeatable call on a suspected connection is aborted; 0 for never.
     """
 
@@ -44,7 +44,7 @@
     body: bytes
     repeatable: bool = True
     suspect_after_ms: float = 0.0
-    give_up_ms: float = 0.0
+    abort_after_ms: float = 0.0
 
 
 class Reply(msgspec.Struct, frozen=True):
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -253,10 +253,10 @@
         if not call.repeatable:
             return
         if reported.in_flight >= pooled.count_in_use():
-            if not call.give_up_ms:
+            if not call.abort_after_ms:
                 return
             now_s = asyncio.get_running_loop().time()
-            await asyncio.sleep(started_s + call.give_up_ms / 1000 - now_s)
+            await asyncio.sleep(started_s + call.abort_after_ms / 1000 - now_s)
         if link.proven_s <= started_s:
             link.abort()
 
