--- a/src/azureramp/controllers/parts.py
+++ b/src/azureramp/controllers/parts.py
@@ -70,7 +70,7 @@
             high=request.high,
             deadline_ms=max(0.0, left_s * 1000),
             body=batch.body,
-            repeatable=batch.repeatable,
+            idempotent=batch.repeatable,
             suspect_after_ms=connections.get_overdue_ms(expected_ms),
             abort_after_ms=connections.get_give_up_ms(expected_ms, cold),
         )
--- a/src/azureramp/ports/searchers/api.py
+++ b/src/azureramp/ports/searchers/api.py
@@ -26,7 +26,7 @@
         high: The first key after the shard (exclusive).
         deadline_ms: Remaining time, in milliseconds; sent to the searcher.
         body: The query as JSON.
-        repeatable: False if the call has side effects and must not be repeated.
+        idempotent: False if the call has side effects and must not be repeated.
         suspect_after_ms: Time without a reply, in milliseconds, after which the
             connection is suspected to be half-open; 0 for never.
         abort_after_ms: Time without a reply, in milliseconds, after which a
@@ -42,7 +42,7 @@
     high: int
     deadline_ms: float
     body: bytes
-    repeatable: bool = True
+    idempotent: bool = True
     suspect_after_ms: float = 0.0
     abort_after_ms: float = 0.0
 
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -250,7 +250,7 @@
                 pooled.suspect(started_s)
             case _:
                 return
-        if not call.repeatable:
+        if not call.idempotent:
             return
         if reported.in_flight >= pooled.count_in_use():
             if not call.abort_after_ms:
--- a/src/azureramp/ports/searchers/http.py
+++ b/src/azureramp/ports/searchers/http.py
@@ -91,7 +91,7 @@
             call.shard,
             call.low,
             call.high,
-            call.repeatable,
+            call.idempotent,
             msgspec.Raw(call.body),
         )
         headers = (
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -244,7 +244,7 @@
         self.served += 1
         if self._random.random() < faults.fails:
             return _refuse(errors.Kind.BACKEND_FAILED)
-        if not call.repeatable:
+        if not call.idempotent:
             self.effects.append(call.body)
         if faults.truncated:
             faults.truncated -= 1
--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -179,7 +179,7 @@
         name, server, zone = self._searcher_names[searcher.address]
         cold = searcher.is_cold() and searcher.cold_shown
         key = ""
-        if not call.repeatable:
+        if not call.idempotent:
             key = str(
                 msgspec.json.decode(call.body).get(OPERATION_KEY_FIELD, "")
             )
