--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -154,7 +154,7 @@
     ) -> None:
         """Applies a searcher's health report."""
         known = owned.health
-        lost_all = before.open == 0 and owned.confirmed_lost not in (
+        lost_all = before.open_count == 0 and owned.confirmed_lost not in (
             before.lost,
             owned_searcher.UNCONFIRMED,
         )
--- a/src/azureramp/ports/searchers/api.py
+++ b/src/azureramp/ports/searchers/api.py
@@ -99,12 +99,12 @@
     """Connection counts for one searcher.
 
     Attributes:
-        open: Number of open connections.
+        open_count: Number of open connections.
         lost: Number of connections lost since the start: closed by the
             searcher or broken, not closed by this side.
     """
 
-    open: int
+    open_count: int
     lost: int
 
 
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -106,7 +106,8 @@
         pooled.prune()
         health_links = self._health.get_links(address)
         return api.Links(
-            pooled.opened + health_links.open, pooled.lost + health_links.lost
+            pooled.opened + health_links.open_count,
+            pooled.lost + health_links.lost,
         )
 
     async def call(
--- a/tests/ports/searchers/test_contract.py
+++ b/tests/ports/searchers/test_contract.py
@@ -133,7 +133,7 @@
         await wait_until(lambda: not harness.count_running())
 
         assert calling.cancelled()
-        assert harness.port.get_links(harness.address).open == 0
+        assert harness.port.get_links(harness.address).open_count == 0
 
     harness_module.run(kind, scenario)
 
@@ -154,7 +154,7 @@
         )
 
         assert all(result.is_ok() for result in results)
-        assert harness.port.get_links(harness.address).open == 4
+        assert harness.port.get_links(harness.address).open_count == 4
         assert harness.connects == 5
 
     harness_module.run(kind, scenario)
@@ -172,7 +172,7 @@
         harness.port.set_limit(harness.address, 0)
 
         assert used == 1
-        assert harness.port.get_links(harness.address).open == 0
+        assert harness.port.get_links(harness.address).open_count == 0
         assert harness.port.get_links(harness.address).lost == 0
 
     harness_module.run(kind, scenario)
@@ -243,7 +243,7 @@
         await harness.port.read_health(harness.address)
         await harness.port.close()
 
-        assert harness.port.get_links(harness.address).open == 0
+        assert harness.port.get_links(harness.address).open_count == 0
 
     harness_module.run(kind, scenario)
 
