--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -113,7 +113,9 @@
         """Allows connections to a searcher: half of those it accepts."""
         share = connections.get_share(owned.place.searcher.connections)
         self._port.set_limit(owned.get_address(), share)
-        owned.confirmed_lost = self._port.get_links(owned.get_address()).lost
+        owned.confirmed_lost = self._port.get_links(
+            owned.get_address()
+        ).lost_count
 
     def _update_place(
         self, owned: OwnedSearcher, place: directory.Place
--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -90,7 +90,7 @@
         sent until the incarnation has been read again.
         """
         links = self._port.get_links(owned.get_address())
-        return owned.reachable and links.lost == owned.confirmed_lost
+        return owned.reachable and links.lost_count == owned.confirmed_lost
 
     def forget(self, name: str) -> None:
         """Removes the probe state of a searcher that is no longer owned."""
@@ -155,7 +155,7 @@
         """Applies a searcher's health report."""
         known = owned.health
         lost_all = before.open_count == 0 and owned.confirmed_lost not in (
-            before.lost,
+            before.lost_count,
             owned_searcher.UNCONFIRMED,
         )
         if known is not None and known.incarnation != health.incarnation:
@@ -165,7 +165,7 @@
         owned.health = health
         owned.missed_reads = 0
         owned.reachable = True
-        owned.confirmed_lost = before.lost
+        owned.confirmed_lost = before.lost_count
         self._apply_reported_cold(owned, health.cold)
         if owned.is_cold():
             owned.ramp.adopt_usual(self._get_usual_of_others(owned))
--- a/src/azureramp/ports/searchers/api.py
+++ b/src/azureramp/ports/searchers/api.py
@@ -100,12 +100,12 @@
 
     Attributes:
         open_count: Number of open connections.
-        lost: Number of connections lost since the start: closed by the
+        lost_count: Number of connections lost since the start: closed by the
             searcher or broken, not closed by this side.
     """
 
     open_count: int
-    lost: int
+    lost_count: int
 
 
 class Searchers(Protocol):
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -107,7 +107,7 @@
         health_links = self._health.get_links(address)
         return api.Links(
             pooled.opened + health_links.open_count,
-            pooled.lost + health_links.lost,
+            pooled.lost + health_links.lost_count,
         )
 
     async def call(
--- a/tests/ports/searchers/test_contract.py
+++ b/tests/ports/searchers/test_contract.py
@@ -173,7 +173,7 @@
 
         assert used == 1
         assert harness.port.get_links(harness.address).open_count == 0
-        assert harness.port.get_links(harness.address).lost == 0
+        assert harness.port.get_links(harness.address).lost_count == 0
 
     harness_module.run(kind, scenario)
 
@@ -187,13 +187,13 @@
         before = await harness.port.read_health(harness.address)
         await harness.stop()
         await wait_until(
-            lambda: harness.port.get_links(harness.address).lost == 2
+            lambda: harness.port.get_links(harness.address).lost_count == 2
         )
         down = await harness.port.read_health(harness.address)
         await harness.restart()
         after = await harness.port.read_health(harness.address)
 
-        assert harness.port.get_links(harness.address).lost == 2
+        assert harness.port.get_links(harness.address).lost_count == 2
         assert down.error.kind is LOST
         assert after.ok.incarnation == before.ok.incarnation + 1
         assert after.ok.versions == (harness_module.VERSION,)
