--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -150,7 +150,7 @@
         self,
         owned: OwnedSearcher,
         health: searchers_api.Health,
-        before: searchers_api.Links,
+        before: searchers_api.ConnectionCounts,
     ) -> None:
         """Applies a searcher's health report."""
         known = owned.health
--- a/src/azureramp/ports/searchers/api.py
+++ b/src/azureramp/ports/searchers/api.py
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Links:
+class ConnectionCounts:
     """Connection counts for one searcher.
 
     Attributes:
@@ -122,7 +122,7 @@
         """
         ...
 
-    def get_links(self, address: str) -> Links:
+    def get_links(self, address: str) -> ConnectionCounts:
         """Returns the current connection counts for an address."""
         ...
 
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -100,12 +100,12 @@
         self._health.set_limit(address, for_health)
         self._pools.get(address).set_limit(for_calls)
 
-    def get_links(self, address: str) -> api.Links:
+    def get_links(self, address: str) -> api.ConnectionCounts:
         """Returns the connection counts; see `api.Searchers`."""
         pooled = self._pools.get(address)
         pooled.prune()
         health_links = self._health.get_links(address)
-        return api.Links(
+        return api.ConnectionCounts(
             pooled.opened + health_links.open_count,
             pooled.lost + health_links.lost_count,
         )
--- a/src/azureramp/ports/searchers/health.py
+++ b/src/azureramp/ports/searchers/health.py
@@ -69,11 +69,11 @@
         self._connect = connect
         self._links: dict[str, HealthLinks[_L]] = {}
 
-    def get_links(self, address: str) -> api.Links:
+    def get_links(self, address: str) -> api.ConnectionCounts:
         """Returns the connection counts for an address."""
         links = self._get(address)
         self._prune(links)
-        return api.Links(links.opened, links.lost)
+        return api.ConnectionCounts(links.opened, links.lost)
 
     def set_limit(self, address: str, limit: int) -> None:
         """Sets the maximum number of connections; 0 closes the idle one."""
