--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -113,7 +113,7 @@
         """Allows connections to a searcher: half of those it accepts."""
         share = connections.get_share(owned.place.searcher.connections)
         self._port.set_limit(owned.get_address(), share)
-        owned.confirmed_lost = self._port.get_links(
+        owned.confirmed_lost = self._port.count_connections(
             owned.get_address()
         ).lost_count
 
--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -89,7 +89,7 @@
         because one connection is always open. So after any loss nothing is
         sent until the incarnation has been read again.
         """
-        links = self._port.get_links(owned.get_address())
+        links = self._port.count_connections(owned.get_address())
         return owned.reachable and links.lost_count == owned.confirmed_lost
 
     def forget(self, name: str) -> None:
@@ -133,7 +133,7 @@
     async def _probe(self, owned: OwnedSearcher) -> None:
         """Reads a searcher's health and applies the result."""
         address = owned.get_address()
-        before = self._port.get_links(address)
+        before = self._port.count_connections(address)
         began_s = _now_s()
         report = await self._port.read_health(address)
         if self._holdings.owned.get(owned.get_name()) is not owned:
--- a/src/azureramp/ports/searchers/api.py
+++ b/src/azureramp/ports/searchers/api.py
@@ -122,7 +122,7 @@
         """
         ...
 
-    def get_links(self, address: str) -> ConnectionCounts:
+    def count_connections(self, address: str) -> ConnectionCounts:
         """Returns the current connection counts for an address."""
         ...
 
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -100,11 +100,11 @@
         self._health.set_limit(address, for_health)
         self._pools.get(address).set_limit(for_calls)
 
-    def get_links(self, address: str) -> api.ConnectionCounts:
+    def count_connections(self, address: str) -> api.ConnectionCounts:
         """Returns the connection counts; see `api.Searchers`."""
         pooled = self._pools.get(address)
         pooled.prune()
-        health_links = self._health.get_links(address)
+        health_links = self._health.count_connections(address)
         return api.ConnectionCounts(
             pooled.opened + health_links.open_count,
             pooled.lost + health_links.lost_count,
--- a/src/azureramp/ports/searchers/health.py
+++ b/src/azureramp/ports/searchers/health.py
@@ -69,7 +69,7 @@
         self._connect = connect
         self._links: dict[str, HealthLinks[_L]] = {}
 
-    def get_links(self, address: str) -> api.ConnectionCounts:
+    def count_connections(self, address: str) -> api.ConnectionCounts:
         """Returns the connection counts for an address."""
         links = self._get(address)
         self._prune(links)
--- a/tests/ports/searchers/test_contract.py
+++ b/tests/ports/searchers/test_contract.py
@@ -133,7 +133,7 @@
         await wait_until(lambda: not harness.count_running())
 
         assert calling.cancelled()
-        assert harness.port.get_links(harness.address).open_count == 0
+        assert harness.port.count_connections(harness.address).open_count == 0
 
     harness_module.run(kind, scenario)
 
@@ -154,7 +154,7 @@
         )
 
         assert all(result.is_ok() for result in results)
-        assert harness.port.get_links(harness.address).open_count == 4
+        assert harness.port.count_connections(harness.address).open_count == 4
         assert harness.connects == 5
 
     harness_module.run(kind, scenario)
@@ -172,8 +172,8 @@
         harness.port.set_limit(harness.address, 0)
 
         assert used == 1
-        assert harness.port.get_links(harness.address).open_count == 0
-        assert harness.port.get_links(harness.address).lost_count == 0
+        assert harness.port.count_connections(harness.address).open_count == 0
+        assert harness.port.count_connections(harness.address).lost_count == 0
 
     harness_module.run(kind, scenario)
 
@@ -187,13 +187,15 @@
         before = await harness.port.read_health(harness.address)
         await harness.stop()
         await wait_until(
-            lambda: harness.port.get_links(harness.address).lost_count == 2
+            lambda: (
+                harness.port.count_connections(harness.address).lost_count == 2
+            )
         )
         down = await harness.port.read_health(harness.address)
         await harness.restart()
         after = await harness.port.read_health(harness.address)
 
-        assert harness.port.get_links(harness.address).lost_count == 2
+        assert harness.port.count_connections(harness.address).lost_count == 2
         assert down.error.kind is LOST
         assert after.ok.incarnation == before.ok.incarnation + 1
         assert after.ok.versions == (harness_module.VERSION,)
@@ -243,7 +245,7 @@
         await harness.port.read_health(harness.address)
         await harness.port.close()
 
-        assert harness.port.get_links(harness.address).open_count == 0
+        assert harness.port.count_connections(harness.address).open_count == 0
 
     harness_module.run(kind, scenario)
 
--- a/tests/ports/searchers/test_replies.py
+++ b/tests/ports/searchers/test_replies.py
@@ -69,7 +69,7 @@
         port = http.make()
         await scenario(port)
         await port.close()
-        assert port.get_links(ADDRESS).open_count == 0
+        assert port.count_connections(ADDRESS).open_count == 0
         server.close()
         await asyncio.sleep(1)
 
