--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -20,7 +20,7 @@
 MAX_ENCODE_S = 0.05
 """Maximum time between computing a deadline and writing it, in seconds."""
 
-Outcome = expression.Result[api.Reply, errors.Failure]
+CallResult = expression.Result[api.Reply, errors.Failure]
 
 
 class Link(health.HealthLink, Protocol):
@@ -28,7 +28,7 @@
 
     async def call(
         self, call: api.Call, remaining_ms: float, may_write: Callable[[], bool]
-    ) -> Outcome:
+    ) -> CallResult:
         """Makes a call.
 
         Args:
@@ -146,7 +146,7 @@
 
     async def _call(
         self, call: api.Call, permission: WritePermission, deadline_s: float
-    ) -> Outcome:
+    ) -> CallResult:
         """Makes a call, trying other connections while nothing was written."""
         pooled = self._pools.get(call.address)
         while True:
@@ -167,7 +167,7 @@
         call: api.Call,
         permission: WritePermission,
         deadline_s: float,
-    ) -> Outcome | None:
+    ) -> CallResult | None:
         """Makes a call on one connection.
 
         Returns:
@@ -262,7 +262,9 @@
             link.abort()
 
 
-def check_reply(call: api.Call, outcome: Outcome, link: pool.Pooled) -> Outcome:
+def check_reply(
+    call: api.Call, outcome: CallResult, link: pool.Pooled
+) -> CallResult:
     """Rejects a reply that belongs to another call.
 
     A searcher or proxy that confuses replies would expose one caller's data
--- a/src/azureramp/ports/searchers/http.py
+++ b/src/azureramp/ports/searchers/http.py
@@ -82,7 +82,7 @@
 
     async def call(
         self, call: api.Call, remaining_ms: float, may_write: Callable[[], bool]
-    ) -> calls.Outcome:
+    ) -> calls.CallResult:
         """Makes a call; see `calls.Link`."""
         body = SearchBody(
             call.call_id,
--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -54,7 +54,7 @@
 
     async def call(
         self, call: api.Call, remaining_ms: float, may_write: Callable[[], bool]
-    ) -> calls.Outcome:
+    ) -> calls.CallResult:
         """Makes a call; see `calls.Link`."""
         if self._lost.done():
             raise web_connection.NotSentError("closed")
@@ -77,7 +77,7 @@
         self._searcher.record_reply(self.proven_s - started_s)
         return outcome
 
-    async def _serve(self, call: api.Call) -> calls.Outcome:
+    async def _serve(self, call: api.Call) -> calls.CallResult:
         """Passes a call to the searcher; never returns if half-open."""
         if self.silent:
             await asyncio.get_running_loop().create_future()
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -210,7 +210,7 @@
         self.faults.down = False
         self.restart(self.warm_after)
 
-    async def serve(self, call: api.Call) -> calls.Outcome:
+    async def serve(self, call: api.Call) -> calls.CallResult:
         """Runs a call, waiting for a slot if necessary."""
         self.calls += 1
         self.last_call_s = asyncio.get_running_loop().time()
@@ -230,7 +230,7 @@
         finally:
             self.running -= 1
 
-    async def _run(self, call: api.Call) -> calls.Outcome:
+    async def _run(self, call: api.Call) -> calls.CallResult:
         """Runs a call in a slot."""
         faults = self.faults
         if faults.hangs:
@@ -277,6 +277,6 @@
         return duration_ms
 
 
-def _refuse(kind: errors.Kind) -> calls.Outcome:
+def _refuse(kind: errors.Kind) -> calls.CallResult:
     """Makes the result of a rejected call."""
     return expression.Error(errors.Failure(kind, "the searcher refused"))
