--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -258,7 +258,7 @@
                 return
             now_s = asyncio.get_running_loop().time()
             await asyncio.sleep(started_s + call.abort_after_ms / 1000 - now_s)
-        if link.proven_s <= started_s:
+        if link.last_active_s <= started_s:
             link.abort()
 
 
--- a/src/azureramp/ports/searchers/http.py
+++ b/src/azureramp/ports/searchers/http.py
@@ -68,7 +68,7 @@
         self._connection = connection
 
     @property
-    def proven_s(self) -> float:
+    def last_active_s(self) -> float:
         """Event loop time of its opening or last response, in seconds."""
         return self._connection.used_s
 
--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -25,11 +25,11 @@
         silent: True if it is half-open: everything sent on it is dropped.
     """
 
-    __slots__ = ("_lost", "_searcher", "proven_s", "silent")
+    __slots__ = ("_lost", "_searcher", "last_active_s", "silent")
 
     def __init__(self, searcher: Searcher) -> None:
         """Opens a connection to a searcher."""
-        self.proven_s = asyncio.get_running_loop().time()
+        self.last_active_s = asyncio.get_running_loop().time()
         self.silent = False
         self._searcher = searcher
         self._lost: asyncio.Future[None] = (
@@ -73,8 +73,8 @@
             raise
         finally:
             serving.cancel()
-        self.proven_s = asyncio.get_running_loop().time()
-        self._searcher.record_reply(self.proven_s - started_s)
+        self.last_active_s = asyncio.get_running_loop().time()
+        self._searcher.record_reply(self.last_active_s - started_s)
         return outcome
 
     async def _serve(self, call: api.Call) -> calls.CallResult:
@@ -93,7 +93,7 @@
         searcher = self._searcher
         searcher.health_reads += 1
         cold = searcher.faults.reports_cold
-        self.proven_s = asyncio.get_running_loop().time()
+        self.last_active_s = asyncio.get_running_loop().time()
         return expression.Ok(
             api.Health(
                 searcher.incarnation,
--- a/src/azureramp/ports/searchers/pool.py
+++ b/src/azureramp/ports/searchers/pool.py
@@ -21,7 +21,7 @@
     """The connection interface that the pool requires."""
 
     @property
-    def proven_s(self) -> float:
+    def last_active_s(self) -> float:
         """Event loop time of its opening or last response, in seconds."""
         ...
 
@@ -153,7 +153,7 @@
             if not connection.is_reusable():
                 self.lost += 1
             elif connections.may_reuse(
-                connection.proven_s, now_s, self._suspect_before_s
+                connection.last_active_s, now_s, self._suspect_before_s
             ):
                 continue
             self._idle.remove(connection)
