--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -248,7 +248,7 @@
         report = await self.read_health(call.address, fresh=True)
         match report:
             case expression.Result(tag="ok", ok=reported):
-                pooled.suspect(started_s)
+                pooled.close_idle_before(started_s)
             case _:
                 return
         if not call.idempotent:
--- a/src/azureramp/ports/searchers/pool.py
+++ b/src/azureramp/ports/searchers/pool.py
@@ -134,7 +134,7 @@
         else:
             self._close(connection)
 
-    def suspect(self, before_s: float) -> None:
+    def close_idle_before(self, before_s: float) -> None:
         """Closes the idle connections without activity since a given time.
 
         Connections in use are checked in the same way after their release, by
