--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -106,7 +106,7 @@
         pooled.prune()
         health_links = self._health.count_connections(address)
         return api.ConnectionCounts(
-            pooled.opened + health_links.open_count,
+            pooled.open_count + health_links.open_count,
             pooled.lost + health_links.lost_count,
         )
 
--- a/src/azureramp/ports/searchers/pool.py
+++ b/src/azureramp/ports/searchers/pool.py
@@ -46,7 +46,7 @@
     """The connections for calls to one address.
 
     Attributes:
-        opened: Number of open connections, in use or idle.
+        open_count: Number of open connections, in use or idle.
         lost: Number of connections broken or closed by the other side since
             the start.
     """
@@ -59,7 +59,7 @@
         "_suspect_before_s",
         "_waiters",
         "lost",
-        "opened",
+        "open_count",
     )
 
     def __init__(self, address: str, connect: Connect[_C]) -> None:
@@ -69,7 +69,7 @@
             address: The searcher's `IP:port`.
             connect: Opens a connection.
         """
-        self.opened = 0
+        self.open_count = 0
         self.lost = 0
         self._limit = DEFAULT_LIMIT
         self._suspect_before_s = -math.inf
@@ -83,13 +83,13 @@
     def set_limit(self, limit: int) -> None:
         """Sets the maximum number of open connections."""
         self._limit = limit
-        while self._idle and self.opened > limit:
+        while self._idle and self.open_count > limit:
             self._close(self._idle.pop(0))
         self._wake()
 
     def count_in_use(self) -> int:
         """Returns the number of connections in use."""
-        return self.opened - len(self._idle)
+        return self.open_count - len(self._idle)
 
     async def acquire(
         self, timeout_s: float
@@ -110,7 +110,7 @@
             self.prune()
             if self._idle:
                 return expression.Ok(self._idle.pop())
-            if self.opened < self._limit:
+            if self.open_count < self._limit:
                 return await self._open(deadline_s - loop.time())
             if not await self._wait(deadline_s):
                 return expression.Error(
@@ -128,7 +128,7 @@
         """
         if broke:
             self.lost += 1
-        if connection.is_reusable() and self.opened <= self._limit:
+        if connection.is_reusable() and self.open_count <= self._limit:
             self._idle.append(connection)
             self._wake()
         else:
@@ -163,7 +163,7 @@
         self, timeout_s: float
     ) -> expression.Result[_C, errors.Failure]:
         """Opens a connection and counts it."""
-        self.opened += 1
+        self.open_count += 1
         succeeded = False
         try:
             result = await self._connect(self._address, timeout_s)
@@ -171,7 +171,7 @@
             return result
         finally:
             if not succeeded:
-                self.opened -= 1
+                self.open_count -= 1
                 self._wake()
 
     async def _wait(self, deadline_s: float) -> bool:
@@ -201,7 +201,7 @@
 
     def _wake(self) -> None:
         """Wakes the longest-waiting waiter if a connection or slot is free."""
-        if not self._idle and self.opened >= self._limit:
+        if not self._idle and self.open_count >= self._limit:
             return
         while self._waiters:
             waiter = self._waiters.popleft()
@@ -212,7 +212,7 @@
     def _close(self, connection: _C) -> None:
         """Closes a connection and frees its slot."""
         connection.abort()
-        self.opened -= 1
+        self.open_count -= 1
         self._wake()
 
 
