--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -133,7 +133,7 @@
 
     async def read_health(
         self, address: str, fresh: bool = False
-    ) -> health.Report:
+    ) -> health.HealthResult:
         """Reads a searcher's health report; see `api.Searchers`."""
         return await self._health.read(address, fresh)
 
--- a/src/azureramp/ports/searchers/health.py
+++ b/src/azureramp/ports/searchers/health.py
@@ -20,13 +20,13 @@
 TIMEOUT_S = 0.25
 """Timeout of a health read, in seconds."""
 
-Report = expression.Result[api.Health, errors.Failure]
+HealthResult = expression.Result[api.Health, errors.Failure]
 
 
 class HealthLink(pool.Pooled, Protocol):
     """A connection for health reads."""
 
-    async def read_health(self) -> Report:
+    async def read_health(self) -> HealthResult:
         """Reads the searcher's health.
 
         Raises:
@@ -56,7 +56,7 @@
     opened: int = 0
     lost: int = 0
     idle: _L | None = None
-    new_read: asyncio.Task[Report] | None = None
+    new_read: asyncio.Task[HealthResult] | None = None
 
 
 class HealthReader(Generic[_L]):
@@ -82,7 +82,7 @@
         if limit == 0:
             self._close_idle(links)
 
-    async def read(self, address: str, fresh: bool) -> Report:
+    async def read(self, address: str, fresh: bool) -> HealthResult:
         """Reads a searcher's health; see `api.Searchers`."""
         links = self._get(address)
         self._prune(links)
@@ -102,14 +102,14 @@
 
     async def _read_on_new(
         self, links: HealthLinks[_L], address: str
-    ) -> Report:
+    ) -> HealthResult:
         """Reads over a new connection; concurrent reads share the result."""
         if links.new_read is None:
             links.new_read = asyncio.ensure_future(self._open(links, address))
             links.new_read.add_done_callback(lambda _: _clear_new_read(links))
         return await asyncio.shield(links.new_read)
 
-    async def _open(self, links: HealthLinks[_L], address: str) -> Report:
+    async def _open(self, links: HealthLinks[_L], address: str) -> HealthResult:
         """Opens a connection and reads the health over it."""
         links.opened += 1
         opened = False
@@ -128,7 +128,7 @@
             case expression.Result(error=failure):
                 return expression.Error(failure)
 
-    async def _read_on(self, links: HealthLinks[_L], link: _L) -> Report:
+    async def _read_on(self, links: HealthLinks[_L], link: _L) -> HealthResult:
         """Reads the health over a connection and keeps it if successful."""
         try:
             async with asyncio.timeout(TIMEOUT_S):
--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -83,7 +83,7 @@
             await asyncio.get_running_loop().create_future()
         return await self._searcher.serve(call)
 
-    async def read_health(self) -> health.Report:
+    async def read_health(self) -> health.HealthResult:
         """Reads the searcher's health; see `calls.Link`."""
         if self._lost.done():
             raise web_connection.NotSentError("closed")
