--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -172,7 +172,7 @@
         for link in list(self.links):
             link.lose()
 
-    def silence(self) -> None:
+    def make_half_open(self) -> None:
         """Makes all open connections half-open, as a failing middlebox does."""
         for link in self.links:
             link.silent = True
--- a/tests/controllers/test_owner_storm.py
+++ b/tests/controllers/test_owner_storm.py
@@ -47,7 +47,7 @@
             case 4:
                 faults.hangs += 1
             case 5:
-                searcher.silence()
+                searcher.make_half_open()
             case 6:
                 searcher.restart(warm_after=5)
             case 7:
--- a/tests/ports/searchers/test_half_open.py
+++ b/tests/ports/searchers/test_half_open.py
@@ -135,7 +135,7 @@
 
     def make_half_open(self) -> None:
         """Makes all open connections half-open."""
-        self._searcher.silence()
+        self._searcher.make_half_open()
 
     def count_connects(self) -> int:
         """Returns the number of connections opened so far."""
