--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -177,7 +177,7 @@
         for link in self.links:
             link.silent = True
 
-    def turn_cold(self, warm_after: int) -> None:
+    def reset_to_cold(self, warm_after: int) -> None:
         """Returns to cold start without a restart or any other visible sign."""
         self.served = 0
         self.slow_replies = 0
--- a/src/azureramp_standins/matrix/changes.py
+++ b/src/azureramp_standins/matrix/changes.py
@@ -106,7 +106,7 @@
 async def begin_cold(target: FaultTarget) -> None:
     """Puts a backend server into cold start without a restart or a notice."""
     for searcher in target.get_searcher().siblings:
-        searcher.turn_cold(COLD_CALLS)
+        searcher.reset_to_cold(COLD_CALLS)
 
 
 async def begin_store_down(target: FaultTarget) -> None:
@@ -218,7 +218,7 @@
     """Puts a backend server into cold start and makes it report being warm."""
     for searcher in target.get_searcher().siblings:
         searcher.faults.reports_cold = False
-        searcher.turn_cold(COLD_CALLS)
+        searcher.reset_to_cold(COLD_CALLS)
 
 
 async def end_lying_reports(target: FaultTarget) -> None:
--- a/src/azureramp_standins/measuring/running.py
+++ b/src/azureramp_standins/measuring/running.py
@@ -201,7 +201,7 @@
             if restart:
                 searcher.restart(scenarios.COLD_CALLS)
             else:
-                searcher.turn_cold(scenarios.COLD_CALLS)
+                searcher.reset_to_cold(scenarios.COLD_CALLS)
 
 
 def _summarize(
--- a/tests/controllers/test_cold_start.py
+++ b/tests/controllers/test_cold_start.py
@@ -140,7 +140,7 @@
         await send_load(bench, ["s1"], 3.0, 0.002)
         await asyncio.sleep(0.1)
         calls = searcher.calls
-        searcher.turn_cold(warm_after=25)
+        searcher.reset_to_cold(warm_after=25)
         for number in range(8):
             bench.send("s1", request_id=f"slow{number}")
         await asyncio.sleep(0.2)
@@ -167,7 +167,7 @@
         await bench.start()
         await send_load(bench, ["s1"], 3.0, 0.004)
         await asyncio.sleep(0.1)
-        searcher.turn_cold(warm_after=1000)
+        searcher.reset_to_cold(warm_after=1000)
         for number in range(12):
             bench.send("s1", request_id=f"slow{number}")
             await asyncio.sleep(0.035)
