--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -65,7 +65,7 @@
         running: Number of calls running or queued.
         calls: Total number of calls received.
         crashes: Total number of crashes.
-        most_cold: Maximum number of concurrent calls in cold start.
+        max_cold_running: Maximum number of concurrent calls in cold start.
         most_running: Maximum number of concurrent calls.
         most_links: Maximum number of concurrent connections.
         effects: The bodies of the calls with side effects that it ran.
@@ -96,7 +96,7 @@
         "incarnation",
         "last_call_s",
         "links",
-        "most_cold",
+        "max_cold_running",
         "most_links",
         "most_running",
         "on_arrival",
@@ -142,7 +142,7 @@
         self.running = 0
         self.calls = 0
         self.crashes = 0
-        self.most_cold = 0
+        self.max_cold_running = 0
         self.most_running = 0
         self.most_links = 0
         self.effects: list[bytes] = []
@@ -221,7 +221,7 @@
         self.running += 1
         self.most_running = max(self.most_running, self.running)
         if self.is_cold():
-            self.most_cold = max(self.most_cold, self.running)
+            self.max_cold_running = max(self.max_cold_running, self.running)
         if self.on_arrival is not None:
             self.on_arrival(call)
         try:
--- a/tests/controllers/test_cold_start.py
+++ b/tests/controllers/test_cold_start.py
@@ -38,7 +38,7 @@
         await bench.start()
         await send_load(bench, ["s1"], 6.0, 0.004)
 
-        assert searcher.most_cold == 2
+        assert searcher.max_cold_running == 2
         assert searcher.most_running == 8
         assert bench.board.owned["s1"].limit == 8
 
@@ -74,7 +74,7 @@
 
         assert limit == 8
         assert searcher.calls > 300
-        assert 1 <= searcher.most_cold <= 2
+        assert 1 <= searcher.max_cold_running <= 2
 
     owning.run(scenario())
 
@@ -93,7 +93,7 @@
             bench.send("s1", request_id=f"morning{number}")
         await asyncio.sleep(1)
 
-        assert 1 <= searcher.most_cold <= 2
+        assert 1 <= searcher.max_cold_running <= 2
         assert bench.get_kinds()["morning15"] == "ok"
 
     owning.run(scenario())
@@ -210,7 +210,7 @@
             queued = [state.queued for state in bench.board.owned.values()]
             longest = max(longest, *queued)
 
-        assert max(searcher.most_cold for searcher in searchers) == 1
+        assert max(searcher.max_cold_running for searcher in searchers) == 1
         assert all(searcher.served >= 40 for searcher in searchers)
         assert {state.limit for state in bench.board.owned.values()} == {2}
         assert longest <= 64
@@ -252,7 +252,7 @@
                         searcher.restart(warm_after=20)
             await send_load(bench, names, 0.1, 0.002)
 
-        assert max(searcher.most_cold for searcher in searchers) == 2
+        assert max(searcher.max_cold_running for searcher in searchers) == 2
         assert sum(searcher.calls for searcher in searchers) > 500
         dispatched = bench.get_events(events.PartDispatched)
         assert all(event.in_use <= event.limit for event in dispatched)
--- a/tests/controllers/test_handoffs.py
+++ b/tests/controllers/test_handoffs.py
@@ -431,7 +431,7 @@
             for bench in disagreement.vms.values()
         ]
         assert min(dispatched) > 20
-        assert disagreement.searcher.most_cold <= 2
+        assert disagreement.searcher.max_cold_running <= 2
 
     owning.run(scenario())
 
