--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -36,7 +36,7 @@
             asyncio.get_running_loop().create_future()
         )
         searcher.links[self] = None
-        searcher.most_links = max(searcher.most_links, len(searcher.links))
+        searcher.max_links = max(searcher.max_links, len(searcher.links))
 
     def is_reusable(self) -> bool:
         """Returns True if another exchange may start on this connection."""
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -67,7 +67,7 @@
         crashes: Total number of crashes.
         max_cold_running: Maximum number of concurrent calls in cold start.
         most_running: Maximum number of concurrent calls.
-        most_links: Maximum number of concurrent connections.
+        max_links: Maximum number of concurrent connections.
         effects: The bodies of the calls with side effects that it ran.
         links: The open connections.
         last_call_s: Event loop time of the last received call, in seconds; -1
@@ -97,7 +97,7 @@
         "last_call_s",
         "links",
         "max_cold_running",
-        "most_links",
+        "max_links",
         "most_running",
         "on_arrival",
         "running",
@@ -144,7 +144,7 @@
         self.crashes = 0
         self.max_cold_running = 0
         self.most_running = 0
-        self.most_links = 0
+        self.max_links = 0
         self.effects: list[bytes] = []
         self.links: dict[Link, None] = {}
         self.last_call_s = -1.0
--- a/tests/controllers/test_owner.py
+++ b/tests/controllers/test_owner.py
@@ -78,7 +78,7 @@
         await asyncio.sleep(1)
 
         assert searcher.calls >= 20
-        assert 3 <= searcher.most_links <= 5
+        assert 3 <= searcher.max_links <= 5
 
     owning.run(scenario())
 
