--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -68,7 +68,7 @@
         max_cold_running: Maximum number of concurrent calls in cold start.
         most_running: Maximum number of concurrent calls.
         max_links: Maximum number of concurrent connections.
-        effects: The bodies of the calls with side effects that it ran.
+        effect_bodies: The bodies of the calls with side effects that it ran.
         links: The open connections.
         last_call_s: Event loop time of the last received call, in seconds; -1
             if there was none.
@@ -90,7 +90,7 @@
         "cold_shown",
         "connect_ms",
         "crashes",
-        "effects",
+        "effect_bodies",
         "faults",
         "health_reads",
         "incarnation",
@@ -145,7 +145,7 @@
         self.max_cold_running = 0
         self.most_running = 0
         self.max_links = 0
-        self.effects: list[bytes] = []
+        self.effect_bodies: list[bytes] = []
         self.links: dict[Link, None] = {}
         self.last_call_s = -1.0
         self.health_reads = 0
@@ -245,7 +245,7 @@
         if self._random.random() < faults.fails:
             return _refuse(errors.Kind.BACKEND_FAILED)
         if not call.idempotent:
-            self.effects.append(call.body)
+            self.effect_bodies.append(call.body)
         if faults.truncated:
             faults.truncated -= 1
             raise web_connection.ConnectionBrokenError(
--- a/tests/controllers/test_owner.py
+++ b/tests/controllers/test_owner.py
@@ -250,7 +250,7 @@
         waiting = results["waiting", 1]
         assert isinstance(waiting, messages.PartFailed)
         assert (waiting.kind, waiting.sent) == ("cancelled", False)
-        assert len(bench.fleet.searchers["s1:1"].effects) == 1
+        assert len(bench.fleet.searchers["s1:1"].effect_bodies) == 1
 
     owning.run(scenario())
 
@@ -269,7 +269,7 @@
             bench.send("s1", request_id="grant", repeatable=False)
             await asyncio.sleep(wait_s)
 
-        assert len(bench.fleet.searchers["s1:1"].effects) == 1
+        assert len(bench.fleet.searchers["s1:1"].effect_bodies) == 1
         assert len(bench.peers.sent) == 1
 
     owning.run(scenario())
--- a/tests/ports/searchers/harness.py
+++ b/tests/ports/searchers/harness.py
@@ -101,7 +101,7 @@
 
     def count_effects(self) -> int:
         """Returns the number of calls with side effects that it ran."""
-        return len(self._searcher.effects)
+        return len(self._searcher.effect_bodies)
 
 
 class HttpHarness:
