--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -42,7 +42,7 @@
         """Returns True if another exchange may start on this connection."""
         return not self._lost.done()
 
-    def lose(self) -> None:
+    def break_connection(self) -> None:
         """Breaks the connection from the searcher's side."""
         if not self._lost.done():
             self._lost.set_result(None)
@@ -50,7 +50,7 @@
 
     def abort(self) -> None:
         """Closes the connection immediately."""
-        self.lose()
+        self.break_connection()
 
     async def call(
         self, call: api.Call, remaining_ms: float, may_write: Callable[[], bool]
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -36,7 +36,7 @@
 
     silent: bool
 
-    def lose(self) -> None:
+    def break_connection(self) -> None:
         """Breaks the connection from the searcher's side."""
         ...
 
@@ -170,7 +170,7 @@
         self.cold_shown = True
         self.warm_after = warm_after
         for link in list(self.links):
-            link.lose()
+            link.break_connection()
 
     def make_half_open(self) -> None:
         """Makes all open connections half-open, as a failing middlebox does."""
@@ -200,7 +200,7 @@
         self.crashes += 1
         self.faults.down = True
         for link in list(self.links):
-            link.lose()
+            link.break_connection()
         asyncio.get_running_loop().call_later(
             self.faults.restart_s, self._recover
         )
--- a/src/azureramp_standins/matrix/changes.py
+++ b/src/azureramp_standins/matrix/changes.py
@@ -74,7 +74,7 @@
     for searcher in target.get_searcher().siblings:
         searcher.faults.down = True
         for link in list(searcher.links):
-            link.lose()
+            link.break_connection()
 
 
 async def end_replica_lost(target: FaultTarget) -> None:
--- a/tests/controllers/test_cold_start.py
+++ b/tests/controllers/test_cold_start.py
@@ -112,11 +112,11 @@
         await bench.start()
         await send_load(bench, ["s1"], 3.0, 0.002)
         await asyncio.sleep(0.2)
-        next(iter(searcher.links)).lose()
+        next(iter(searcher.links)).break_connection()
         await asyncio.sleep(1)
         after_one = bench.board.owned["s1"].limit
         for link in list(searcher.links):
-            link.lose()
+            link.break_connection()
         await asyncio.sleep(1)
 
         assert after_one == 8
--- a/tests/controllers/test_poisoning.py
+++ b/tests/controllers/test_poisoning.py
@@ -451,7 +451,7 @@
         bench.send("s1", fingerprint=7)
         await asyncio.sleep(0.012)
         for link in list(searcher.links):
-            link.lose()
+            link.break_connection()
         await asyncio.sleep(0.5)
 
         assert bench.get_kinds() == {"r1": "connection_lost"}
--- a/tests/ports/searchers/harness.py
+++ b/tests/ports/searchers/harness.py
@@ -83,7 +83,7 @@
         """Stops the searcher process."""
         self._searcher.faults.down = True
         for link in list(self._searcher.links):
-            link.lose()
+            link.break_connection()
 
     async def restart(self) -> None:
         """Starts the searcher again."""
