--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -22,7 +22,7 @@
 SLOW_FACTOR = 3.0
 """A reply is slow if it takes this many times the median service time."""
 
-Search = Callable[[api.Call], bytes]
+SearchFunction = Callable[[api.Call], bytes]
 """Returns the items of a call as a JSON array."""
 
 
@@ -130,7 +130,7 @@
         self.cold_limit = cold_limit
         self.versions = versions
         self.faults = Faults()
-        self.search: Search = return_no_items
+        self.search: SearchFunction = return_no_items
         self.incarnation = 1
         self.warm_after = 0
         self.cold_factor = 5.0
