--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -109,15 +109,15 @@
 
     Attributes:
         searchers: The searchers by address.
-        connects: Number of connections opened, by address.
+        connection_counts: Number of connections opened, by address.
     """
 
-    __slots__ = ("connects", "searchers")
+    __slots__ = ("connection_counts", "searchers")
 
     def __init__(self, searchers: list[Searcher]) -> None:
         """Makes a fleet of these searchers."""
         self.searchers = {searcher.address: searcher for searcher in searchers}
-        self.connects: collections.Counter[str] = collections.Counter()
+        self.connection_counts: collections.Counter[str] = collections.Counter()
 
     async def connect(
         self, address: str, timeout_s: float
@@ -128,7 +128,7 @@
             return expression.Error(
                 errors.Failure(errors.Kind.CONNECTION_LOST, "refused")
             )
-        self.connects[address] += 1
+        self.connection_counts[address] += 1
         await asyncio.sleep(searcher.connect_ms / 1000)
         return expression.Ok(MemoryLink(searcher))
 
--- a/tests/ports/searchers/harness.py
+++ b/tests/ports/searchers/harness.py
@@ -73,7 +73,7 @@
     @property
     def connects(self) -> int:
         """The number of connections opened."""
-        return self._fleet.connects[self.address]
+        return self._fleet.connection_counts[self.address]
 
     async def start(self) -> None:
         """Starts the searcher."""
--- a/tests/ports/searchers/test_half_open.py
+++ b/tests/ports/searchers/test_half_open.py
@@ -139,7 +139,7 @@
 
     def count_connects(self) -> int:
         """Returns the number of connections opened so far."""
-        return self._fleet.connects[self.address]
+        return self._fleet.connection_counts[self.address]
 
 
 def run(kind: str, scenario: Any) -> None:
