--- a/src/azureramp/controllers/changes.py
+++ b/src/azureramp/controllers/changes.py
@@ -81,7 +81,7 @@
             match result.ok:
                 case store_api.Written(revision):
                     return expression.Ok(revision)
-                case store_api.Conflicted(current):
+                case store_api.Conflict(current):
                     return _resolve_conflict(change, current, uncertain)
         failure = result.error
         if failure.kind is errors.Kind.STORE_OUTCOME_UNKNOWN:
--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -148,7 +148,7 @@
         result = await self._store.write(key, value, store_api.CREATE, lease)
         if result.is_ok():
             match result.ok:
-                case store_api.Conflicted(present=present) if present:
+                case store_api.Conflict(present=present) if present:
                     result = await self._store.write(
                         key, value, present.revision, lease
                     )
--- a/src/azureramp/controllers/store_link.py
+++ b/src/azureramp/controllers/store_link.py
@@ -230,8 +230,8 @@
                 case store_api.Written(revision):
                     self._barrier_revision = revision
                     return revision
-                case store_api.Conflicted(None):
+                case store_api.Conflict(None):
                     self._barrier_revision = store_api.CREATE
-                case store_api.Conflicted(current) if current is not None:
+                case store_api.Conflict(current) if current is not None:
                     self._barrier_revision = current.revision
         return None
--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -295,7 +295,7 @@
             case api.Written():
                 return outcome
             case bodies.ConflictBody():
-                return api.Conflicted(_find_conflicting_entry(outcome))
+                return api.Conflict(_find_conflicting_entry(outcome))
 
     return _to_outcome(response).map(convert)
 
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Conflicted:
+class Conflict:
     """A write was rejected since the key has a different revision.
 
     Attributes:
@@ -73,7 +73,7 @@
     present: Entry | None
 
 
-Write = Written | Conflicted
+Write = Written | Conflict
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp/ports/store/http.py
+++ b/src/azureramp/ports/store/http.py
@@ -196,7 +196,7 @@
             )
             present = conflict.present
             return expression.Ok(
-                api.Conflicted(None if present is None else _to_entry(present))
+                api.Conflict(None if present is None else _to_entry(present))
             )
     except msgspec.DecodeError as error:
         kind = errors.Kind.STORE_OUTCOME_UNKNOWN
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -97,9 +97,9 @@
         """
         present = self.read(key)
         if (present.revision if present else api.CREATE) != expected:
-            return api.Conflicted(present)
+            return api.Conflict(present)
         if value is None and present is None:
-            return api.Conflicted(None)
+            return api.Conflict(None)
         if lease and lease not in self._leases:
             return None
         for other in self._leases.values():
--- a/src/azureramp_standins/measuring/grouped_trial.py
+++ b/src/azureramp_standins/measuring/grouped_trial.py
@@ -138,7 +138,7 @@
             current = bucket.entries.get(change.key)
             version = current.revision if current else api.CREATE
             if version != change.expected:
-                outcomes.append(api.Conflicted(current))
+                outcomes.append(api.Conflict(current))
                 continue
             version = bucket.tail << 16 | position
             bucket.entries[change.key] = api.Entry(
--- a/src/azureramp_standins/platform.py
+++ b/src/azureramp_standins/platform.py
@@ -200,7 +200,7 @@
         match outcome:
             case api.Written():
                 return _make_response(200, outcome)
-            case api.Conflicted():
+            case api.Conflict():
                 return _make_response(409, outcome)
         return _make_response(404, {"detail": "no such lease"})
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -50,7 +50,7 @@
         first = (await client.write("k", b"one", api.CREATE)).ok
         assert isinstance(first, api.Written)
         conflict = (await client.write("k", b"two", api.CREATE)).ok
-        assert isinstance(conflict, api.Conflicted)
+        assert isinstance(conflict, api.Conflict)
         assert conflict.present is not None
         assert conflict.present.value == b"one"
         read = (await client.read("k")).ok
--- a/tests/ports/store/test_contract.py
+++ b/tests/ports/store/test_contract.py
@@ -97,7 +97,7 @@
     stale = await store.write("/k/a", b"two", created.revision + 7)
     changed = (await store.write("/k/a", b"two", created.revision)).ok
 
-    assert again.ok == stale.ok == api.Conflicted(entry)
+    assert again.ok == stale.ok == api.Conflict(entry)
     assert isinstance(changed, api.Written)
     assert changed.revision > created.revision
 
@@ -127,9 +127,9 @@
     again = await store.delete("/k", created.revision)
     recreated = await store.write("/k", b"2", api.CREATE)
 
-    assert isinstance(stale.ok, api.Conflicted)
+    assert isinstance(stale.ok, api.Conflict)
     assert isinstance(deleted.ok, api.Written)
-    assert again.ok == api.Conflicted(None)
+    assert again.ok == api.Conflict(None)
     assert isinstance(recreated.ok, api.Written)
 
 
