--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -210,7 +210,7 @@
             case store_api.Written(revision=revision):
                 self._record_written(batch, revision)
                 return True
-            case store_api.BatchConflicted():
+            case store_api.BatchConflict():
                 # The copy of the store is outdated; the next round plans
                 # with its update.
                 return False
--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -316,7 +316,7 @@
                     for item in items
                     if item.key in present and not item.removed
                 }
-                return api.BatchConflicted(present)
+                return api.BatchConflict(present)
 
     return _to_outcome(response).map(convert)
 
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -94,7 +94,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class BatchConflicted:
+class BatchConflict:
     """A batch was rejected since a key has a different revision.
 
     Attributes:
@@ -105,7 +105,7 @@
     present: Mapping[str, int]
 
 
-BatchWrite = Written | BatchConflicted
+BatchWrite = Written | BatchConflict
 
 MAX_BATCH = 16
 """Maximum number of changes in a batch."""
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -120,7 +120,7 @@
             for key, entry in present.items()
         }
         if any(revisions[each.key] != each.expected for each in changes):
-            return api.BatchConflicted(revisions)
+            return api.BatchConflict(revisions)
         if any(
             each.lease and each.lease not in self._leases for each in changes
         ):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -132,7 +132,7 @@
             api.Change("old", None, old + 1),
         ]
         conflict = (await client.write_batch(changes)).ok
-        assert conflict == api.BatchConflicted({"new": 0, "old": old})
+        assert conflict == api.BatchConflict({"new": 0, "old": old})
         assert server.state.read("new") is None
         changes[1] = api.Change("old", None, old)
         written = (await client.write_batch(changes)).ok
