--- a/src/azureramp/controllers/changes.py
+++ b/src/azureramp/controllers/changes.py
@@ -98,7 +98,7 @@
 
 async def _write_once(
     store: store_api.Store, change: Change
-) -> expression.Result[store_api.Write, errors.Failure]:
+) -> expression.Result[store_api.WriteOutcome, errors.Failure]:
     key = store_link.make_key(change.kind, change.name)
     if change.resource is None:
         return await store.delete(key, change.expected)
--- a/src/azureramp/controllers/record_writer.py
+++ b/src/azureramp/controllers/record_writer.py
@@ -63,7 +63,7 @@
         data: bytes,
         expected: int,
         attempt_s: float = CALL_TIMEOUT_S,
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes a value if the key has the expected revision.
 
         Args:
--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -90,7 +90,7 @@
 
     async def write(
         self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes one key by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             return expression.Error(errors.Failure(errors.Kind.TOO_LARGE, key))
@@ -99,7 +99,7 @@
 
     async def delete(
         self, key: str, expected: int
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes one key by compare-and-swap; see `api.Store`."""
         return await self._change(key, expected, [], [key])
 
@@ -178,7 +178,7 @@
         expected: int,
         writes: list[bodies.WriteBody],
         deletes: list[str],
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Changes one key if it has the expected revision."""
         condition = [bodies.PreconditionBody(key, expected)]
         body = bodies.TransactionBody(condition, writes, deletes)
@@ -287,10 +287,10 @@
 
 def _to_write(
     response: web_api.Response,
-) -> expression.Result[api.Write, errors.Failure]:
+) -> expression.Result[api.WriteOutcome, errors.Failure]:
     """Converts the answer to a change of one key."""
 
-    def convert(outcome: api.Written | bodies.ConflictBody) -> api.Write:
+    def convert(outcome: api.Written | bodies.ConflictBody) -> api.WriteOutcome:
         match outcome:
             case api.Written():
                 return outcome
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -73,7 +73,7 @@
     present: Entry | None
 
 
-Write = Written | Conflict
+WriteOutcome = Written | Conflict
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -134,7 +134,7 @@
 
     async def write(
         self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[Write, errors.Failure]:
+    ) -> expression.Result[WriteOutcome, errors.Failure]:
         """Writes a key if its revision is the expected one.
 
         Args:
@@ -150,7 +150,7 @@
 
     async def delete(
         self, key: str, expected: int
-    ) -> expression.Result[Write, errors.Failure]:
+    ) -> expression.Result[WriteOutcome, errors.Failure]:
         """Deletes a key if its revision is the expected one."""
         ...
 
--- a/src/azureramp/ports/store/counting.py
+++ b/src/azureramp/ports/store/counting.py
@@ -48,14 +48,14 @@
 
     async def write(
         self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes by compare-and-swap; see `api.Store`."""
         self._metrics.count("store.writes")
         return self._check(await self._store.write(key, value, expected, lease))
 
     async def delete(
         self, key: str, expected: int
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
         self._metrics.count("store.writes")
         return self._check(await self._store.delete(key, expected))
--- a/src/azureramp/ports/store/http.py
+++ b/src/azureramp/ports/store/http.py
@@ -54,7 +54,7 @@
 
     async def write(
         self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             return expression.Error(errors.Failure(errors.Kind.TOO_LARGE, key))
@@ -70,7 +70,7 @@
 
     async def delete(
         self, key: str, expected: int
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
         result = await self._call(
             "DELETE", protocol.KEYS, key=key, expected=str(expected)
@@ -179,7 +179,7 @@
 
 def _to_write(
     response: web_api.Response,
-) -> expression.Result[api.Write, errors.Failure]:
+) -> expression.Result[api.WriteOutcome, errors.Failure]:
     """Converts the response to a write.
 
     If the response can't be decoded, the outcome of the write is unknown.
--- a/src/azureramp/ports/store/memory.py
+++ b/src/azureramp/ports/store/memory.py
@@ -15,7 +15,7 @@
 from azureramp.ports.store import api
 from azureramp.ports.store import state as store_state
 
-Outcome = expression.Result[api.Write, errors.Failure]
+Outcome = expression.Result[api.WriteOutcome, errors.Failure]
 """The result of a write."""
 
 
@@ -83,7 +83,7 @@
 
     async def write(
         self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             failure = errors.Failure(errors.Kind.TOO_LARGE, key)
@@ -92,7 +92,7 @@
 
     async def delete(
         self, key: str, expected: int
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
         return await self._change(key, None, expected, "")
 
@@ -152,7 +152,7 @@
 
     async def _change(
         self, key: str, value: bytes | None, expected: int, lease: str
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Makes a change, subject to the injected faults.
 
         The change takes effect after half of the call duration, even if the
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -87,7 +87,7 @@
 
     def write(
         self, key: str, value: bytes | None, expected: int, lease: str = ""
-    ) -> api.Write | None:
+    ) -> api.WriteOutcome | None:
         """Writes a key, or deletes it if the value is None.
 
         The write is a compare-and-swap on the revision of the key.
--- a/src/azureramp_standins/matrix/steps.py
+++ b/src/azureramp_standins/matrix/steps.py
@@ -158,7 +158,7 @@
 
     def write(
         self, key: str, value: bytes | None, expected: int, lease: str = ""
-    ) -> store_api.Write | None:
+    ) -> store_api.WriteOutcome | None:
         """Writes a value, and reports it to the detector if it took effect."""
         outcome = super().write(key, value, expected, lease)
         if isinstance(outcome, store_api.Written):
--- a/src/azureramp_standins/measuring/grouped_trial.py
+++ b/src/azureramp_standins/measuring/grouped_trial.py
@@ -44,8 +44,8 @@
     tail: int = 1
     revision: int = 0
     entries: dict[str, api.Entry] = dataclasses.field(default_factory=dict)
-    pending: list[tuple[Change, asyncio.Future[api.Write]]] = dataclasses.field(
-        default_factory=list
+    pending: list[tuple[Change, asyncio.Future[api.WriteOutcome]]] = (
+        dataclasses.field(default_factory=list)
     )
     flusher: asyncio.Task[None] | None = None
 
@@ -72,11 +72,11 @@
 
     async def write(
         self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Appends a change to its log and returns the outcome."""
         number = zlib.crc32(key.encode()) % len(self._buckets)
         bucket = self._buckets[number]
-        done: asyncio.Future[api.Write] = (
+        done: asyncio.Future[api.WriteOutcome] = (
             asyncio.get_running_loop().create_future()
         )
         bucket.pending.append((Change(key, value, expected), done))
@@ -130,10 +130,10 @@
                 if not done.done():
                     done.set_result(outcome)
 
-    def _apply(self, bucket: Bucket, data: bytes) -> list[api.Write]:
+    def _apply(self, bucket: Bucket, data: bytes) -> list[api.WriteOutcome]:
         """Applies the changes of the segment at the tail, in order."""
         segment = msgspec.msgpack.decode(data, type=Segment)
-        outcomes: list[api.Write] = []
+        outcomes: list[api.WriteOutcome] = []
         for position, change in enumerate(segment.changes):
             current = bucket.entries.get(change.key)
             version = current.revision if current else api.CREATE
