--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -105,7 +105,7 @@
 
     async def write_batch(
         self, changes: Sequence[api.Change]
-    ) -> expression.Result[api.BatchWrite, errors.Failure]:
+    ) -> expression.Result[api.BatchOutcome, errors.Failure]:
         """Changes several keys in one transaction; see `api.BatchStore`."""
         body = bodies.TransactionBody(
             [
@@ -302,10 +302,10 @@
 
 def _to_batch_write(
     response: web_api.Response, keys: Sequence[str]
-) -> expression.Result[api.BatchWrite, errors.Failure]:
+) -> expression.Result[api.BatchOutcome, errors.Failure]:
     """Converts the answer to a batch that changes these keys."""
 
-    def convert(outcome: api.Written | bodies.ConflictBody) -> api.BatchWrite:
+    def convert(outcome: api.Written | bodies.ConflictBody) -> api.BatchOutcome:
         match outcome:
             case api.Written():
                 return outcome
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -105,7 +105,7 @@
     present: Mapping[str, int]
 
 
-BatchWrite = Written | BatchConflict
+BatchOutcome = Written | BatchConflict
 
 MAX_BATCH = 16
 """Maximum number of changes in a batch."""
@@ -199,7 +199,7 @@
 
     async def write_batch(
         self, changes: Sequence[Change]
-    ) -> expression.Result[BatchWrite, errors.Failure]:
+    ) -> expression.Result[BatchOutcome, errors.Failure]:
         """Makes all changes, or none if any revision is not the expected one.
 
         Args:
--- a/src/azureramp/ports/store/counting.py
+++ b/src/azureramp/ports/store/counting.py
@@ -108,7 +108,7 @@
 
     async def write_batch(
         self, changes: Sequence[api.Change]
-    ) -> expression.Result[api.BatchWrite, errors.Failure]:
+    ) -> expression.Result[api.BatchOutcome, errors.Failure]:
         """Writes a batch; see `api.BatchStore`."""
         self._metrics.count("store.writes")
         return self._check(await self._batches.write_batch(changes))
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -108,7 +108,9 @@
             self._leases[lease].keys.add(key)
         return api.Written(self._append(key, value))
 
-    def write_all(self, changes: Sequence[api.Change]) -> api.BatchWrite | None:
+    def write_all(
+        self, changes: Sequence[api.Change]
+    ) -> api.BatchOutcome | None:
         """Makes all changes, or none if any revision is not the expected one.
 
         Returns:
