--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -145,7 +145,9 @@
     async def _write(self, report: catalog.CrashReport, lease: str) -> None:
         """Writes a report, replacing an earlier one of this request if any."""
         key, value = self._encode(report)
-        result = await self._store.write(key, value, store_api.CREATE, lease)
+        result = await self._store.write(
+            key, value, store_api.NO_REVISION, lease
+        )
         if result.is_ok():
             match result.ok:
                 case store_api.Conflict(present=present) if present:
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -95,7 +95,7 @@
         self._encode = encode
         self._contact = contacts
         self._rng = rng
-        self._revision = store_api.CREATE
+        self._revision = store_api.NO_REVISION
         self._written = False
         self._lapsed: set[str] = set()
 
--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -274,6 +274,6 @@
             if vm not in self._followers and member.keeper != keeper:
                 continue
             revision = self._copy.get_revision(self._make_key(vm))
-            if revision != store_api.CREATE:
+            if revision != store_api.NO_REVISION:
                 present[vm] = policy.Present(member, revision)
         return present
--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -66,7 +66,7 @@
             The outcome; `STORE_UNAVAILABLE` if the claim could not be
             confirmed, so that the request must not be dispatched.
         """
-        expected = api.CREATE
+        expected = api.NO_REVISION
         may_take_effect = False
         until_s = asyncio.get_running_loop().time() + CLAIM_TIMEOUT_S
         data = idempotency.encode(claim)
@@ -90,7 +90,7 @@
                     return result.ok.revision
                 current = result.ok.present
                 if current is None:
-                    expected = api.CREATE
+                    expected = api.NO_REVISION
                     continue
                 match await self._evaluate_conflict(current, claim):
                     case idempotency.Mine():
--- a/src/azureramp/controllers/record_outcomes.py
+++ b/src/azureramp/controllers/record_outcomes.py
@@ -46,7 +46,7 @@
     claims: int = 0
     open_claims: int = 0
     outcomes: idempotency.Outcomes = dataclasses.field(default_factory=dict)
-    revision: int = api.CREATE
+    revision: int = api.NO_REVISION
     saved: int = 0
     changes: int = 0
     pending: collections.deque[tuple[int, asyncio.Event]] = dataclasses.field(
@@ -184,7 +184,9 @@
                     group.pending.popleft()[1].set()
                 self._drop_if_complete(group)
             case api.Conflict(present=current):
-                group.revision = current.revision if current else api.CREATE
+                group.revision = (
+                    current.revision if current else api.NO_REVISION
+                )
 
     def _find_changed(self) -> Group | None:
         """Returns the oldest group that has an unsaved change."""
--- a/src/azureramp/controllers/store_link.py
+++ b/src/azureramp/controllers/store_link.py
@@ -123,7 +123,7 @@
         self._needs_full_read = False
         number = xxhash.xxh3_64_intdigest(board.settings.vm.encode())
         self._barrier_key = f"{BARRIER_PREFIX}{number % BARRIER_KEYS}"
-        self._barrier_revision = store_api.CREATE
+        self._barrier_revision = store_api.NO_REVISION
         self.confirmed_s = float("-inf")
 
     async def confirm(self) -> list[resources.Versioned] | None:
@@ -231,7 +231,7 @@
                     self._barrier_revision = revision
                     return revision
                 case store_api.Conflict(None):
-                    self._barrier_revision = store_api.CREATE
+                    self._barrier_revision = store_api.NO_REVISION
                 case store_api.Conflict(current) if current is not None:
                     self._barrier_revision = current.revision
         return None
--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -310,7 +310,7 @@
             case api.Written():
                 return outcome
             case bodies.ConflictBody(items=items):
-                present = dict.fromkeys(keys, api.CREATE)
+                present = dict.fromkeys(keys, api.NO_REVISION)
                 present |= {
                     item.key: item.revision
                     for item in items
--- a/src/azureramp/policy/relaying.py
+++ b/src/azureramp/policy/relaying.py
@@ -103,7 +103,7 @@
     def get_revision(self, key: str) -> int:
         """Returns the revision of a key's entry; `CREATE` if there is none."""
         entry = self._entries.get(key)
-        return store_api.CREATE if entry is None else entry.revision
+        return store_api.NO_REVISION if entry is None else entry.revision
 
     def list_keys(self) -> list[str]:
         """Returns the existing keys."""
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -17,7 +17,7 @@
 
 MAX_VALUE_BYTES = 1_000_000
 
-CREATE = 0
+NO_REVISION = 0
 """The expected revision of a key that must not exist yet."""
 
 
@@ -83,7 +83,7 @@
     Attributes:
         key: The key.
         value: The new value; None deletes the key.
-        expected: The current revision of the key, or `CREATE`.
+        expected: The current revision of the key, or `NO_REVISION`.
         lease: The lease whose expiry deletes the key; empty for none.
     """
 
@@ -98,8 +98,8 @@
     """A batch was rejected since a key has a different revision.
 
     Attributes:
-        present: The current revision of each key in the batch; `CREATE` for a
-            key that does not exist.
+        present: The current revision of each key in the batch; `NO_REVISION`
+            for a key that does not exist.
     """
 
     present: Mapping[str, int]
@@ -140,7 +140,7 @@
         Args:
             key: The key.
             value: The new value.
-            expected: The current revision of the key, or `CREATE`.
+            expected: The current revision of the key, or `NO_REVISION`.
             lease: The lease whose expiry deletes the key; empty for none.
 
         Returns:
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -96,7 +96,7 @@
             The outcome; None if the lease does not exist.
         """
         present = self.read(key)
-        if (present.revision if present else api.CREATE) != expected:
+        if (present.revision if present else api.NO_REVISION) != expected:
             return api.Conflict(present)
         if value is None and present is None:
             return api.Conflict(None)
@@ -118,7 +118,7 @@
         """
         present = {change.key: self.read(change.key) for change in changes}
         revisions = {
-            key: entry.revision if entry else api.CREATE
+            key: entry.revision if entry else api.NO_REVISION
             for key, entry in present.items()
         }
         if any(revisions[each.key] != each.expected for each in changes):
--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -74,7 +74,7 @@
         """
         value = body if isinstance(body, bytes) else msgspec.json.encode(body)
         present = self.state.read(key)
-        expected = present.revision if present else api.CREATE
+        expected = present.revision if present else api.NO_REVISION
         written = self.state.write(key, value, expected)
         assert isinstance(written, api.Written)
         return written.revision
--- a/src/azureramp_standins/measuring/grouped_trial.py
+++ b/src/azureramp_standins/measuring/grouped_trial.py
@@ -117,7 +117,10 @@
                 bucket.revision = listing.revision
                 written = (
                     await self._store.write(
-                        f"{prefix}{bucket.tail:012d}", data, api.CREATE, lease
+                        f"{prefix}{bucket.tail:012d}",
+                        data,
+                        api.NO_REVISION,
+                        lease,
                     )
                 ).ok
                 if isinstance(written, api.Written):
@@ -136,7 +139,7 @@
         outcomes: list[api.WriteOutcome] = []
         for position, change in enumerate(segment.changes):
             current = bucket.entries.get(change.key)
-            version = current.revision if current else api.CREATE
+            version = current.revision if current else api.NO_REVISION
             if version != change.expected:
                 outcomes.append(api.Conflict(current))
                 continue
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -47,9 +47,9 @@
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
-        first = (await client.write("k", b"one", api.CREATE)).ok
+        first = (await client.write("k", b"one", api.NO_REVISION)).ok
         assert isinstance(first, api.Written)
-        conflict = (await client.write("k", b"two", api.CREATE)).ok
+        conflict = (await client.write("k", b"two", api.NO_REVISION)).ok
         assert isinstance(conflict, api.Conflict)
         assert conflict.present is not None
         assert conflict.present.value == b"one"
@@ -69,7 +69,7 @@
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
         server.faults.lost = 1
-        result = await client.write("k", b"one", api.CREATE)
+        result = await client.write("k", b"one", api.NO_REVISION)
         assert result.error.kind is errors.Kind.STORE_OUTCOME_UNKNOWN
         assert server.state.read("k") is not None
 
@@ -112,7 +112,7 @@
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
         lease = (await client.grant_lease(3.0)).ok
-        assert (await client.write("k", b"x", api.CREATE, lease)).is_ok()
+        assert (await client.write("k", b"x", api.NO_REVISION, lease)).is_ok()
         await asyncio.sleep(2.0)
         assert (await client.renew_lease(lease)).ok
         await asyncio.sleep(4.0)
@@ -128,7 +128,7 @@
     ) -> None:
         old = server.put("old", {"n": 1})
         changes = [
-            api.Change("new", b"a", api.CREATE),
+            api.Change("new", b"a", api.NO_REVISION),
             api.Change("old", None, old + 1),
         ]
         conflict = (await client.write_batch(changes)).ok
@@ -147,7 +147,7 @@
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
-        changes = [api.Change("k", b"a", api.CREATE, "77")]
+        changes = [api.Change("k", b"a", api.NO_REVISION, "77")]
         result = await client.write_batch(changes)
         assert result.error.kind is errors.Kind.NOT_FOUND
         assert server.state.read("k") is None
@@ -160,7 +160,7 @@
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
         changes = [
-            api.Change(f"k{number}", b"a", api.CREATE)
+            api.Change(f"k{number}", b"a", api.NO_REVISION)
             for number in range(api.MAX_BATCH)
         ]
         assert isinstance((await client.write_batch(changes)).ok, api.Written)
--- a/tests/ports/store/test_contract.py
+++ b/tests/ports/store/test_contract.py
@@ -89,11 +89,11 @@
 
 async def check_compare_and_swap(bench: Bench) -> None:
     store = bench.store
-    created = (await store.write("/k/a", b"\x00one", api.CREATE)).ok
+    created = (await store.write("/k/a", b"\x00one", api.NO_REVISION)).ok
     assert isinstance(created, api.Written)
     entry = api.Entry("/k/a", b"\x00one", created.revision)
 
-    again = await store.write("/k/a", b"two", api.CREATE)
+    again = await store.write("/k/a", b"two", api.NO_REVISION)
     stale = await store.write("/k/a", b"two", created.revision + 7)
     changed = (await store.write("/k/a", b"two", created.revision)).ok
 
@@ -105,7 +105,7 @@
 async def check_reads(bench: Bench) -> None:
     store = bench.store
     for name in ("/k/b", "/k/á é", "/other", "/k/a"):
-        await store.write(name, name.encode(), api.CREATE)
+        await store.write(name, name.encode(), api.NO_REVISION)
 
     listing = (await store.read_prefix("/k/")).ok
     entry = (await store.read("/k/á é")).ok
@@ -119,13 +119,13 @@
 
 async def check_delete(bench: Bench) -> None:
     store = bench.store
-    created = (await store.write("/k", b"1", api.CREATE)).ok
+    created = (await store.write("/k", b"1", api.NO_REVISION)).ok
     assert isinstance(created, api.Written)
 
     stale = await store.delete("/k", created.revision + 1)
     deleted = await store.delete("/k", created.revision)
     again = await store.delete("/k", created.revision)
-    recreated = await store.write("/k", b"2", api.CREATE)
+    recreated = await store.write("/k", b"2", api.NO_REVISION)
 
     assert isinstance(stale.ok, api.Conflict)
     assert isinstance(deleted.ok, api.Written)
@@ -136,8 +136,8 @@
 async def check_large_values(bench: Bench) -> None:
     largest = bytes(api.MAX_VALUE_BYTES)
 
-    accepted = await bench.store.write("/k", largest, api.CREATE)
-    refused = await bench.store.write("/l", largest + b"x", api.CREATE)
+    accepted = await bench.store.write("/k", largest, api.NO_REVISION)
+    refused = await bench.store.write("/l", largest + b"x", api.NO_REVISION)
     entry = (await bench.store.read("/k")).ok
 
     assert accepted.is_ok()
@@ -148,13 +148,13 @@
 
 async def check_watch(bench: Bench) -> None:
     store = bench.store
-    first = (await store.write("/k/a", b"1", api.CREATE)).ok
+    first = (await store.write("/k/a", b"1", api.NO_REVISION)).ok
     assert isinstance(first, api.Written)
     waiting = asyncio.ensure_future(
         store.watch("/k/", first.revision, wait_s=30.0)
     )
     await asyncio.sleep(0.05)
-    await store.write("/other", b"1", api.CREATE)
+    await store.write("/other", b"1", api.NO_REVISION)
     await asyncio.sleep(0.05)
     assert not waiting.done()
 
@@ -176,8 +176,8 @@
 async def check_lease(bench: Bench) -> None:
     store = bench.store
     lease = (await store.grant_lease(0.2)).ok
-    created = (await store.write("/k/a", b"1", api.CREATE, lease)).ok
-    kept = (await store.write("/k/b", b"1", api.CREATE, lease)).ok
+    created = (await store.write("/k/a", b"1", api.NO_REVISION, lease)).ok
+    kept = (await store.write("/k/b", b"1", api.NO_REVISION, lease)).ok
     assert isinstance(created, api.Written)
     assert isinstance(kept, api.Written)
     await store.write("/k/b", b"2", kept.revision)
@@ -186,7 +186,7 @@
         store.watch("/k/a", created.revision, wait_s=9.0)
     )
     listing = (await watch).ok
-    late = await store.write("/k/c", b"1", api.CREATE, lease)
+    late = await store.write("/k/c", b"1", api.NO_REVISION, lease)
 
     assert alive
     assert [entry.value for entry in listing.entries] == [None]
@@ -238,7 +238,7 @@
 
     async def check(bench: Bench) -> None:
         bench.set_faults(**faults)
-        failed = await bench.store.write("/k", b"1", api.CREATE)
+        failed = await bench.store.write("/k", b"1", api.NO_REVISION)
         bench.set_faults()
 
         assert failed.error.kind is kind
@@ -246,7 +246,7 @@
             entry = bench.state.read("/k")
             assert (entry.value if entry else None) == expected
             await asyncio.sleep(10.0)
-        assert (await bench.store.write("/l", b"1", api.CREATE)).is_ok()
+        assert (await bench.store.write("/l", b"1", api.NO_REVISION)).is_ok()
 
     run(check)
 
@@ -273,10 +273,10 @@
 
     async def check(bench: Bench) -> None:
         store = bench.store
-        first = (await store.write("/k", b"1", api.CREATE)).ok
+        first = (await store.write("/k", b"1", api.NO_REVISION)).ok
         assert isinstance(first, api.Written)
         await store.write("/k", b"2", first.revision)
-        await store.write("/l", b"1", api.CREATE)
+        await store.write("/l", b"1", api.NO_REVISION)
 
         bench.set_faults(past=2)
         entry = (await store.read("/k")).ok
@@ -291,7 +291,7 @@
 def test_write_without_a_server_has_no_effect() -> None:
     async def check() -> None:
         store = http.HttpStore(ADDRESS)
-        failed = await store.write("/k", b"1", api.CREATE)
+        failed = await store.write("/k", b"1", api.NO_REVISION)
         assert failed.error.kind is errors.Kind.STORE_UNAVAILABLE
 
     loop = async_solipsism.EventLoop()
@@ -305,7 +305,7 @@
     async def check(bench: Bench) -> None:
         counters = metrics.Metrics()
         store = counting.CountingStore(bench.store, counters)
-        await store.write("/k", b"1", api.CREATE)
+        await store.write("/k", b"1", api.NO_REVISION)
         await store.delete("/k", 1)
         await store.read("/k")
         await store.watch("/k", 0, wait_s=0.1)
--- a/tests/ports/web/test_pool.py
+++ b/tests/ports/web/test_pool.py
@@ -88,15 +88,15 @@
         middlebox.drop_state()
 
         if times_out == "pool":
-            failed = await store.write("/k", b"1", api.CREATE)
+            failed = await store.write("/k", b"1", api.NO_REVISION)
             assert failed.error.kind is errors.Kind.STORE_OUTCOME_UNKNOWN
         else:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.5):
-                    await store.write("/k", b"1", api.CREATE)
+                    await store.write("/k", b"1", api.NO_REVISION)
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        written = await store.write("/k", b"1", api.CREATE)
+        written = await store.write("/k", b"1", api.NO_REVISION)
 
         assert isinstance(written.ok, api.Written)
         assert loop.time() - started_s < 0.1
