--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -181,11 +181,11 @@
         policy.drop_lost(self._followers, present, revision, now_s)
         vm = self._board.identity.vm
         updates = policy.plan(vm, self._followers, present, revision)
-        for begin in range(0, len(updates), store_api.MAX_BATCH):
+        for begin in range(0, len(updates), store_api.MAX_BATCH_CHANGES):
             lease = self._board.lease
             if not lease or not self._board.follows_store:
                 return
-            batch = updates[begin : begin + store_api.MAX_BATCH]
+            batch = updates[begin : begin + store_api.MAX_BATCH_CHANGES]
             if not await self._write_batch(batch, lease):
                 return
 
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -107,7 +107,7 @@
 
 BatchOutcome = Written | BatchConflict
 
-MAX_BATCH = 16
+MAX_BATCH_CHANGES = 16
 """Maximum number of changes in a batch."""
 
 
@@ -203,7 +203,7 @@
         """Makes all changes, or none if any revision is not the expected one.
 
         Args:
-            changes: At most `MAX_BATCH` changes to different keys.
+            changes: At most `MAX_BATCH_CHANGES` changes to different keys.
 
         Returns:
             The outcome, with the revision of all written keys; `NOT_FOUND` if
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -161,7 +161,7 @@
     ) -> None:
         changes = [
             api.Change(f"k{number}", b"a", api.NO_REVISION)
-            for number in range(api.MAX_BATCH)
+            for number in range(api.MAX_BATCH_CHANGES)
         ]
         assert isinstance((await client.write_batch(changes)).ok, api.Written)
 
