--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -150,7 +150,7 @@
         )
         if result.is_ok():
             match result.ok:
-                case store_api.Conflict(present=present) if present:
+                case store_api.Conflict(current=present) if present:
                     result = await self._store.write(
                         key, value, present.revision, lease
                     )
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -178,7 +178,7 @@
                 _logger.warning("could not delete this VM's entry: {}", kind)
                 return
             match result.ok:
-                case store_api.Conflict(present=present) if present:
+                case store_api.Conflict(current=present) if present:
                     expected = present.revision
                 case _:
                     _logger.info("deleted this VM's entry")
@@ -279,5 +279,5 @@
                     self._revision = revision
                     self._written = True
                     return
-                case store_api.Conflict(present=present):
+                case store_api.Conflict(current=present):
                     expected = present.revision if present else 0
--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -88,7 +88,7 @@
                 may_take_effect = False
                 if isinstance(result.ok, api.Written):
                     return result.ok.revision
-                current = result.ok.present
+                current = result.ok.current
                 if current is None:
                     expected = api.NO_REVISION
                     continue
--- a/src/azureramp/controllers/record_outcomes.py
+++ b/src/azureramp/controllers/record_outcomes.py
@@ -183,7 +183,7 @@
                 while group.pending and group.pending[0][0] <= changes:
                     group.pending.popleft()[1].set()
                 self._drop_if_complete(group)
-            case api.Conflict(present=current):
+            case api.Conflict(current=current):
                 group.revision = (
                     current.revision if current else api.NO_REVISION
                 )
--- a/src/azureramp/controllers/record_releases.py
+++ b/src/azureramp/controllers/record_releases.py
@@ -152,7 +152,7 @@
             match result.ok:
                 case api.Written():
                     self._finish(release)
-                case api.Conflict(present=current):
+                case api.Conflict(current=current):
                     self._handle_conflict(release, current)
         finally:
             del self._running[release.record.nonce]
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -67,10 +67,10 @@
     """A write was rejected since the key has a different revision.
 
     Attributes:
-        present: The current entry; None if there is none.
+        current: The current entry; None if there is none.
     """
 
-    present: Entry | None
+    current: Entry | None
 
 
 WriteOutcome = Written | Conflict
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -51,8 +51,8 @@
         assert isinstance(first, api.Written)
         conflict = (await client.write("k", b"two", api.NO_REVISION)).ok
         assert isinstance(conflict, api.Conflict)
-        assert conflict.present is not None
-        assert conflict.present.value == b"one"
+        assert conflict.current is not None
+        assert conflict.current.value == b"one"
         read = (await client.read("k")).ok
         assert read is not None
         assert read.revision == first.revision
