--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -73,8 +73,8 @@
         last_call_s: Event loop time of the last received call, in seconds; -1
             if there was none.
         on_arrival: Called for each call that it accepts; None for no callback.
-        cold_shown: True if its cold start can be detected from outside: its
-            connections broke, or `MIN_SLOW_REPLIES` slow replies were
+        cold_detectable: True if its cold start can be detected from outside:
+            its connections broke, or `MIN_SLOW_REPLIES` slow replies were
             received.
         slow_replies: Number of slow replies received since it turned cold.
         health_reads: Total number of health reads.
@@ -85,9 +85,9 @@
         "_slots",
         "address",
         "calls",
+        "cold_detectable",
         "cold_factor",
         "cold_limit",
-        "cold_shown",
         "connect_ms",
         "crashes",
         "effect_bodies",
@@ -151,7 +151,7 @@
         self.health_reads = 0
         self.slow_replies = 0
         self.on_arrival: Callable[[api.Call], None] | None = None
-        self.cold_shown = True
+        self.cold_detectable = True
         self._random = random.Random(f"{address}/{seed}")
         self._slots = asyncio.Semaphore(slots)
 
@@ -167,7 +167,7 @@
         """
         self.incarnation += 1
         self.served = 0
-        self.cold_shown = True
+        self.cold_detectable = True
         self.warm_after = warm_after
         for link in list(self.links):
             link.break_connection()
@@ -181,7 +181,7 @@
         """Returns to cold start without a restart or any other visible sign."""
         self.served = 0
         self.slow_replies = 0
-        self.cold_shown = False
+        self.cold_detectable = False
         self.warm_after = warm_after
 
     def record_reply(self, duration_s: float) -> None:
@@ -193,7 +193,7 @@
         if duration_s * 1000 >= self.service_ms * SLOW_FACTOR:
             self.slow_replies += 1
         if self.slow_replies >= MIN_SLOW_REPLIES:
-            self.cold_shown = True
+            self.cold_detectable = True
 
     def crash(self) -> None:
         """Crashes; restarts after `faults.restart_s`."""
--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -177,7 +177,7 @@
     ) -> None:
         """Records the arrival of a call at a searcher."""
         name, server, zone = self._searcher_names[searcher.address]
-        cold = searcher.is_cold() and searcher.cold_shown
+        cold = searcher.is_cold() and searcher.cold_detectable
         key = ""
         if not call.idempotent:
             key = str(
