--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -66,7 +66,7 @@
         calls: Total number of calls received.
         crashes: Total number of crashes.
         max_cold_running: Maximum number of concurrent calls in cold start.
-        most_running: Maximum number of concurrent calls.
+        max_running: Maximum number of concurrent calls.
         max_links: Maximum number of concurrent connections.
         effect_bodies: The bodies of the calls with side effects that it ran.
         links: The open connections.
@@ -98,7 +98,7 @@
         "links",
         "max_cold_running",
         "max_links",
-        "most_running",
+        "max_running",
         "on_arrival",
         "running",
         "search",
@@ -143,7 +143,7 @@
         self.calls = 0
         self.crashes = 0
         self.max_cold_running = 0
-        self.most_running = 0
+        self.max_running = 0
         self.max_links = 0
         self.effect_bodies: list[bytes] = []
         self.links: dict[Link, None] = {}
@@ -219,7 +219,7 @@
         if self._random.random() < self.faults.sheds:
             return _refuse(errors.Kind.SHED)
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         if self.is_cold():
             self.max_cold_running = max(self.max_cold_running, self.running)
         if self.on_arrival is not None:
--- a/tests/controllers/test_cold_start.py
+++ b/tests/controllers/test_cold_start.py
@@ -39,7 +39,7 @@
         await send_load(bench, ["s1"], 6.0, 0.004)
 
         assert searcher.max_cold_running == 2
-        assert searcher.most_running == 8
+        assert searcher.max_running == 8
         assert bench.board.owned["s1"].limit == 8
 
     owning.run(scenario())
--- a/tests/controllers/test_handoffs.py
+++ b/tests/controllers/test_handoffs.py
@@ -69,7 +69,7 @@
         assert state.service_ms == pytest.approx(10.0, abs=0.1)
         assert first.get_kinds()["a"] == first.get_kinds()["b"] == "ok"
         assert second.get_kinds() == {"c": "ok"}
-        assert searcher.most_running == 2
+        assert searcher.max_running == 2
 
     owning.run(scenario())
 
--- a/tests/controllers/test_owner.py
+++ b/tests/controllers/test_owner.py
@@ -52,7 +52,7 @@
         dispatched = bench.get_events(events.PartDispatched)
         assert len(dispatched) == 20
         assert all(event.in_use <= event.limit <= 2 for event in dispatched)
-        assert bench.fleet.searchers["s1:1"].most_running == 2
+        assert bench.fleet.searchers["s1:1"].max_running == 2
 
     owning.run(scenario())
 
