--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -58,7 +58,7 @@
         warm_after: Number of calls after which it is warm.
         cold_factor: Factor on the service time in cold start.
         service_ms: Median service time, in milliseconds.
-        spread: Sigma of the service time's log-normal distribution.
+        service_time_sigma: Sigma of the service time's log-normal distribution.
         connect_ms: Time to open a connection, in milliseconds.
         siblings: The searchers that crash with it, including itself.
         served: Number of calls completed since it started or turned cold.
@@ -104,10 +104,10 @@
         "search",
         "served",
         "service_ms",
+        "service_time_sigma",
         "siblings",
         "slots",
         "slow_replies",
-        "spread",
         "versions",
         "warm_after",
     )
@@ -135,7 +135,7 @@
         self.warm_after = 0
         self.cold_factor = 5.0
         self.service_ms = service_ms
-        self.spread = spread
+        self.service_time_sigma = spread
         self.connect_ms = connect_ms
         self.siblings: list[Searcher] = [self]
         self.served = 0
@@ -268,7 +268,7 @@
     def _draw_ms(self) -> float:
         """Returns a random service time, in milliseconds."""
         duration_ms = self.service_ms * self._random.lognormvariate(
-            0, self.spread
+            0, self.service_time_sigma
         )
         if self._random.random() < self.faults.straggles:
             duration_ms *= self.faults.straggler_factor
--- a/tests/controllers/test_poisoning.py
+++ b/tests/controllers/test_poisoning.py
@@ -262,7 +262,7 @@
         deployment = Deployment()
         await deployment.start()
         for searcher in deployment.searchers:
-            searcher.service_ms, searcher.spread = 50.0, 0.0
+            searcher.service_ms, searcher.service_time_sigma = 50.0, 0.0
         deployment.searchers[0].service_ms = 20.0
         bench = deployment.benches["vm1"]
         bench.send("x0-a", request_id="bad", fingerprint=7, body=POISON)
