--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -25,12 +25,12 @@
         silent: True if it is half-open: everything sent on it is dropped.
     """
 
-    __slots__ = ("_lost", "_searcher", "last_active_s", "silent")
+    __slots__ = ("_lost", "_searcher", "half_open", "last_active_s")
 
     def __init__(self, searcher: Searcher) -> None:
         """Opens a connection to a searcher."""
         self.last_active_s = asyncio.get_running_loop().time()
-        self.silent = False
+        self.half_open = False
         self._searcher = searcher
         self._lost: asyncio.Future[None] = (
             asyncio.get_running_loop().create_future()
@@ -79,7 +79,7 @@
 
     async def _serve(self, call: api.Call) -> calls.CallResult:
         """Passes a call to the searcher; never returns if half-open."""
-        if self.silent:
+        if self.half_open:
             await asyncio.get_running_loop().create_future()
         return await self._searcher.serve(call)
 
@@ -87,7 +87,7 @@
         """Reads the searcher's health; see `calls.Link`."""
         if self._lost.done():
             raise web_connection.NotSentError("closed")
-        if self.silent:
+        if self.half_open:
             await asyncio.wait({self._lost})
             raise web_connection.ConnectionBrokenError("lost")
         searcher = self._searcher
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -34,7 +34,7 @@
 class Link(Protocol):
     """The connection interface that a searcher requires."""
 
-    silent: bool
+    half_open: bool
 
     def break_connection(self) -> None:
         """Breaks the connection from the searcher's side."""
@@ -175,7 +175,7 @@
     def make_half_open(self) -> None:
         """Makes all open connections half-open, as a failing middlebox does."""
         for link in self.links:
-            link.silent = True
+            link.half_open = True
 
     def reset_to_cold(self, warm_after: int) -> None:
         """Returns to cold start without a restart or any other visible sign."""
--- a/src/azureramp_standins/matrix/changes.py
+++ b/src/azureramp_standins/matrix/changes.py
@@ -185,7 +185,7 @@
 async def begin_half_open(target: FaultTarget) -> None:
     """Makes the open connections to a searcher silent permanently."""
     for link in list(target.get_searcher().links):
-        link.silent = True
+        link.half_open = True
 
 
 async def begin_peer_cut(target: FaultTarget) -> None:
