--- a/src/azureramp/controllers/forwarding/rollout_writer.py
+++ b/src/azureramp/controllers/forwarding/rollout_writer.py
@@ -92,7 +92,7 @@
             match result.ok:
                 case store_api.Written(revision=revision):
                     return revision
-                case store_api.BatchConflict(present=present):
+                case store_api.BatchConflict(revisions=present):
                     if present[key] != expected:
                         _logger.info(
                             "another VM has written the record of the "
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -98,11 +98,11 @@
     """A batch was rejected since a key has a different revision.
 
     Attributes:
-        present: The current revision of each key in the batch; `NO_REVISION`
+        revisions: The current revision of each key in the batch; `NO_REVISION`
             for a key that does not exist.
     """
 
-    present: Mapping[str, int]
+    revisions: Mapping[str, int]
 
 
 BatchOutcome = Written | BatchConflict
--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -181,7 +181,7 @@
         match outcome:
             case api.Written(revision=revision):
                 return _make_response(200, {"Revision": revision})
-            case api.BatchConflict(present=present):
+            case api.BatchConflict(revisions=present):
                 items = [
                     _encode_entry(entry)
                     for entry in map(self.state.read, present)
