--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -43,12 +43,12 @@
     Attributes:
         entries: The entries, ascending by key (from a watch: by revision).
         revision: The store's revision at the time of reading.
-        calls: Number of calls to the service that were needed.
+        call_count: Number of calls to the service that were needed.
     """
 
     entries: tuple[Entry, ...]
     revision: int
-    calls: int = 1
+    call_count: int = 1
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
