--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -109,7 +109,7 @@
         """Changes several keys in one transaction; see `api.BatchStore`."""
         body = bodies.TransactionBody(
             [
-                bodies.PreconditionBody(each.key, each.expected)
+                bodies.PreconditionBody(each.key, each.expected_revision)
                 for each in changes
             ],
             [
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -83,13 +83,13 @@
     Attributes:
         key: The key.
         value: The new value; None deletes the key.
-        expected: The current revision of the key, or `NO_REVISION`.
+        expected_revision: The current revision of the key, or `NO_REVISION`.
         lease: The lease whose expiry deletes the key; empty for none.
     """
 
     key: str
     value: bytes | None
-    expected: int
+    expected_revision: int
     lease: str = ""
 
 
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -121,7 +121,9 @@
             key: entry.revision if entry else api.NO_REVISION
             for key, entry in present.items()
         }
-        if any(revisions[each.key] != each.expected for each in changes):
+        if any(
+            revisions[each.key] != each.expected_revision for each in changes
+        ):
             return api.BatchConflict(revisions)
         if any(
             each.lease and each.lease not in self._leases for each in changes
@@ -133,7 +135,10 @@
                 # All keys of a batch get the same revision.
                 self.revision = before
                 self.write(
-                    change.key, change.value, change.expected, change.lease
+                    change.key,
+                    change.value,
+                    change.expected_revision,
+                    change.lease,
                 )
         return api.Written(self.revision)
 
