--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -108,7 +108,7 @@
             self._leases[lease].keys.add(key)
         return api.Written(self._append(key, value))
 
-    def write_all(
+    def write_batch(
         self, changes: Sequence[api.Change]
     ) -> api.BatchOutcome | None:
         """Makes all changes, or none if any revision is not the expected one.
--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -169,7 +169,7 @@
             > MAX_TRANSACTION_ROWS
         ):
             return _make_response(413, {})
-        outcome = self.state.write_all(
+        outcome = self.state.write_batch(
             [
                 _make_change(key, written.get(key), revision)
                 for key, revision in expected.items()
