--- a/src/azureramp/ports/store/memory.py
+++ b/src/azureramp/ports/store/memory.py
@@ -112,7 +112,7 @@
                 return expression.Error(_fail_down())
             if listing.entries or remaining_s <= 0:
                 return expression.Ok(listing)
-            expiry_s = self.state.get_next_expiry_s()
+            expiry_s = self.state.get_next_lease_expiry_s()
             if expiry_s is not None:
                 remaining_s = min(remaining_s, expiry_s - loop.time())
             await self.state.wait_for_change(remaining_s)
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -164,7 +164,7 @@
                 for key in sorted(record.keys):
                     self._append(key, None)
 
-    def get_next_expiry_s(self) -> float | None:
+    def get_next_lease_expiry_s(self) -> float | None:
         """Returns when the next lease expires; None if there is no lease."""
         times = [record.expires_s for record in self._leases.values()]
         return min(times, default=None)
--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -149,7 +149,7 @@
                 events = [_encode_entry(entry) for entry in changes.entries]
                 body = {"events": events, "AsOf": changes.revision}
                 return _make_response(200, body)
-            expiry_s = self.state.get_next_expiry_s()
+            expiry_s = self.state.get_next_lease_expiry_s()
             if expiry_s is not None:
                 remaining_s = min(
                     remaining_s, max(0.0, expiry_s - loop.time()) + 0.001
