--- a/src/azureramp/cli/exits.py
+++ b/src/azureramp/cli/exits.py
@@ -20,7 +20,7 @@
     NOT_IN_FORCE = 7
 
 
-MEANINGS: dict[Exit, str] = {
+DESCRIPTIONS: dict[Exit, str] = {
     Exit.OK: "Done.",
     Exit.REFUSED: "A VM refused the request; nothing was changed.",
     Exit.USAGE: "A flag, environment variable, argument or file is invalid.",
--- a/src/azureramp_standins/reference.py
+++ b/src/azureramp_standins/reference.py
@@ -35,7 +35,7 @@
         make_table(
             ["code", "name", "meaning"],
             (
-                [str(code.value), code.name.lower(), exits.MEANINGS[code]]
+                [str(code.value), code.name.lower(), exits.DESCRIPTIONS[code]]
                 for code in exits.Exit
             ),
         ),
