--- a/src/azureramp/cli/exits.py
+++ b/src/azureramp/cli/exits.py
@@ -36,7 +36,7 @@
 }
 
 
-def get_exit(code: str) -> Exit:
+def get_exit_code(code: str) -> Exit:
     """Returns the exit code for the code of an error kind."""
     match code:
         case errors.Kind.CONFLICT.value:
--- a/src/azureramp/cli/output.py
+++ b/src/azureramp/cli/output.py
@@ -69,7 +69,7 @@
         click.echo(line.rstrip(), err=True)
     if answer.present is not None:
         click.echo(format_entry(answer.present), err=True)
-    return exits.get_exit(answer.code)
+    return exits.get_exit_code(answer.code)
 
 
 def format_entry(entry: resources.Versioned) -> str:
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -362,7 +362,7 @@
             addresses or common.addresses, token, "en", 1.0
         )
         ended = await status.run(wrong)
-        assert ended == exits.get_exit(code)
+        assert ended == exits.get_exit_code(code)
         assert capsys.readouterr().err.startswith(f"{code} {ran} - ")
 
     run(scenario)
