--- a/src/azureramp/daemon/wiring.py
+++ b/src/azureramp/daemon/wiring.py
@@ -203,10 +203,10 @@
             self._server,
         )
         aborted = await stopping.run(aborting)
-        await self.kill()
+        await self.abort()
         return aborted
 
-    async def kill(self) -> None:
+    async def abort(self) -> None:
         """Cancels the controllers' loops immediately and closes the ports."""
         for task in self._tasks:
             task.cancel()
--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -318,7 +318,7 @@
         self._discard_daemon(vm)
         self.network.detach(vm.entry.peer_address)
         await server.stop(0.0)
-        await daemon.kill()
+        await daemon.abort()
 
     def _discard_daemon(self, vm: Vm) -> None:
         """Saves the timeline of a VM's ended daemon, and drops the daemon."""
