--- a/src/azureramp/invariants/answers.py
+++ b/src/azureramp/invariants/answers.py
@@ -32,7 +32,7 @@
         if got.code == "ok" and len(set(got.item_tags)) > 1:
             yield history.Violation(
                 "snapshot",
-                got.got_s,
+                got.ended_s,
                 f"request {got.request_id} has items of "
                 f"{sorted(set(got.item_tags))}",
             )
@@ -91,7 +91,7 @@
         else:
             continue
         yield history.Violation(
-            "whole_answer", got.got_s, f"request {got.request_id} {words}"
+            "whole_answer", got.ended_s, f"request {got.request_id} {words}"
         )
 
 
@@ -108,7 +108,7 @@
         if got.ran == "not_run" and got.request_id in arrived | dispatched:
             yield history.Violation(
                 "not_run",
-                got.got_s,
+                got.ended_s,
                 f"request {got.request_id} was refused as not run "
                 f"({got.code}), but ran",
             )
--- a/src/azureramp/invariants/control.py
+++ b/src/azureramp/invariants/control.py
@@ -18,10 +18,10 @@
         for got in run_history.received:
             if got.vm != stop.vm or got.answered or not got.connected:
                 continue
-            if got.sent_s < stop.ended_s and got.got_s >= stop.began_s:
+            if got.sent_s < stop.ended_s and got.ended_s >= stop.began_s:
                 yield history.Violation(
                     "graceful_stop",
-                    got.got_s,
+                    got.ended_s,
                     f"{stop.vm} aborted a request sent at {got.sent_s:.3f} s "
                     f"while stopping",
                 )
--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -47,7 +47,7 @@
 
     Attributes:
         sent_s: The time at which the request was sent, in seconds.
-        got_s: The time at which the answer was complete or the connection
+        ended_s: The time at which the answer was complete or the connection
             ended, in seconds.
         vm: The VM that the request was sent to.
         answered: False if the connection ended before a complete answer.
@@ -67,7 +67,7 @@
     """
 
     sent_s: float
-    got_s: float
+    ended_s: float
     vm: str
     answered: bool
     code: str = ""
--- a/src/azureramp_standins/measuring/running.py
+++ b/src/azureramp_standins/measuring/running.py
@@ -260,7 +260,7 @@
 def _get_quantile(samples: list[Sample], share: float) -> float:
     """Returns a quantile of the response times, in milliseconds."""
     times = sorted(
-        (s.received.got_s - s.received.sent_s) * 1000 for s in samples
+        (s.received.ended_s - s.received.sent_s) * 1000 for s in samples
     )
     if not times:
         return math.nan
--- a/tests/cluster/test_thin_path.py
+++ b/tests/cluster/test_thin_path.py
@@ -58,5 +58,5 @@
     got, run_history = virtual.run(run())
 
     assert {answer.code for answer in got} == {"ok"}
-    assert got[-1].got_s - got[0].sent_s > run_history.bounds.zone_out_s
+    assert got[-1].ended_s - got[0].sent_s > run_history.bounds.zone_out_s
     assert checker.check(run_history) == []
