--- a/src/azureramp/invariants/answers.py
+++ b/src/azureramp/invariants/answers.py
@@ -71,9 +71,9 @@
 ) -> Iterator[history.Violation]:
     """Checks that each caller receives the full answer to its own request."""
     for got in run_history.received:
-        if got.code != "ok" or not got.wanted:
+        if got.code != "ok" or not got.expected_query:
             continue
-        name = f"{got.wanted}@{got.version}"
+        name = f"{got.expected_query}@{got.version}"
         expected = {
             key
             for key in run_history.keys_by_tag.get(name, ())
--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -60,7 +60,7 @@
         complete: Whether the answer is marked as complete.
         missing: The missing ranges in the answer.
         item_keys: The keys of the items.
-        wanted: The query part of the tag that each item should have.
+        expected_query: The query part of the tag that each item should have.
         item_tags: The tag of each item: query and index version.
         connected: False if no connection could be opened, so that no request
             was aborted.
@@ -79,7 +79,7 @@
     complete: bool = False
     missing: tuple[tuple[int, int], ...] = ()
     item_keys: tuple[int, ...] = ()
-    wanted: str = ""
+    expected_query: str = ""
     item_tags: tuple[str, ...] = ()
     connected: bool = True
 
--- a/src/azureramp_standins/traffic.py
+++ b/src/azureramp_standins/traffic.py
@@ -207,6 +207,6 @@
         complete=body.get("complete", False),
         missing=tuple((low, high) for low, high in body.get("missing", [])),
         item_keys=tuple(item["key"] for item in items),
-        wanted=wanted if ok else "",
+        expected_query=wanted if ok else "",
         item_tags=tuple(item["tag"] for item in items),
     )
