--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Received:
+class RequestOutcome:
     """The outcome of one request as seen by its caller.
 
     Attributes:
@@ -137,7 +137,7 @@
 
     records: list[timelines.Record] = dataclasses.field(default_factory=list)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
-    received: list[Received] = dataclasses.field(default_factory=list)
+    received: list[RequestOutcome] = dataclasses.field(default_factory=list)
     stops: list[Stop] = dataclasses.field(default_factory=list)
     shard_maps: dict[str, resources.ShardMap] = dataclasses.field(
         default_factory=dict
--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -215,7 +215,7 @@
 
     async def _send_queries(self, stopping: asyncio.Event) -> None:
         """Sends queries until `stopping` is set, every second one over HTTP."""
-        sending: list[asyncio.Task[history.Received]] = []
+        sending: list[asyncio.Task[history.RequestOutcome]] = []
         number = 0
         while not stopping.is_set():
             number += 1
@@ -234,7 +234,7 @@
 
     async def _send_grants(self, stopping: asyncio.Event) -> None:
         """Sends each grant twice, through VMs chosen at random."""
-        sending: list[asyncio.Task[history.Received]] = []
+        sending: list[asyncio.Task[history.RequestOutcome]] = []
         number = 0
         while not stopping.is_set():
             number += 1
--- a/src/azureramp_standins/measuring/running.py
+++ b/src/azureramp_standins/measuring/running.py
@@ -73,7 +73,7 @@
     """The result of one request and its caller."""
 
     caller: str
-    received: history.Received
+    received: history.RequestOutcome
 
 
 def run(scenario: scenarios.Scenario) -> Row:
--- a/src/azureramp_standins/traffic.py
+++ b/src/azureramp_standins/traffic.py
@@ -24,7 +24,7 @@
     deadline_ms: int = 1000,
     minimum_coverage: float = 0.0,
     over_http: bool = False,
-) -> history.Received:
+) -> history.RequestOutcome:
     """Sends a query and records its result.
 
     Args:
@@ -68,7 +68,7 @@
     service: str = "",
     deadline_ms: int = 1000,
     over_http: bool = False,
-) -> history.Received:
+) -> history.RequestOutcome:
     """Sends a request that must not run more than once.
 
     Args:
@@ -111,7 +111,7 @@
     over_http: bool,
     wanted: str = "",
     idempotency_key: str = "",
-) -> history.Received:
+) -> history.RequestOutcome:
     """Sends a request and records the answer, or that there is none."""
     loop = asyncio.get_running_loop()
     sent_s = loop.time()
@@ -178,11 +178,11 @@
     received_s: float,
     wanted: str,
     idempotency_key: str,
-) -> history.Received:
+) -> history.RequestOutcome:
     """Converts a response to the record of what the caller received."""
     if response.status == 0:
         refused = bool(response.headers)
-        return history.Received(
+        return history.RequestOutcome(
             sent_s,
             received_s,
             vm,
@@ -193,7 +193,7 @@
     body = msgspec.json.decode(response.body)
     ok = response.status == 200
     items = body.get("items", [])
-    return history.Received(
+    return history.RequestOutcome(
         sent_s,
         received_s,
         vm,
--- a/tests/cluster/test_query_faults.py
+++ b/tests/cluster/test_query_faults.py
@@ -86,7 +86,7 @@
                 )
                 await asyncio.sleep(0.01)
 
-        asking: list[asyncio.Future[history.Received]] = []
+        asking: list[asyncio.Future[history.RequestOutcome]] = []
         load = asyncio.ensure_future(ask())
         await asyncio.sleep(0.5)
         await deployment.change("vm-0", new)
@@ -128,7 +128,7 @@
     since a retry through another VM must return that outcome.
     """
 
-    async def run() -> tuple[history.Received, history.History]:
+    async def run() -> tuple[history.RequestOutcome, history.History]:
         deployment = cluster.make(
             service_ms=600.0, address_lifetime_ms=10, list_lag_ms=10
         )
--- a/tests/cluster/test_thin_path.py
+++ b/tests/cluster/test_thin_path.py
@@ -10,7 +10,7 @@
 
 
 def test_query_through_any_vm_is_complete() -> None:
-    async def run() -> tuple[list[history.Received], history.History]:
+    async def run() -> tuple[list[history.RequestOutcome], history.History]:
         deployment = cluster.make()
         await deployment.start()
         got = [
@@ -26,7 +26,7 @@
 
 
 def test_request_sent_through_two_vms_with_one_key_runs_once() -> None:
-    async def run() -> tuple[list[history.Received], history.History]:
+    async def run() -> tuple[list[history.RequestOutcome], history.History]:
         deployment = cluster.make()
         await deployment.start()
         got = [
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("vm", ["vm-0", "vm-2"])
 def test_zone_out_of_service_gets_no_work_and_queries_continue(vm: str) -> None:
-    async def run() -> tuple[list[history.Received], history.History]:
+    async def run() -> tuple[list[history.RequestOutcome], history.History]:
         deployment = cluster.make()
         await deployment.start()
         zone = resources.Zone(name="b", state=resources.ZoneState.OUT)
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -90,7 +90,7 @@
     return history.Arrival(at_s=at_s, **values)  # type: ignore[arg-type]
 
 
-def make_received(**fields: object) -> history.Received:
+def make_received(**fields: object) -> history.RequestOutcome:
     values: dict[str, object] = {
         "sent_s": 1.0,
         "got_s": 2.0,
@@ -102,7 +102,7 @@
         "version": 1,
         **fields,
     }
-    return history.Received(**values)  # type: ignore[arg-type]
+    return history.RequestOutcome(**values)  # type: ignore[arg-type]
 
 
 def violate_snapshot() -> history.History:
