--- a/src/azureramp/invariants/control.py
+++ b/src/azureramp/invariants/control.py
@@ -13,7 +13,7 @@
 ) -> Iterator[history.Violation]:
     """Checks that a planned stop aborts no request."""
     for stop in run_history.stops:
-        if stop.limit_reached:
+        if stop.aborted_requests:
             continue
         for got in run_history.received:
             if got.vm != stop.vm or got.answered or not got.connected:
--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -92,13 +92,13 @@
         vm: The name of the VM.
         began_s: The time of the request to stop, in seconds.
         ended_s: The time at which its process had exited, in seconds.
-        limit_reached: True if the VM reported that it aborted requests.
+        aborted_requests: True if the VM reported that it aborted requests.
     """
 
     vm: str
     began_s: float
     ended_s: float
-    limit_reached: bool = False
+    aborted_requests: bool = False
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -302,7 +302,9 @@
         aborted = await daemon.stop(asyncio.Event())
         vm.stopping = False
         self.past.stops.append(
-            history.Stop(name, start_s, loop.time(), limit_reached=aborted > 0)
+            history.Stop(
+                name, start_s, loop.time(), aborted_requests=aborted > 0
+            )
         )
         if vm.daemon is daemon:
             self._discard_daemon(vm)
