--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -85,7 +85,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Stop:
+class PlannedStop:
     """A planned stop of a VM.
 
     Attributes:
@@ -138,7 +138,7 @@
     records: list[timelines.Record] = dataclasses.field(default_factory=list)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
     received: list[RequestOutcome] = dataclasses.field(default_factory=list)
-    stops: list[Stop] = dataclasses.field(default_factory=list)
+    stops: list[PlannedStop] = dataclasses.field(default_factory=list)
     shard_maps: dict[str, resources.ShardMap] = dataclasses.field(
         default_factory=dict
     )
--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -302,7 +302,7 @@
         aborted = await daemon.stop(asyncio.Event())
         vm.stopping = False
         self.past.stops.append(
-            history.Stop(
+            history.PlannedStop(
                 name, start_s, loop.time(), aborted_requests=aborted > 0
             )
         )
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -170,7 +170,9 @@
 
 def violate_graceful_stop() -> history.History:
     run_history = make_history()
-    run_history.stops.append(history.Stop("vm-1", began_s=1.5, ended_s=3.0))
+    run_history.stops.append(
+        history.PlannedStop("vm-1", began_s=1.5, ended_s=3.0)
+    )
     run_history.received.append(make_received(answered=False, code="", ran=""))
     return run_history
 
