--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Bounds:
+class TimeBounds:
     """Time bounds of the invariants, in seconds.
 
     Attributes:
@@ -146,7 +146,7 @@
         default_factory=dict
     )
     end_s: float = 0.0
-    bounds: Bounds = dataclasses.field(default_factory=Bounds)
+    bounds: TimeBounds = dataclasses.field(default_factory=TimeBounds)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
