--- a/src/azureramp/invariants/answers.py
+++ b/src/azureramp/invariants/answers.py
@@ -28,7 +28,7 @@
                     f"request {answer.request_id} states version "
                     f"{answer.version} and merged version {part.version}",
                 )
-    for got in run_history.received:
+    for got in run_history.outcomes:
         if got.code == "ok" and len(set(got.item_tags)) > 1:
             yield history.Violation(
                 "snapshot",
@@ -70,7 +70,7 @@
     run_history: history.History,
 ) -> Iterator[history.Violation]:
     """Checks that each caller receives the full answer to its own request."""
-    for got in run_history.received:
+    for got in run_history.outcomes:
         if got.code != "ok" or not got.expected_query:
             continue
         name = f"{got.expected_query}@{got.version}"
@@ -104,7 +104,7 @@
         if isinstance(record.event, events.PartDispatched)
         and not run_history.arrivals
     }
-    for got in run_history.received:
+    for got in run_history.outcomes:
         if got.ran == "not_run" and got.request_id in arrived | dispatched:
             yield history.Violation(
                 "not_run",
--- a/src/azureramp/invariants/control.py
+++ b/src/azureramp/invariants/control.py
@@ -15,7 +15,7 @@
     for stop in run_history.stops:
         if stop.aborted_requests:
             continue
-        for got in run_history.received:
+        for got in run_history.outcomes:
             if got.vm != stop.vm or got.answered or not got.connected:
                 continue
             if got.sent_s < stop.ended_s and got.ended_s >= stop.began_s:
--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -126,7 +126,7 @@
         records: The events of all processes, merged.
         arrivals: The requests received by backend servers; empty if not
             recorded.
-        received: The outcomes of the callers' requests; empty if not
+        outcomes: The outcomes of the callers' requests; empty if not
             recorded.
         stops: The planned stops.
         shard_maps: All shard maps that existed during the run, by name.
@@ -137,7 +137,7 @@
 
     records: list[timelines.Record] = dataclasses.field(default_factory=list)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
-    received: list[RequestOutcome] = dataclasses.field(default_factory=list)
+    outcomes: list[RequestOutcome] = dataclasses.field(default_factory=list)
     stops: list[PlannedStop] = dataclasses.field(default_factory=list)
     shard_maps: dict[str, resources.ShardMap] = dataclasses.field(
         default_factory=dict
--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -278,7 +278,7 @@
     violations = [f"{v.invariant}: {v.words}" for v in checker.check(past)]
     if recovery_s is None:
         violations.append(f"recovery: not within {MAX_RECOVERY_S} s")
-    queries = [got for got in past.received if not got.idempotency_key]
+    queries = [got for got in past.outcomes if not got.idempotency_key]
     answered = sum(got.complete for got in queries) / max(1, len(queries))
     return Result(
         joined,
--- a/src/azureramp_standins/traffic.py
+++ b/src/azureramp_standins/traffic.py
@@ -122,7 +122,7 @@
     received = _read_answer(
         response, vm, sent_s, loop.time(), wanted, idempotency_key
     )
-    deployment.past.received.append(received)
+    deployment.past.outcomes.append(received)
     return received
 
 
--- a/tests/cluster/test_query_faults.py
+++ b/tests/cluster/test_query_faults.py
@@ -41,8 +41,8 @@
 
     run_history = virtual.run(run())
 
-    assert len(run_history.received) == 90
-    assert sum(got.code == "ok" for got in run_history.received) > 60
+    assert len(run_history.outcomes) == 90
+    assert sum(got.code == "ok" for got in run_history.outcomes) > 60
     assert checker.check(run_history) == []
 
 
@@ -102,10 +102,10 @@
 
     run_history = virtual.run(run())
 
-    assert {got.code for got in run_history.received} == {"ok"}
-    assert {got.version for got in run_history.received} == {1, 2}
-    assert run_history.received[-1].version == 2
-    assert all(got.complete for got in run_history.received)
+    assert {got.code for got in run_history.outcomes} == {"ok"}
+    assert {got.version for got in run_history.outcomes} == {1, 2}
+    assert run_history.outcomes[-1].version == 2
+    assert all(got.complete for got in run_history.outcomes)
     assert checker.check(run_history) == []
 
 
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -137,7 +137,7 @@
 def violate_whole_answer() -> history.History:
     run_history = make_history()
     run_history.keys_by_tag["q@1"] = (1, 2, 3)
-    run_history.received.append(
+    run_history.outcomes.append(
         make_received(
             wanted="q", complete=True, item_keys=(1, 2), item_tags=("q@1",) * 2
         )
@@ -148,7 +148,7 @@
 def violate_not_run() -> history.History:
     run_history = make_history()
     run_history.arrivals.append(make_arrival(5.0))
-    run_history.received.append(make_received(code="overloaded", ran="not_run"))
+    run_history.outcomes.append(make_received(code="overloaded", ran="not_run"))
     return run_history
 
 
@@ -173,7 +173,7 @@
     run_history.stops.append(
         history.PlannedStop("vm-1", began_s=1.5, ended_s=3.0)
     )
-    run_history.received.append(make_received(answered=False, code="", ran=""))
+    run_history.outcomes.append(make_received(answered=False, code="", ran=""))
     return run_history
 
 
@@ -248,7 +248,7 @@
         (3, make_answer(1.0)),
     )
     run_history.keys_by_tag["q@1"] = (1, 2)
-    run_history.received.append(
+    run_history.outcomes.append(
         make_received(
             wanted="q",
             complete=True,
