--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -156,9 +156,9 @@
     Attributes:
         invariant: The name of the invariant; see `checker.INVARIANTS`.
         at_s: The time of the violation, in seconds.
-        words: A description that names the objects concerned.
+        description: A description that names the objects concerned.
     """
 
     invariant: str
     at_s: float
-    words: str
+    description: str
--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -275,7 +275,9 @@
     if not reached:
         reasons = ("the step was not reached",)
         return Result(joined, step, Verdict.NOT_RUN, reasons)
-    violations = [f"{v.invariant}: {v.words}" for v in checker.check(past)]
+    violations = [
+        f"{v.invariant}: {v.description}" for v in checker.check(past)
+    ]
     if recovery_s is None:
         violations.append(f"recovery: not within {MAX_RECOVERY_S} s")
     queries = [got for got in past.outcomes if not got.idempotency_key]
