--- a/src/azureramp/invariants/checker.py
+++ b/src/azureramp/invariants/checker.py
@@ -6,9 +6,9 @@
 
 from azureramp.invariants import answers, control, history, work
 
-Check = Callable[[history.History], Iterable[history.Violation]]
+CheckFunction = Callable[[history.History], Iterable[history.Violation]]
 
-INVARIANTS: dict[str, Check] = {
+INVARIANTS: dict[str, CheckFunction] = {
     "snapshot": answers.check_snapshot,
     "coverage": answers.check_coverage,
     "cold_start": work.check_cold_start,
