--- a/src/azureramp/invariants/answers.py
+++ b/src/azureramp/invariants/answers.py
@@ -66,7 +66,7 @@
             )
 
 
-def check_whole_answer(
+def check_complete_answer(
     run_history: history.History,
 ) -> Iterator[history.Violation]:
     """Checks that each caller receives the full answer to its own request."""
--- a/src/azureramp/invariants/checker.py
+++ b/src/azureramp/invariants/checker.py
@@ -13,7 +13,7 @@
     "coverage": answers.check_coverage,
     "cold_start": work.check_cold_start,
     "zone_out": work.check_zone_out,
-    "whole_answer": answers.check_whole_answer,
+    "whole_answer": answers.check_complete_answer,
     "not_run": answers.check_not_run,
     "at_most_once": answers.check_at_most_once,
     "server_leaving": work.check_server_leaving,
