--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -91,7 +91,7 @@
         connections: The number of connections that clients opened.
         open: The number of open connections.
         running: The number of requests in progress.
-        most_open: The limit of open connections; further ones are reset.
+        max_connections: The limit of open connections; further ones are reset.
         cancelled: The number of requests whose client disconnected before the
             answer, by request id.
     """
@@ -115,7 +115,7 @@
         self.connections = 0
         self.open = 0
         self.running = 0
-        self.most_open = 1_000_000
+        self.max_connections = 1_000_000
         self.cancelled: collections.Counter[str] = collections.Counter()
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -160,7 +160,7 @@
     ) -> None:
         """Serves one connection."""
         self.connections += 1
-        if self.open >= self.most_open:
+        if self.open >= self.max_connections:
             writer.transport.abort()
             return
         self.open += 1
--- a/tests/forwarding/test_connections.py
+++ b/tests/forwarding/test_connections.py
@@ -19,7 +19,7 @@
         full = scene.searchers["shard-a-0"]
         full.crash()
         await full.start()
-        full.most_open = 0
+        full.max_connections = 0
         before = full.connections
         for number in range(40):
             entry = scene.searchers["statements-0"].describe(Slots=2 + number)
@@ -39,12 +39,12 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         only = scene.searchers["statements-0"]
-        only.most_open = 0
+        only.max_connections = 0
         only.crash()
         await only.start()
         for _ in range(3):
             await scene.ask("vm-0", "/one/x")
-        only.most_open = 4
+        only.max_connections = 4
         await deployment.settle(1.0)
         answer = await scene.ask("vm-0", "/one/x")
         assert answer.status == 200
