--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -68,7 +68,7 @@
     framed: bool = True
     then: str = "keep"
 
-    def do(self, _: Seen) -> Act:
+    def always(self, _: Seen) -> Act:
         """Returns this response for every request; usable as a `Script`."""
         return self
 
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -88,7 +88,7 @@
             await deployment.settle(2.0)
         for index in range(2):
             name = f"statements-{index}"
-            scene.searchers[name].script = searcher.Act().do
+            scene.searchers[name].script = searcher.Act().always
         await deployment.settle(2.0)
         assert (await scene.ask("vm-0", "/one/x")).status == 200
 
--- a/tests/forwarding/test_gather.py
+++ b/tests/forwarding/test_gather.py
@@ -18,7 +18,7 @@
             body = make_record(number) + make_record(10 + number) + b"rest"
             act = searcher.Act(body=body)
             for index in range(2):
-                scene.searchers[f"{service}-{index}"].script = act.do
+                scene.searchers[f"{service}-{index}"].script = act.always
         answer = await scene.ask("vm-0", "/all/x")
         assert answer.status == 200
         assert answer.body == b"".join(map(make_record, (13, 12, 11)))
@@ -194,7 +194,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         slow = [scene.searchers[f"shard-a-{index}"] for index in range(2)]
         for each in slow:
-            each.script = searcher.Act(after_s=0.4).do
+            each.script = searcher.Act(after_s=0.4).always
         asking = []
         for _ in range(8):
             asking.append(asyncio.ensure_future(scene.ask("vm-0", "/all/x")))
@@ -219,7 +219,7 @@
         for _ in range(20):
             await scene.ask("vm-0", "/all/x")
         for each in slow:
-            each.script = searcher.Act(after_s=0.12).do
+            each.script = searcher.Act(after_s=0.12).always
         for _ in range(12):
             await scene.ask("vm-0", "/all/x")
             await asyncio.sleep(0.15)
@@ -243,7 +243,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         slow = [scene.searchers[f"shard-a-{index}"] for index in range(2)]
         for each in slow:
-            each.script = searcher.Act(after_s=0.24).do
+            each.script = searcher.Act(after_s=0.24).always
         await asyncio.gather(*(scene.ask("vm-0", "/all/x") for _ in range(8)))
         await asyncio.sleep(0.05)
         assert sum(each.cancelled.total() for each in slow) >= 4
