--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -40,7 +40,7 @@
     """A searcher's response to a request.
 
     Attributes:
-        after_s: Delay before the answer, in seconds.
+        delay_s: Delay before the answer, in seconds.
         status: The answer's status.
         body: The answer's body.
         signed: True if the answer has the server's stamp.
@@ -56,7 +56,7 @@
             `raw`, if given.
     """
 
-    after_s: float = 0.005
+    delay_s: float = 0.005
     status: int = 200
     body: bytes = b""
     signed: bool = True
@@ -192,7 +192,7 @@
         act = self.script(request)
         if target_id != self.id:
             act = Act(status=421, signed=False)
-        work = asyncio.ensure_future(asyncio.sleep(act.after_s))
+        work = asyncio.ensure_future(asyncio.sleep(act.delay_s))
         disconnected = asyncio.ensure_future(reader.read(1))
         self.running += 1
         await asyncio.wait(
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -301,7 +301,7 @@
         """Slows a searcher down by a factor of 5 for 5 seconds."""
         script = slow.script
         slow.script = lambda request: dataclasses.replace(
-            script(request), after_s=script(request).after_s * 5
+            script(request), delay_s=script(request).delay_s * 5
         )
         await asyncio.sleep(5.0)
         slow.script = script
--- a/src/azureramp_standins/rollouts/versions.py
+++ b/src/azureramp_standins/rollouts/versions.py
@@ -118,11 +118,11 @@
         work_s = MEDIAN_WORK_S * self._rng.lognormvariate(0.0, WORK_LOG_STDDEV)
         bad = self._is_bad(request) and self._rng.random() < self._version.share
         if not bad:
-            return searcher.Act(after_s=work_s)
+            return searcher.Act(delay_s=work_s)
         self.bad_answer_times.append(request.at_s)
         if self._version.slowdown:
-            return searcher.Act(after_s=work_s * self._version.slowdown)
-        return searcher.Act(after_s=work_s, status=500)
+            return searcher.Act(delay_s=work_s * self._version.slowdown)
+        return searcher.Act(delay_s=work_s, status=500)
 
     def _is_bad(self, request: searcher.Seen) -> bool:
         """Returns True if the version is bad for a request."""
--- a/src/azureramp_standins/soak/acts.py
+++ b/src/azureramp_standins/soak/acts.py
@@ -12,17 +12,17 @@
 
 ACTS = {
     "hang": searcher.Act(then="hang"),
-    "shed": searcher.Act(after_s=0.0, status=503, signed=False, not_run=True),
-    "reset": searcher.Act(after_s=0.02, then="reset"),
+    "shed": searcher.Act(delay_s=0.0, status=503, signed=False, not_run=True),
+    "reset": searcher.Act(delay_s=0.02, then="reset"),
     "cut": searcher.Act(
-        after_s=0.01,
+        delay_s=0.01,
         raw=b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\nhalf",
         then="reset",
     ),
-    "extra": searcher.Act(after_s=0.01, extra=UNSOLICITED_ANSWER),
+    "extra": searcher.Act(delay_s=0.01, extra=UNSOLICITED_ANSWER),
     "late": searcher.Act(
-        after_s=0.01, extra=UNSOLICITED_ANSWER, extra_after_s=0.004
+        delay_s=0.01, extra=UNSOLICITED_ANSWER, extra_after_s=0.004
     ),
-    "slow": searcher.Act(after_s=0.3),
+    "slow": searcher.Act(delay_s=0.3),
 }
 """How a searcher responds to each request, by the name of its fault."""
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -250,7 +250,7 @@
         self, target: searcher.Searcher, request: searcher.Seen
     ) -> searcher.Act:
         """Chooses a searcher's response to a request and records the call."""
-        act = self._acts.get(target.id, searcher.Act(after_s=0.01))
+        act = self._acts.get(target.id, searcher.Act(delay_s=0.01))
         if target.service in declared.SHARDS:
             body = declared.make_records(target.service, request.id)
         else:
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -25,7 +25,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(0.003, each.crash)
             tasks.append(asyncio.ensure_future(restart_later(each)))
-            return searcher.Act(after_s=0.5)
+            return searcher.Act(delay_s=0.5)
 
         return act
 
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -71,7 +71,7 @@
 
 def test_a_slow_request_that_runs_once_is_not_hedged() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(after_s=0.5))
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(delay_s=0.5))
         answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 200
         assert count_runs(scene, scenes.SINGLE_SERVICE) == 1
@@ -280,7 +280,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        lost = searcher.Act(after_s=0.01, then="reset")
+        lost = searcher.Act(delay_s=0.01, then="reset")
         set_script(scene, scenes.SINGLE_SERVICE, lost)
         for _ in range(4):
             await scene.ask("vm-0", "/one/x")
