--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -48,7 +48,7 @@
         id: The request id in the answer; None for the request's own.
         raw: Bytes to send instead of an answer.
         extra: Bytes to send after the answer.
-        extra_after_s: Delay before the extra bytes, in seconds.
+        extra_delay_s: Delay before the extra bytes, in seconds.
         framed: False for an answer without a length, ended by closing the
             connection.
         then: What happens to the connection afterwards: `keep`, `close`,
@@ -64,7 +64,7 @@
     id: str | None = None
     raw: bytes | None = None
     extra: bytes = b""
-    extra_after_s: float = 0.0
+    extra_delay_s: float = 0.0
     framed: bool = True
     then: str = "keep"
 
@@ -212,9 +212,9 @@
             writer.transport.abort()
             return False
         writer.write(self._encode_response(http, request, act, signature))
-        if act.extra_after_s:
+        if act.extra_delay_s:
             asyncio.get_running_loop().call_later(
-                act.extra_after_s, writer.write, act.extra
+                act.extra_delay_s, writer.write, act.extra
             )
         await writer.drain()
         if act.then == "reset":
@@ -274,5 +274,5 @@
             lines += [f"{field}: {value}" for field, value in headers]
             return "\r\n".join([*lines, "", ""]).encode() + act.body
         events = (response_head, h11.Data(data=act.body), h11.EndOfMessage())
-        extra = b"" if act.extra_after_s else act.extra
+        extra = b"" if act.extra_delay_s else act.extra
         return b"".join(http.send(event) or b"" for event in events) + extra
--- a/src/azureramp_standins/soak/acts.py
+++ b/src/azureramp_standins/soak/acts.py
@@ -21,7 +21,7 @@
     ),
     "extra": searcher.Act(delay_s=0.01, extra=UNSOLICITED_ANSWER),
     "late": searcher.Act(
-        delay_s=0.01, extra=UNSOLICITED_ANSWER, extra_after_s=0.004
+        delay_s=0.01, extra=UNSOLICITED_ANSWER, extra_delay_s=0.004
     ),
     "slow": searcher.Act(delay_s=0.3),
 }
