--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -51,9 +51,9 @@
         extra_delay_s: Delay before the extra bytes, in seconds.
         framed: False for an answer without a length, ended by closing the
             connection.
-        then: What happens to the connection afterwards: `keep`, `close`,
-            `reset` or `hang`. `hang` sends no answer, and `reset` sends only
-            `raw`, if given.
+        connection_action: What happens to the connection afterwards: `keep`,
+            `close`, `reset` or `hang`. `hang` sends no answer, and `reset`
+            sends only `raw`, if given.
     """
 
     delay_s: float = 0.005
@@ -66,7 +66,7 @@
     extra: bytes = b""
     extra_delay_s: float = 0.0
     framed: bool = True
-    then: str = "keep"
+    connection_action: str = "keep"
 
     def always(self, _: Seen) -> Act:
         """Returns this response for every request; usable as a `Script`."""
@@ -203,12 +203,12 @@
             work.cancel()
             self.cancelled[request.id] += 1
             return False
-        if act.then == "hang":
+        if act.connection_action == "hang":
             await disconnected
             return False
         disconnected.cancel()
         await asyncio.wait({disconnected})
-        if act.then == "reset" and act.raw is None:
+        if act.connection_action == "reset" and act.raw is None:
             writer.transport.abort()
             return False
         writer.write(self._encode_response(http, request, act, signature))
@@ -217,9 +217,11 @@
                 act.extra_delay_s, writer.write, act.extra
             )
         await writer.drain()
-        if act.then == "reset":
+        if act.connection_action == "reset":
             writer.transport.abort()
-        return act.then == "keep" and act.framed and act.raw is None
+        return (
+            act.connection_action == "keep" and act.framed and act.raw is None
+        )
 
     async def _read_request(
         self, http: h11.Connection, reader: asyncio.StreamReader
--- a/src/azureramp_standins/soak/acts.py
+++ b/src/azureramp_standins/soak/acts.py
@@ -11,13 +11,13 @@
 """An HTTP response with the id of a request that the daemon did not send."""
 
 ACTS = {
-    "hang": searcher.Act(then="hang"),
+    "hang": searcher.Act(connection_action="hang"),
     "shed": searcher.Act(delay_s=0.0, status=503, signed=False, not_run=True),
-    "reset": searcher.Act(delay_s=0.02, then="reset"),
+    "reset": searcher.Act(delay_s=0.02, connection_action="reset"),
     "cut": searcher.Act(
         delay_s=0.01,
         raw=b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\nhalf",
-        then="reset",
+        connection_action="reset",
     ),
     "extra": searcher.Act(delay_s=0.01, extra=UNSOLICITED_ANSWER),
     "late": searcher.Act(
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -80,7 +80,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = lambda seen: (
-                searcher.Act(then="reset")
+                searcher.Act(connection_action="reset")
             )
         for _ in range(8):
             answer = await scene.ask("vm-0", "/one/x")
--- a/tests/forwarding/test_dark_searchers.py
+++ b/tests/forwarding/test_dark_searchers.py
@@ -78,7 +78,7 @@
         for _ in range(30):
             await scene.ask("vm-0", "/one/x")
         hanging.add(dark)
-        dark.script = searcher.Act(then="hang").always
+        dark.script = searcher.Act(connection_action="hang").always
         record = scene.programs["vm-0"].board.targets["statements-0"].record
         for _ in range(300):
             if record.rests(loop.time()):
--- a/tests/forwarding/test_gather.py
+++ b/tests/forwarding/test_gather.py
@@ -72,7 +72,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for index in range(2):
             scene.searchers[f"shard-a-{index}"].script = lambda seen: (
-                searcher.Act(then="hang")
+                searcher.Act(connection_action="hang")
             )
         began_s = asyncio.get_running_loop().time()
         answer = await scene.ask("vm-0", "/all/x")
@@ -116,7 +116,7 @@
         for service in ("shard-a", "shard-b"):
             for index in range(2):
                 scene.searchers[f"{service}-{index}"].script = lambda seen: (
-                    searcher.Act(then="reset")
+                    searcher.Act(connection_action="reset")
                 )
         answer = await scene.ask("vm-0", "/all/x")
         assert answer.status == 502
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -61,7 +61,11 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(then="reset"))
+        set_script(
+            scene,
+            scenes.SINGLE_SERVICE,
+            searcher.Act(connection_action="reset"),
+        )
         answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 502
         assert count_runs(scene, scenes.SINGLE_SERVICE) == 1
@@ -111,7 +115,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         def reset_first(seen: searcher.Seen) -> searcher.Act:
             if count_runs(scene, scenes.SINGLE_SERVICE) == 1:
-                return searcher.Act(then="reset")
+                return searcher.Act(connection_action="reset")
             return searcher.Act(body=b"done")
 
         for index in range(2):
@@ -129,7 +133,7 @@
         searcher.Act(raw=b"no answer at all\r\n\r\n"),
         searcher.Act(id="another", body=b"not yours"),
         searcher.Act(signed=False, body=b"nobody's"),
-        searcher.Act(framed=False, body=b"cut", then="reset"),
+        searcher.Act(framed=False, body=b"cut", connection_action="reset"),
     ],
     ids=["truncated", "garbage", "another-id", "unsigned", "cut-unframed"],
 )
@@ -196,7 +200,9 @@
 
 def test_an_answer_without_a_length_ends_with_its_stream() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        act = searcher.Act(framed=False, body=b"whole", then="close")
+        act = searcher.Act(
+            framed=False, body=b"whole", connection_action="close"
+        )
         set_script(scene, scenes.SINGLE_SERVICE, act)
         answer = await scene.ask("vm-0", "/one/x")
         assert answer.body == b"whole"
@@ -223,7 +229,9 @@
 
 def test_a_request_is_answered_at_its_routes_timeout() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(then="hang"))
+        set_script(
+            scene, scenes.SINGLE_SERVICE, searcher.Act(connection_action="hang")
+        )
         began_s = asyncio.get_running_loop().time()
         answer = await scene.ask("vm-0", "/one/x", deadline_ms=5000)
         took_s = asyncio.get_running_loop().time() - began_s
@@ -250,7 +258,9 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(then="hang"))
+        set_script(
+            scene, scenes.SINGLE_SERVICE, searcher.Act(connection_action="hang")
+        )
         target = next(iter(scene.programs["vm-0"].board.targets.values()))
         before = [
             asyncio.ensure_future(scene.ask("vm-0", "/once/x", "POST", b"a"))
@@ -280,7 +290,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        lost = searcher.Act(delay_s=0.01, then="reset")
+        lost = searcher.Act(delay_s=0.01, connection_action="reset")
         set_script(scene, scenes.SINGLE_SERVICE, lost)
         for _ in range(4):
             await scene.ask("vm-0", "/one/x")
