--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -45,7 +45,7 @@
         body: The answer's body.
         signed: True if the answer has the server's stamp.
         not_run: True if the answer states that the request was not run.
-        id: The request id in the answer; None for the request's own.
+        request_id: The request id in the answer; None for the request's own.
         raw: Bytes to send instead of an answer.
         extra: Bytes to send after the answer.
         extra_delay_s: Delay before the extra bytes, in seconds.
@@ -61,7 +61,7 @@
     body: bytes = b""
     signed: bool = True
     not_run: bool = False
-    id: str | None = None
+    request_id: str | None = None
     raw: bytes | None = None
     extra: bytes = b""
     extra_delay_s: float = 0.0
@@ -260,7 +260,7 @@
         """Encodes the response to a request."""
         if act.raw is not None:
             return act.raw
-        name = request.id if act.id is None else act.id
+        name = request.id if act.request_id is None else act.request_id
         headers = [("Azureramp-Request-Id", name)]
         if act.signed:
             headers.append(("Azureramp-Server-Stamp", signature))
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -131,7 +131,7 @@
     [
         searcher.Act(raw=b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
         searcher.Act(raw=b"no answer at all\r\n\r\n"),
-        searcher.Act(id="another", body=b"not yours"),
+        searcher.Act(request_id="another", body=b"not yours"),
         searcher.Act(signed=False, body=b"nobody's"),
         searcher.Act(framed=False, body=b"cut", connection_action="reset"),
     ],
