--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Act:
+class Reaction:
     """A searcher's response to a request.
 
     Attributes:
@@ -68,12 +68,12 @@
     framed: bool = True
     connection_action: str = "keep"
 
-    def always(self, _: Seen) -> Act:
+    def always(self, _: Seen) -> Reaction:
         """Returns this response for every request; usable as a `Script`."""
         return self
 
 
-Script = Callable[[Seen], Act]
+Script = Callable[[Seen], Reaction]
 """Chooses the response to a request."""
 
 
@@ -110,7 +110,7 @@
         self.service = service
         self.address = address
         self.zone = zone
-        self.script: Script = lambda request: Act()
+        self.script: Script = lambda request: Reaction()
         self.seen: list[Seen] = []
         self.connections = 0
         self.open = 0
@@ -191,7 +191,7 @@
         target_id = request.headers.get("azureramp-target-instance", self.id)
         act = self.script(request)
         if target_id != self.id:
-            act = Act(status=421, signed=False)
+            act = Reaction(status=421, signed=False)
         work = asyncio.ensure_future(asyncio.sleep(act.delay_s))
         disconnected = asyncio.ensure_future(reader.read(1))
         self.running += 1
@@ -255,7 +255,7 @@
         )
 
     def _encode_response(
-        self, http: h11.Connection, request: Seen, act: Act, signature: str
+        self, http: h11.Connection, request: Seen, act: Reaction, signature: str
     ) -> bytes:
         """Encodes the response to a request."""
         if act.raw is not None:
--- a/src/azureramp_standins/rollouts/versions.py
+++ b/src/azureramp_standins/rollouts/versions.py
@@ -110,7 +110,7 @@
         self._recent_s: collections.deque[float] = collections.deque()
         self.bad_answer_times: list[float] = []
 
-    def act(self, request: searcher.Seen) -> searcher.Act:
+    def act(self, request: searcher.Seen) -> searcher.Reaction:
         """Chooses the response to a request; see `searcher.Script`."""
         self._recent_s.append(request.at_s)
         while self._recent_s[0] < request.at_s - 1.0:
@@ -118,11 +118,11 @@
         work_s = MEDIAN_WORK_S * self._rng.lognormvariate(0.0, WORK_LOG_STDDEV)
         bad = self._is_bad(request) and self._rng.random() < self._version.share
         if not bad:
-            return searcher.Act(delay_s=work_s)
+            return searcher.Reaction(delay_s=work_s)
         self.bad_answer_times.append(request.at_s)
         if self._version.slowdown:
-            return searcher.Act(delay_s=work_s * self._version.slowdown)
-        return searcher.Act(delay_s=work_s, status=500)
+            return searcher.Reaction(delay_s=work_s * self._version.slowdown)
+        return searcher.Reaction(delay_s=work_s, status=500)
 
     def _is_bad(self, request: searcher.Seen) -> bool:
         """Returns True if the version is bad for a request."""
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -46,7 +46,7 @@
         store_address = next(self._addresses)
         self._store = store.Store(store_address)
         self._searchers: list[searcher.Searcher] = []
-        self._acts: dict[str, searcher.Act] = {}
+        self._acts: dict[str, searcher.Reaction] = {}
         self._entries: dict[str, dict[str, Any]] = {}
         self._links: dict[tuple[str, int], proxy.Proxy] = {}
         for service in declared.SERVICES:
@@ -248,9 +248,9 @@
 
     def _act(
         self, target: searcher.Searcher, request: searcher.Seen
-    ) -> searcher.Act:
+    ) -> searcher.Reaction:
         """Chooses a searcher's response to a request and records the call."""
-        act = self._acts.get(target.id, searcher.Act(delay_s=0.01))
+        act = self._acts.get(target.id, searcher.Reaction(delay_s=0.01))
         if target.service in declared.SHARDS:
             body = declared.make_records(target.service, request.id)
         else:
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -18,14 +18,14 @@
     crashed: list[str] = []
 
     def script(each: searcher.Searcher) -> searcher.Script:
-        def act(seen: searcher.Seen) -> searcher.Act:
+        def act(seen: searcher.Seen) -> searcher.Reaction:
             if "poison" not in seen.target:
-                return searcher.Act()
+                return searcher.Reaction()
             crashed.append(each.id)
             loop = asyncio.get_running_loop()
             loop.call_later(0.003, each.crash)
             tasks.append(asyncio.ensure_future(restart_later(each)))
-            return searcher.Act(delay_s=0.5)
+            return searcher.Reaction(delay_s=0.5)
 
         return act
 
@@ -80,7 +80,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = lambda seen: (
-                searcher.Act(connection_action="reset")
+                searcher.Reaction(connection_action="reset")
             )
         for _ in range(8):
             answer = await scene.ask("vm-0", "/one/x")
@@ -88,7 +88,7 @@
             await deployment.settle(2.0)
         for index in range(2):
             name = f"statements-{index}"
-            scene.searchers[name].script = searcher.Act().always
+            scene.searchers[name].script = searcher.Reaction().always
         await deployment.settle(2.0)
         assert (await scene.ask("vm-0", "/one/x")).status == 200
 
--- a/tests/forwarding/test_dark_searchers.py
+++ b/tests/forwarding/test_dark_searchers.py
@@ -78,7 +78,7 @@
         for _ in range(30):
             await scene.ask("vm-0", "/one/x")
         hanging.add(dark)
-        dark.script = searcher.Act(connection_action="hang").always
+        dark.script = searcher.Reaction(connection_action="hang").always
         record = scene.programs["vm-0"].board.targets["statements-0"].record
         for _ in range(300):
             if record.rests(loop.time()):
@@ -92,7 +92,7 @@
             assert answer.status == 200
             assert loop.time() - began_s < PROMPT_S
             await asyncio.sleep(0.03)
-        dark.script = searcher.Act().always
+        dark.script = searcher.Reaction().always
         hanging.clear()
         before = len(dark.seen)
         for _ in range(60):
--- a/tests/forwarding/test_gather.py
+++ b/tests/forwarding/test_gather.py
@@ -16,7 +16,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for number, service in enumerate(scenes.SHARDS):
             body = make_record(number) + make_record(10 + number) + b"rest"
-            act = searcher.Act(body=body)
+            act = searcher.Reaction(body=body)
             for index in range(2):
                 scene.searchers[f"{service}-{index}"].script = act.always
         answer = await scene.ask("vm-0", "/all/x")
@@ -45,7 +45,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for index in range(2):
             name = f"shard-a-{index}"
-            scene.searchers[name].script = lambda seen: searcher.Act(
+            scene.searchers[name].script = lambda seen: searcher.Reaction(
                 delay_s=0.5
                 if len(scene.searchers["shard-a-0"].seen) == 1
                 and not scene.searchers["shard-a-1"].seen
@@ -72,7 +72,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for index in range(2):
             scene.searchers[f"shard-a-{index}"].script = lambda seen: (
-                searcher.Act(connection_action="hang")
+                searcher.Reaction(connection_action="hang")
             )
         began_s = asyncio.get_running_loop().time()
         answer = await scene.ask("vm-0", "/all/x")
@@ -116,7 +116,7 @@
         for service in ("shard-a", "shard-b"):
             for index in range(2):
                 scene.searchers[f"{service}-{index}"].script = lambda seen: (
-                    searcher.Act(connection_action="reset")
+                    searcher.Reaction(connection_action="reset")
                 )
         answer = await scene.ask("vm-0", "/all/x")
         assert answer.status == 502
@@ -138,7 +138,7 @@
         for service in scenes.SHARDS:
             for index in range(2):
                 scene.searchers[f"{service}-{index}"].script = lambda seen: (
-                    searcher.Act(delay_s=0.6)
+                    searcher.Reaction(delay_s=0.6)
                 )
         scene.configuration["Routes"][0]["TargetLatencyMs"] = 900
         scene.declare()
@@ -168,7 +168,7 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         for each in scene.searchers.values():
-            each.script = lambda seen: searcher.Act(delay_s=0.8)
+            each.script = lambda seen: searcher.Reaction(delay_s=0.8)
         running = asyncio.ensure_future(scene.ask("vm-0", "/all/x"))
         await asyncio.sleep(0.01)
         running.cancel()
@@ -194,7 +194,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         slow = [scene.searchers[f"shard-a-{index}"] for index in range(2)]
         for each in slow:
-            each.script = searcher.Act(delay_s=0.4).always
+            each.script = searcher.Reaction(delay_s=0.4).always
         asking = []
         for _ in range(8):
             asking.append(asyncio.ensure_future(scene.ask("vm-0", "/all/x")))
@@ -219,7 +219,7 @@
         for _ in range(20):
             await scene.ask("vm-0", "/all/x")
         for each in slow:
-            each.script = searcher.Act(delay_s=0.12).always
+            each.script = searcher.Reaction(delay_s=0.12).always
         for _ in range(12):
             await scene.ask("vm-0", "/all/x")
             await asyncio.sleep(0.15)
@@ -243,7 +243,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         slow = [scene.searchers[f"shard-a-{index}"] for index in range(2)]
         for each in slow:
-            each.script = searcher.Act(delay_s=0.24).always
+            each.script = searcher.Reaction(delay_s=0.24).always
         await asyncio.gather(*(scene.ask("vm-0", "/all/x") for _ in range(8)))
         await asyncio.sleep(0.05)
         assert sum(each.cancelled.total() for each in slow) >= 4
--- a/tests/forwarding/test_members.py
+++ b/tests/forwarding/test_members.py
@@ -78,7 +78,7 @@
         await deployment.settle(2.0)
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = lambda seen: (
-                searcher.Act(delay_s=0.7)
+                searcher.Reaction(delay_s=0.7)
             )
         loop = asyncio.get_running_loop()
         began_s = loop.time()
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -19,7 +19,7 @@
 
 
 def set_script(
-    scene: deployment.Deployment, service: str, act: searcher.Act
+    scene: deployment.Deployment, service: str, act: searcher.Reaction
 ) -> None:
     for each in scene.searchers.values():
         if each.service == service:
@@ -28,7 +28,7 @@
 
 def test_the_request_and_the_answer_pass_unchanged() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        act = searcher.Act(body=b"\x00whole\xff")
+        act = searcher.Reaction(body=b"\x00whole\xff")
         set_script(scene, scenes.SINGLE_SERVICE, act)
         answer = await scene.ask(
             "vm-0", "/once/a%2Fb?x=1&x=2", "POST", b"grant", request_id="r-7"
@@ -64,7 +64,7 @@
         set_script(
             scene,
             scenes.SINGLE_SERVICE,
-            searcher.Act(connection_action="reset"),
+            searcher.Reaction(connection_action="reset"),
         )
         answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 502
@@ -75,7 +75,7 @@
 
 def test_a_slow_request_that_runs_once_is_not_hedged() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(delay_s=0.5))
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Reaction(delay_s=0.5))
         answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 200
         assert count_runs(scene, scenes.SINGLE_SERVICE) == 1
@@ -85,10 +85,10 @@
 
 def test_a_rejected_request_that_runs_once_goes_to_another() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        def reject_first(seen: searcher.Seen) -> searcher.Act:
+        def reject_first(seen: searcher.Seen) -> searcher.Reaction:
             if count_runs(scene, scenes.SINGLE_SERVICE) == 1:
-                return searcher.Act(status=503, not_run=True, signed=False)
-            return searcher.Act(body=b"done")
+                return searcher.Reaction(status=503, not_run=True, signed=False)
+            return searcher.Reaction(body=b"done")
 
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = reject_first
@@ -102,7 +102,7 @@
 
 def test_a_request_that_no_searcher_ran_is_refused_as_not_run() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        act = searcher.Act(status=503, not_run=True, signed=False)
+        act = searcher.Reaction(status=503, not_run=True, signed=False)
         set_script(scene, scenes.SINGLE_SERVICE, act)
         answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 503
@@ -113,10 +113,10 @@
 
 def test_a_repeatable_request_survives_a_reset() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        def reset_first(seen: searcher.Seen) -> searcher.Act:
+        def reset_first(seen: searcher.Seen) -> searcher.Reaction:
             if count_runs(scene, scenes.SINGLE_SERVICE) == 1:
-                return searcher.Act(connection_action="reset")
-            return searcher.Act(body=b"done")
+                return searcher.Reaction(connection_action="reset")
+            return searcher.Reaction(body=b"done")
 
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = reset_first
@@ -129,16 +129,18 @@
 @pytest.mark.parametrize(
     "act",
     [
-        searcher.Act(raw=b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
-        searcher.Act(raw=b"no answer at all\r\n\r\n"),
-        searcher.Act(request_id="another", body=b"not yours"),
-        searcher.Act(signed=False, body=b"nobody's"),
-        searcher.Act(framed=False, body=b"cut", connection_action="reset"),
+        searcher.Reaction(
+            raw=b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
+        ),
+        searcher.Reaction(raw=b"no answer at all\r\n\r\n"),
+        searcher.Reaction(request_id="another", body=b"not yours"),
+        searcher.Reaction(signed=False, body=b"nobody's"),
+        searcher.Reaction(framed=False, body=b"cut", connection_action="reset"),
     ],
     ids=["truncated", "garbage", "another-id", "unsigned", "cut-unframed"],
 )
 def test_an_incomplete_or_foreign_answer_is_not_used(
-    act: searcher.Act,
+    act: searcher.Reaction,
 ) -> None:
     """Guards against showing a caller another caller's data, or partial data.
 
@@ -174,7 +176,9 @@
             b"HTTP/1.1 200 OK\r\nAzureramp-Request-Id: mine\r\n"
             b"Azureramp-Server-Stamp: s\r\nContent-Length: 4\r\n\r\nmine"
         )
-        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act(raw=late + own))
+        set_script(
+            scene, scenes.SINGLE_SERVICE, searcher.Reaction(raw=late + own)
+        )
         answer = await scene.ask(
             "vm-0", "/once/x", "POST", b"grant", request_id="mine"
         )
@@ -186,7 +190,7 @@
 
 def test_bytes_after_an_answer_end_the_connection() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        act = searcher.Act(body=b"first", extra=b"HTTP/1.1 200 OK\r\n\r\n")
+        act = searcher.Reaction(body=b"first", extra=b"HTTP/1.1 200 OK\r\n\r\n")
         set_script(scene, scenes.SINGLE_SERVICE, act)
         for _ in range(3):
             answer = await scene.ask("vm-0", "/one/x")
@@ -200,7 +204,7 @@
 
 def test_an_answer_without_a_length_ends_with_its_stream() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        act = searcher.Act(
+        act = searcher.Reaction(
             framed=False, body=b"whole", connection_action="close"
         )
         set_script(scene, scenes.SINGLE_SERVICE, act)
@@ -230,7 +234,9 @@
 def test_a_request_is_answered_at_its_routes_timeout() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         set_script(
-            scene, scenes.SINGLE_SERVICE, searcher.Act(connection_action="hang")
+            scene,
+            scenes.SINGLE_SERVICE,
+            searcher.Reaction(connection_action="hang"),
         )
         began_s = asyncio.get_running_loop().time()
         answer = await scene.ask("vm-0", "/one/x", deadline_ms=5000)
@@ -259,7 +265,9 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         set_script(
-            scene, scenes.SINGLE_SERVICE, searcher.Act(connection_action="hang")
+            scene,
+            scenes.SINGLE_SERVICE,
+            searcher.Reaction(connection_action="hang"),
         )
         target = next(iter(scene.programs["vm-0"].board.targets.values()))
         before = [
@@ -290,11 +298,11 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        lost = searcher.Act(delay_s=0.01, connection_action="reset")
+        lost = searcher.Reaction(delay_s=0.01, connection_action="reset")
         set_script(scene, scenes.SINGLE_SERVICE, lost)
         for _ in range(4):
             await scene.ask("vm-0", "/one/x")
-        set_script(scene, scenes.SINGLE_SERVICE, searcher.Act())
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Reaction())
         before = count_runs(scene, scenes.SINGLE_SERVICE)
         grant = await scene.ask("vm-0", "/once/x", "POST", b"grant")
         assert grant.status == 503
