--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -90,7 +90,7 @@
         vmlist: The VM list.
         fleet: The searchers.
         vms: The VMs by name.
-        past: Recorded history, the input of the invariant checker.
+        history: Recorded history, the input of the invariant checker.
         overrides: Settings that differ from the defaults.
         observer: Called with each timeline record of any VM.
         isolated: True if the VM list that a VM reads contains only that VM,
@@ -102,12 +102,12 @@
         "_random",
         "_searcher_names",
         "fleet",
+        "history",
         "isolated",
         "layout",
         "network",
         "observer",
         "overrides",
-        "past",
         "state",
         "vmlist",
         "vms",
@@ -125,7 +125,7 @@
         self.network = peers_memory.Network(seed)
         self.network.faults.delay_s = layout.one_way_delay_ms / 1000
         self.state = store_state.State()
-        self.past = history.History()
+        self.history = history.History()
         self.overrides = overrides
         self.isolated = False
         self.observer: Callable[[timelines.Record], None] | None = None
@@ -183,7 +183,7 @@
             key = str(
                 msgspec.json.decode(call.body).get(OPERATION_KEY_FIELD, "")
             )
-        self.past.arrivals.append(
+        self.history.arrivals.append(
             history.Arrival(
                 at_s=asyncio.get_running_loop().time(),
                 request_id=call.call_id.partition("/")[0],
@@ -217,7 +217,7 @@
         expected = current.revision if current else 0
         self.state.write(key, msgspec.json.encode(resource), expected)
         if isinstance(resource, resources.ShardMap):
-            self.past.shard_maps[resource.name] = resource
+            self.history.shard_maps[resource.name] = resource
         return self.state.revision
 
     async def wait_until_ready(self) -> None:
@@ -301,7 +301,7 @@
         daemon = vm.daemon
         aborted = await daemon.stop(asyncio.Event())
         vm.stopping = False
-        self.past.stops.append(
+        self.history.stops.append(
             history.PlannedStop(
                 name, start_s, loop.time(), aborted_requests=aborted > 0
             )
@@ -339,9 +339,9 @@
         for name, vm in self.vms.items():
             if vm.daemon is not None:
                 await self.kill_vm(name)
-        self.past.records = timelines.merge(self._ended_timelines)
-        self.past.end_s = asyncio.get_running_loop().time()
-        return self.past
+        self.history.records = timelines.merge(self._ended_timelines)
+        self.history.end_s = asyncio.get_running_loop().time()
+        return self.history
 
     async def change(
         self, vm: str, resource: resources.AnyResource
@@ -359,7 +359,7 @@
             The first other response, or that of the last attempt.
         """
         if isinstance(resource, resources.ShardMap):
-            self.past.shard_maps[resource.name] = resource
+            self.history.shard_maps[resource.name] = resource
         candidates = [vm, *(name for name in self.vms if name != vm)]
         response = web_api.Response(status=0)
         for _ in range(MAX_CHANGE_ATTEMPTS):
--- a/src/azureramp_standins/traffic.py
+++ b/src/azureramp_standins/traffic.py
@@ -54,7 +54,7 @@
     if received.version:
         tag = f"{text}@{received.version}"
         keys = range(0, target.count_keys(), cluster.KEYS_PER_ITEM)
-        deployment.past.keys_by_tag[tag] = tuple(keys)
+        deployment.history.keys_by_tag[tag] = tuple(keys)
     return received
 
 
@@ -122,7 +122,7 @@
     received = _read_answer(
         response, vm, sent_s, loop.time(), wanted, idempotency_key
     )
-    deployment.past.outcomes.append(received)
+    deployment.history.outcomes.append(received)
     return received
 
 
