--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -109,7 +109,7 @@
         began_s = loop.time()
         fault = planned.fault
         match fault:
-            case plan.Signalled(vm=vm, how=how):
+            case plan.DaemonSignal(vm=vm, how=how):
                 kind, name = "vm", self.daemons[vm].name
                 await self._signal(self.daemons[vm], how, planned.for_s)
             case plan.LinkHarmed(link=link, number=number, how=how):
--- a/src/azureramp_standins/soak/plan.py
+++ b/src/azureramp_standins/soak/plan.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Signalled:
+class DaemonSignal:
     """A signal to a daemon.
 
     Attributes:
@@ -84,7 +84,7 @@
     how: str
 
 
-Fault = Signalled | LinkHarmed | StoreHarmed | SearcherHarmed | Operated
+Fault = DaemonSignal | LinkHarmed | StoreHarmed | SearcherHarmed | Operated
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -155,7 +155,7 @@
     searcher = rng.randrange(searchers)
     match group:
         case "signal":
-            return Signalled(vm, rng.choice(DAEMON_FAULTS))
+            return DaemonSignal(vm, rng.choice(DAEMON_FAULTS))
         case "link":
             link = rng.choice(("store", "searcher"))
             number = vm if link == "store" else searcher
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -20,7 +20,7 @@
     assert {
         type(each.fault) for seed in range(20) for each in _draw_plan(seed)
     } == {
-        plan.Signalled,
+        plan.DaemonSignal,
         plan.LinkHarmed,
         plan.StoreHarmed,
         plan.SearcherHarmed,
