--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -112,7 +112,7 @@
             case plan.DaemonSignal(vm=vm, how=how):
                 kind, name = "vm", self.daemons[vm].name
                 await self._signal(self.daemons[vm], how, planned.for_s)
-            case plan.LinkHarmed(link=link, number=number, how=how):
+            case plan.LinkFault(link=link, number=number, how=how):
                 kind, name = "link", f"{link}-{number}"
                 target = self._links[link, number]
                 target.inject(how)
--- a/src/azureramp_standins/soak/plan.py
+++ b/src/azureramp_standins/soak/plan.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class LinkHarmed:
+class LinkFault:
     """A fault of a daemon's link to the store or of the link to a searcher.
 
     Attributes:
@@ -84,7 +84,7 @@
     how: str
 
 
-Fault = DaemonSignal | LinkHarmed | StoreHarmed | SearcherHarmed | Operated
+Fault = DaemonSignal | LinkFault | StoreHarmed | SearcherHarmed | Operated
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -159,7 +159,7 @@
         case "link":
             link = rng.choice(("store", "searcher"))
             number = vm if link == "store" else searcher
-            return LinkHarmed(link, number, rng.choice(LINK_FAULTS))
+            return LinkFault(link, number, rng.choice(LINK_FAULTS))
         case "store":
             return StoreHarmed(rng.choice(STORE_FAULTS))
         case "searcher":
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -21,7 +21,7 @@
         type(each.fault) for seed in range(20) for each in _draw_plan(seed)
     } == {
         plan.DaemonSignal,
-        plan.LinkHarmed,
+        plan.LinkFault,
         plan.StoreHarmed,
         plan.SearcherHarmed,
         plan.Operated,
