--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -118,7 +118,7 @@
                 target.inject(how)
                 await asyncio.sleep(planned.for_s)
                 target.clear()
-            case plan.StoreHarmed(how=how):
+            case plan.StoreFault(how=how):
                 kind, name = "store", "store"
                 await self._inject_store_fault(how, planned.for_s)
             case plan.SearcherHarmed(number=number, how=how):
--- a/src/azureramp_standins/soak/plan.py
+++ b/src/azureramp_standins/soak/plan.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class StoreHarmed:
+class StoreFault:
     """A fault of the store.
 
     Attributes:
@@ -84,7 +84,7 @@
     how: str
 
 
-Fault = DaemonSignal | LinkFault | StoreHarmed | SearcherHarmed | Operated
+Fault = DaemonSignal | LinkFault | StoreFault | SearcherHarmed | Operated
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -161,7 +161,7 @@
             number = vm if link == "store" else searcher
             return LinkFault(link, number, rng.choice(LINK_FAULTS))
         case "store":
-            return StoreHarmed(rng.choice(STORE_FAULTS))
+            return StoreFault(rng.choice(STORE_FAULTS))
         case "searcher":
             return SearcherHarmed(searcher, rng.choice(SEARCHER_FAULTS))
     return Operated(rng.choice(("configure", "evacuate")))
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -22,7 +22,7 @@
     } == {
         plan.DaemonSignal,
         plan.LinkFault,
-        plan.StoreHarmed,
+        plan.StoreFault,
         plan.SearcherHarmed,
         plan.Operated,
     }
