--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -121,7 +121,7 @@
             case plan.StoreFault(how=how):
                 kind, name = "store", "store"
                 await self._inject_store_fault(how, planned.for_s)
-            case plan.SearcherHarmed(number=number, how=how):
+            case plan.SearcherFault(number=number, how=how):
                 target_searcher = self._searchers[number]
                 kind, name = "searcher", target_searcher.id
                 if how == "drain" and name in self._draining:
--- a/src/azureramp_standins/soak/plan.py
+++ b/src/azureramp_standins/soak/plan.py
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class SearcherHarmed:
+class SearcherFault:
     """A fault of a searcher.
 
     Attributes:
@@ -84,7 +84,7 @@
     how: str
 
 
-Fault = DaemonSignal | LinkFault | StoreFault | SearcherHarmed | Operated
+Fault = DaemonSignal | LinkFault | StoreFault | SearcherFault | Operated
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -163,5 +163,5 @@
         case "store":
             return StoreFault(rng.choice(STORE_FAULTS))
         case "searcher":
-            return SearcherHarmed(searcher, rng.choice(SEARCHER_FAULTS))
+            return SearcherFault(searcher, rng.choice(SEARCHER_FAULTS))
     return Operated(rng.choice(("configure", "evacuate")))
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -23,7 +23,7 @@
         plan.DaemonSignal,
         plan.LinkFault,
         plan.StoreFault,
-        plan.SearcherHarmed,
+        plan.SearcherFault,
         plan.Operated,
     }
 
