--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -129,10 +129,10 @@
                 await self._inject_searcher_fault(
                     target_searcher, how, planned.for_s
                 )
-            case plan.Operated(how="configure" as how):
+            case plan.OperatorAction(how="configure" as how):
                 kind, name = "operator", "configure"
                 self.configure()
-            case plan.Operated(how=how):
+            case plan.OperatorAction(how=how):
                 kind, name = "operator", "zone-0"
                 await self._evacuate(
                     declared.EVACUATION_BOUND_S + planned.for_s
--- a/src/azureramp_standins/soak/plan.py
+++ b/src/azureramp_standins/soak/plan.py
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Operated:
+class OperatorAction:
     """An operator's action.
 
     Attributes:
@@ -84,7 +84,7 @@
     how: str
 
 
-Fault = DaemonSignal | LinkFault | StoreFault | SearcherFault | Operated
+Fault = DaemonSignal | LinkFault | StoreFault | SearcherFault | OperatorAction
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -164,4 +164,4 @@
             return StoreFault(rng.choice(STORE_FAULTS))
         case "searcher":
             return SearcherFault(searcher, rng.choice(SEARCHER_FAULTS))
-    return Operated(rng.choice(("configure", "evacuate")))
+    return OperatorAction(rng.choice(("configure", "evacuate")))
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -24,7 +24,7 @@
         plan.LinkFault,
         plan.StoreFault,
         plan.SearcherFault,
-        plan.Operated,
+        plan.OperatorAction,
     }
 
 
