--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -103,7 +103,7 @@
         now_s = asyncio.get_running_loop().time()
         self.history.versions.append((service, now_s))
 
-    async def inject(self, planned: plan.Planned) -> None:
+    async def inject(self, planned: plan.ScheduledFault) -> None:
         """Injects a fault, clears it after its duration and records it."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
--- a/src/azureramp_standins/soak/plan.py
+++ b/src/azureramp_standins/soak/plan.py
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Planned:
+class ScheduledFault:
     """A fault with its start and duration.
 
     Attributes:
@@ -125,7 +125,7 @@
 
 def draw(
     seed: int, seconds: float, vms: int, searchers: int
-) -> tuple[Planned, ...]:
+) -> tuple[ScheduledFault, ...]:
     """Draws the faults of a run.
 
     Args:
@@ -136,13 +136,13 @@
     """
     rng = random.Random(seed)
     groups = [name for name in GROUPS if rng.random() < GROUP_CHANCE]
-    planned: list[Planned] = []
+    planned: list[ScheduledFault] = []
     at_s = FIRST_FAULT_S
     while at_s < seconds:
         for_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
         group = rng.choice(groups or GROUPS)
         fault = _draw_one(rng, group, vms, searchers)
-        planned.append(Planned(at_s, for_s, fault))
+        planned.append(ScheduledFault(at_s, for_s, fault))
         at_s += rng.expovariate(1 / MEAN_GAP_S)
     return tuple(planned)
 
--- a/src/azureramp_standins/soak/program.py
+++ b/src/azureramp_standins/soak/program.py
@@ -91,7 +91,7 @@
 
 
 async def _inject_later(
-    run_harness: harness.Harness, planned: plan.Planned, began_s: float
+    run_harness: harness.Harness, planned: plan.ScheduledFault, began_s: float
 ) -> None:
     """Injects a fault at its time."""
     now_s = asyncio.get_running_loop().time()
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -44,5 +44,5 @@
     assert checks.check(recorded, timed=False) == []
 
 
-def _draw_plan(seed: int) -> tuple[plan.Planned, ...]:
+def _draw_plan(seed: int) -> tuple[plan.ScheduledFault, ...]:
     return plan.draw(seed, 20.0, 4, 22)
