--- a/src/azureramp_standins/soak/plan.py
+++ b/src/azureramp_standins/soak/plan.py
@@ -123,7 +123,7 @@
 )
 
 
-def draw(
+def draw_faults(
     seed: int, seconds: float, vms: int, searchers: int
 ) -> tuple[ScheduledFault, ...]:
     """Draws the faults of a run.
--- a/src/azureramp_standins/soak/program.py
+++ b/src/azureramp_standins/soak/program.py
@@ -68,7 +68,9 @@
         await asyncio.sleep(START_S)
         began_s = loop.time()
         tasks = [asyncio.ensure_future(each.run()) for each in clients]
-        faults = plan.draw(seed, seconds, vms, run_harness.count_searchers())
+        faults = plan.draw_faults(
+            seed, seconds, vms, run_harness.count_searchers()
+        )
         await asyncio.gather(
             *(_inject_later(run_harness, each, began_s) for each in faults)
         )
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -14,9 +14,9 @@
 
 
 def test_seed_determines_planned_faults() -> None:
-    first = plan.draw(7, 20.0, 4, 22)
-    assert first == plan.draw(7, 20.0, 4, 22)
-    assert first != plan.draw(8, 20.0, 4, 22)
+    first = plan.draw_faults(7, 20.0, 4, 22)
+    assert first == plan.draw_faults(7, 20.0, 4, 22)
+    assert first != plan.draw_faults(8, 20.0, 4, 22)
     assert {
         type(each.fault) for seed in range(20) for each in _draw_plan(seed)
     } == {
@@ -45,4 +45,4 @@
 
 
 def _draw_plan(seed: int) -> tuple[plan.ScheduledFault, ...]:
-    return plan.draw(seed, 20.0, 4, 22)
+    return plan.draw_faults(seed, 20.0, 4, 22)
