--- a/src/azureramp_standins/soak/answers.py
+++ b/src/azureramp_standins/soak/answers.py
@@ -23,7 +23,7 @@
     index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that each answer is complete and belongs to its request."""
-    for request in index.history.tries:
+    for request in index.history.requests:
         if request.status != 200:
             continue
         problem = (
@@ -90,7 +90,7 @@
 
     A 503 must also have a Retry-After header.
     """
-    for request in index.history.tries:
+    for request in index.history.requests:
         if request.status not in NOT_RUN_STATUSES:
             continue
         ran = [
@@ -114,7 +114,7 @@
 
     The statuses of requests that were not run are allowed.
     """
-    for request in index.history.tries:
+    for request in index.history.requests:
         if (
             300 <= request.status < 500
             and request.status not in NOT_RUN_STATUSES
@@ -169,7 +169,7 @@
             continue
         if not _is_only_fault(index, span):
             continue
-        for request in index.history.tries:
+        for request in index.history.requests:
             inside = (
                 request.ended_s >= span.began_s
                 and request.sent_s <= span.ended_s
--- a/src/azureramp_standins/soak/bounds.py
+++ b/src/azureramp_standins/soak/bounds.py
@@ -40,7 +40,7 @@
             arrived_ids.add(arrival.id)
         sent_times_s = sorted(
             request.sent_s
-            for request in index.history.tries
+            for request in index.history.requests
             if _may_reach(request.path, service, index)
         )
         for number, at_s in enumerate(extra_times_s):
@@ -192,7 +192,7 @@
     """Checks that nearly all requests succeed long after the last fault."""
     last = [
         each
-        for each in index.history.tries
+        for each in index.history.requests
         if each.sent_s > index.history.ended_s - FINAL_WINDOW_S
         and each.ended_s > 0
     ]
--- a/src/azureramp_standins/soak/callers.py
+++ b/src/azureramp_standins/soak/callers.py
@@ -85,7 +85,7 @@
         request = history.CallerRequest(
             name, path, self._vm, loop.time(), DEADLINE_S
         )
-        self._history.tries.append(request)
+        self._history.requests.append(request)
         headers = (
             ("Azureramp-Request-Id", name),
             ("Azureramp-Deadline-Ms", str(int(DEADLINE_S * 1000))),
--- a/src/azureramp_standins/soak/history.py
+++ b/src/azureramp_standins/soak/history.py
@@ -83,7 +83,7 @@
     """The history of a whole run; times are on the loop's clock.
 
     Attributes:
-        tries: The callers' requests.
+        requests: The callers' requests.
         arrivals: The calls that reached searchers.
         spans: The injected faults.
         versions: For each configuration version, the target service of its
@@ -96,7 +96,7 @@
         ended_s: When the run ended.
     """
 
-    tries: list[CallerRequest] = dataclasses.field(default_factory=list)
+    requests: list[CallerRequest] = dataclasses.field(default_factory=list)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
     spans: list[FaultSpan] = dataclasses.field(default_factory=list)
     versions: list[tuple[str, float]] = dataclasses.field(default_factory=list)
--- a/src/azureramp_standins/soak/indexed_history.py
+++ b/src/azureramp_standins/soak/indexed_history.py
@@ -47,7 +47,7 @@
     def __init__(self, run_history: history.History) -> None:
         """Builds the indexes of a history."""
         self.history = run_history
-        self.requests_by_id = {each.id: each for each in run_history.tries}
+        self.requests_by_id = {each.id: each for each in run_history.requests}
         self.arrivals_by_id: dict[str, list[history.Arrival]] = (
             collections.defaultdict(list)
         )
--- a/src/azureramp_standins/soak/program.py
+++ b/src/azureramp_standins/soak/program.py
@@ -107,7 +107,7 @@
     broken: list[indexed_history.Violation],
 ) -> None:
     """Writes the timeline of a run's faults and violations."""
-    begin_s = min((each.sent_s for each in run_history.tries), default=0.0)
+    begin_s = min((each.sent_s for each in run_history.requests), default=0.0)
     lines = [
         (
             span.began_s,
@@ -133,14 +133,14 @@
     broken: list[indexed_history.Violation],
 ) -> dict[str, object]:
     """Returns a run's row for the file of results."""
-    good = sum(each.status == 200 for each in run_history.tries)
+    good = sum(each.status == 200 for each in run_history.requests)
     return {
         "seed": seed,
         "seconds": seconds,
         "vms": vms,
         "faults": len(run_history.spans),
-        "tries": len(run_history.tries),
-        "answered": round(good / max(1, len(run_history.tries)), 3),
+        "tries": len(run_history.requests),
+        "answered": round(good / max(1, len(run_history.requests)), 3),
         "broken": sorted({each.guarantee for each in broken}),
     }
 
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -39,7 +39,7 @@
     only, since load on the test machine alone can violate them.
     """
     recorded = asyncio.run(program.run_seed(seed, SECONDS, VMS, tmp_path))
-    assert len(recorded.tries) > 100
+    assert len(recorded.requests) > 100
     assert len(recorded.spans) >= 3
     assert checks.check(recorded, timed=False) == []
 
