--- a/src/azureramp_standins/soak/answers.py
+++ b/src/azureramp_standins/soak/answers.py
@@ -164,7 +164,7 @@
     index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that a planned stop aborts no request."""
-    for span in index.history.spans:
+    for span in index.history.fault_spans:
         if span.how != "stop":
             continue
         if not _is_only_fault(index, span):
@@ -193,5 +193,5 @@
         and span.name == stop.name
         and span.began_s <= stop.ended_s
         and span.ended_s >= stop.began_s - indexed_history.UNDISTURBED_S
-        for span in index.history.spans
+        for span in index.history.fault_spans
     )
--- a/src/azureramp_standins/soak/bounds.py
+++ b/src/azureramp_standins/soak/bounds.py
@@ -72,7 +72,7 @@
 ) -> Iterator[indexed_history.Violation]:
     """Checks that a cold searcher's request rate stays within its limit."""
     bound = declared.COLD_PER_S * declared.COLD_OVERAGE + declared.COLD_SLACK
-    for span in index.history.spans:
+    for span in index.history.fault_spans:
         if span.how != "cold":
             continue
         times = [
@@ -93,7 +93,7 @@
     index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that draining searchers and evacuated zones get no new calls."""
-    for span in index.history.spans:
+    for span in index.history.fault_spans:
         if span.how not in ("drain", "evacuate"):
             continue
         drained = span.how == "drain"
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -138,7 +138,7 @@
                     declared.EVACUATION_BOUND_S + planned.for_s
                 )
         span = history.FaultSpan(kind, name, how, began_s, loop.time())
-        self.history.spans.append(span)
+        self.history.fault_spans.append(span)
 
     async def _evacuate(self, for_s: float) -> None:
         """Evacuates a zone; the last of several overlapping calls ends it."""
@@ -216,7 +216,7 @@
             target, ColdRemainingMs=int(declared.COLD_START_S * 1000)
         )
         now_s = asyncio.get_running_loop().time()
-        self.history.spans.append(
+        self.history.fault_spans.append(
             history.FaultSpan(
                 "searcher",
                 target.id,
--- a/src/azureramp_standins/soak/history.py
+++ b/src/azureramp_standins/soak/history.py
@@ -85,7 +85,7 @@
     Attributes:
         requests: The callers' requests.
         arrivals: The calls that reached searchers.
-        spans: The injected faults.
+        fault_spans: The injected faults.
         versions: For each configuration version, the target service of its
             `/move/` route and when it was written to the store.
         start_times: When the processes started, by VM.
@@ -98,7 +98,7 @@
 
     requests: list[CallerRequest] = dataclasses.field(default_factory=list)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
-    spans: list[FaultSpan] = dataclasses.field(default_factory=list)
+    fault_spans: list[FaultSpan] = dataclasses.field(default_factory=list)
     versions: list[tuple[str, float]] = dataclasses.field(default_factory=list)
     start_times: dict[str, list[float]] = dataclasses.field(
         default_factory=dict
--- a/src/azureramp_standins/soak/indexed_history.py
+++ b/src/azureramp_standins/soak/indexed_history.py
@@ -73,5 +73,5 @@
             and span.ended_s >= from_s - UNDISTURBED_S
             and span.how != "reload"
             and (span.kind == "store" or span.name in (vm, link))
-            for span in self.history.spans
+            for span in self.history.fault_spans
         )
--- a/src/azureramp_standins/soak/program.py
+++ b/src/azureramp_standins/soak/program.py
@@ -114,7 +114,7 @@
             f"{span.kind} {span.name} {span.how}, until "
             f"{span.ended_s - begin_s:.2f}",
         )
-        for span in run_history.spans
+        for span in run_history.fault_spans
     ]
     lines += [
         (each.at_s, f"BROKEN {each.guarantee}: {each.detail}")
@@ -138,7 +138,7 @@
         "seed": seed,
         "seconds": seconds,
         "vms": vms,
-        "faults": len(run_history.spans),
+        "faults": len(run_history.fault_spans),
         "tries": len(run_history.requests),
         "answered": round(good / max(1, len(run_history.requests)), 3),
         "broken": sorted({each.guarantee for each in broken}),
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -40,7 +40,7 @@
     """
     recorded = asyncio.run(program.run_seed(seed, SECONDS, VMS, tmp_path))
     assert len(recorded.requests) > 100
-    assert len(recorded.spans) >= 3
+    assert len(recorded.fault_spans) >= 3
     assert checks.check(recorded, timed=False) == []
 
 
