--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -113,10 +113,10 @@
 
 def play(plan: Plan) -> Outcome:
     """Simulates a roll-out and returns its result."""
-    return virtual.run(Play(plan).run())
+    return virtual.run(Simulation(plan).run())
 
 
-class Play:
+class Simulation:
     """The state of a simulated roll-out."""
 
     def __init__(self, plan: Plan) -> None:
