--- a/src/azureramp_standins/rollouts/main.py
+++ b/src/azureramp_standins/rollouts/main.py
@@ -76,7 +76,7 @@
     click.echo(HEADER)
     outcomes: list[tuple[play.Plan, play.Outcome]] = []
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        results = pool.map(play.play, plans)
+        results = pool.map(play.simulate, plans)
         for plan, outcome in zip(plans, results, strict=True):
             outcomes.append((plan, outcome))
             click.echo(describe(plan, outcome))
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -111,7 +111,7 @@
     broken: tuple[str, ...] = ()
 
 
-def play(plan: Plan) -> Outcome:
+def simulate(plan: Plan) -> Outcome:
     """Simulates a roll-out and returns its result."""
     return virtual.run(Simulation(plan).run())
 
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -17,7 +17,7 @@
 
 
 def check(plan: play.Plan, state: str) -> play.Outcome:
-    outcome = play.play(plan)
+    outcome = play.simulate(plan)
     assert outcome.broken == ()
     assert outcome.state == state
     assert outcome.ended_s <= play.DURATION_S
