--- a/src/azureramp_standins/rollouts/main.py
+++ b/src/azureramp_standins/rollouts/main.py
@@ -64,7 +64,7 @@
     chosen = [versions.Kind(each) for each in kinds] or list(versions.Kind)
     chosen_faults = list_faults(faults)
     plans = [
-        play.Plan(
+        play.Parameters(
             vms,
             number,
             chosen[number % len(chosen)],
@@ -74,7 +74,7 @@
         for number in range(seed, seed + count)
     ]
     click.echo(HEADER)
-    outcomes: list[tuple[play.Plan, play.Outcome]] = []
+    outcomes: list[tuple[play.Parameters, play.Outcome]] = []
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
         results = pool.map(play.simulate, plans)
         for plan, outcome in zip(plans, results, strict=True):
@@ -99,7 +99,7 @@
     return [play.Fault(name) for name in names]
 
 
-def describe(plan: play.Plan, outcome: play.Outcome) -> str:
+def describe(plan: play.Parameters, outcome: play.Outcome) -> str:
     """Formats a roll-out as a line of the output."""
     stopped = "-"
     if outcome.stop_delay_s is not None:
@@ -126,7 +126,7 @@
 
 
 def summarize(
-    outcomes: list[tuple[play.Plan, play.Outcome]],
+    outcomes: list[tuple[play.Parameters, play.Outcome]],
 ) -> Iterator[str]:
     """Yields a line for each kind: how many roll-outs ended as expected."""
     for kind in versions.Kind:
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Plan:
+class Parameters:
     """The parameters of a simulated roll-out.
 
     Attributes:
@@ -111,7 +111,7 @@
     broken: tuple[str, ...] = ()
 
 
-def simulate(plan: Plan) -> Outcome:
+def simulate(plan: Parameters) -> Outcome:
     """Simulates a roll-out and returns its result."""
     return virtual.run(Simulation(plan).run())
 
@@ -119,7 +119,7 @@
 class Simulation:
     """The state of a simulated roll-out."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: Parameters) -> None:
         """Makes a roll-out that does not begin before `run`."""
         self._plan = plan
         self._rng = random.Random(
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -16,7 +16,7 @@
 BAD_KINDS = [kind for kind in KIND if kind is not KIND.GOOD]
 
 
-def check(plan: play.Plan, state: str) -> play.Outcome:
+def check(plan: play.Parameters, state: str) -> play.Outcome:
     outcome = play.simulate(plan)
     assert outcome.broken == ()
     assert outcome.state == state
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("vms", [1, 3, 12])
 def test_a_good_version_is_completed_without_failures(vms: int) -> None:
-    outcome = check(play.Plan(vms, 1, KIND.GOOD), "completed")
+    outcome = check(play.Parameters(vms, 1, KIND.GOOD), "completed")
     assert outcome.served == 1.0
     assert outcome.cut == 0
 
@@ -35,7 +35,7 @@
 def test_a_bad_version_is_rolled_back_within_its_exposure_bound(
     kind: KIND,
 ) -> None:
-    check(play.Plan(3, 2, kind), "rolled_back")
+    check(play.Parameters(3, 2, kind), "rolled_back")
 
 
 @pytest.mark.parametrize(
@@ -43,14 +43,14 @@
 )
 def test_a_failing_version_is_rolled_back_during_a_fault(fault: FAULT) -> None:
     """Guards against faults that raise the requests to the new version."""
-    check(play.Plan(3, 3, KIND.FAILING, fault), "rolled_back")
+    check(play.Parameters(3, 3, KIND.FAILING, fault), "rolled_back")
 
 
 @pytest.mark.parametrize(
     "fault", [FAULT.DRIVER_KILLED, FAULT.STORE_SLOW, FAULT.OLD_SLOW]
 )
 def test_a_good_version_is_completed_during_a_fault(fault: FAULT) -> None:
-    check(play.Plan(3, 4, KIND.GOOD, fault), "completed")
+    check(play.Parameters(3, 4, KIND.GOOD, fault), "completed")
 
 
 def test_a_slow_version_is_rolled_back_although_all_vms_are_killed() -> None:
@@ -59,7 +59,7 @@
     When all VMs were killed, the evidence against the version was lost with
     them, and the roll-out was completed at its deadline.
     """
-    check(play.Plan(3, 2012, KIND.SLOW, FAULT.ALL_KILLED), "rolled_back")
+    check(play.Parameters(3, 2012, KIND.SLOW, FAULT.ALL_KILLED), "rolled_back")
 
 
 async def send(
