--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -52,7 +52,7 @@
 
     NONE = "none"
     DRIVER_KILLED = "driver-killed"
-    DRIVER_STILL = "driver-still"
+    DRIVER_UNREACHABLE = "driver-still"
     ALL_KILLED = "all-killed"
     STORE_DOWN = "store-down"
     STORE_SLOW = "store-slow"
@@ -255,7 +255,7 @@
                 return
             case Fault.DRIVER_KILLED:
                 await self._restart([self._find_driver()])
-            case Fault.DRIVER_STILL:
+            case Fault.DRIVER_UNREACHABLE:
                 # The driver stops listening. It continues to grant calls, but
                 # its writes have no effect.
                 driver = fleet.programs[self._find_driver()]
