--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -57,7 +57,7 @@
     STORE_DOWN = "store-down"
     STORE_SLOW = "store-slow"
     ANSWERS_LOST = "answers-lost"
-    HISTORY_GONE = "history-gone"
+    HISTORY_COMPACTED = "history-gone"
     OLD_SLOW = "old-slow"
     NEW_CRASHES = "new-crashes"
 
@@ -276,7 +276,7 @@
                     faults.lost = 1
                     await asyncio.sleep(0.5)
                 faults.lost = 0
-            case Fault.HISTORY_GONE:
+            case Fault.HISTORY_COMPACTED:
                 fleet.store.compact()
             case Fault.OLD_SLOW:
                 await self._slow_down(self._list_searchers(OLD_VERSION)[0])
