--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -93,7 +93,8 @@
         calls_to_new: The number of calls to the new version until the deadline.
         stop_delay_s: Time from the 50th bad answer to the last call to the new
             version, in seconds; None if there were fewer bad answers.
-        cut: The number of calls running on old searchers at their removal.
+        aborted_calls: The number of calls running on old searchers at their
+            removal.
         served: The share of the callers' requests that were answered with 200.
         count_delays_s: The delays between each bad answer and its counting by
             the driver, in seconds.
@@ -105,7 +106,7 @@
     share: float = 0.0
     calls_to_new: int = 0
     stop_delay_s: float | None = None
-    cut: int = 0
+    aborted_calls: int = 0
     served: float = 0.0
     count_delays_s: tuple[float, ...] = ()
     broken: tuple[str, ...] = ()
@@ -355,7 +356,7 @@
             ended_s=self._ended_s - self._ordered_s if self._ended_s else 0.0,
             share=new_in_time / max(1, all_in_time),
             calls_to_new=new_in_time,
-            cut=self._aborted_calls,
+            aborted_calls=self._aborted_calls,
             served=sum(self._succeeded) / max(1, len(self._succeeded)),
         )
         outcome.count_delays_s = tuple(
@@ -371,7 +372,7 @@
         """Returns the names of the rules that were broken."""
         broken: list[str] = []
         if self._plan.kind is versions.Kind.GOOD:
-            if outcome.cut:
+            if outcome.aborted_calls:
                 broken.append("a call was at an old searcher at its end")
             return broken
         if outcome.calls_to_new > EXPOSURE_SHARE * all_in_time + EXPOSURE_SLACK:
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -28,7 +28,7 @@
 def test_a_good_version_is_completed_without_failures(vms: int) -> None:
     outcome = check(play.Parameters(vms, 1, KIND.GOOD), "completed")
     assert outcome.served == 1.0
-    assert outcome.cut == 0
+    assert outcome.aborted_calls == 0
 
 
 @pytest.mark.parametrize("kind", BAD_KINDS)
