--- a/src/azureramp_standins/rollouts/main.py
+++ b/src/azureramp_standins/rollouts/main.py
@@ -87,7 +87,7 @@
     )
     if count_delays_s:
         click.echo(describe_delays(count_delays_s))
-    broken = sum(len(outcome.broken) for _, outcome in outcomes)
+    broken = sum(len(outcome.violations) for _, outcome in outcomes)
     click.echo(f"rules broken: {broken}")
     raise SystemExit(1 if broken else 0)
 
@@ -104,7 +104,11 @@
     stopped = "-"
     if outcome.stop_delay_s is not None:
         stopped = f"{outcome.stop_delay_s:.2f}"
-    broken = f"; BROKEN: {', '.join(outcome.broken)}" if outcome.broken else ""
+    broken = (
+        f"; BROKEN: {', '.join(outcome.violations)}"
+        if outcome.violations
+        else ""
+    )
     return (
         f"{plan.vms} {plan.seed} {plan.kind.value} {plan.fault.value}:"
         f" {outcome.state}, {outcome.ended_s:.1f}, {outcome.share:.3f},"
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -98,7 +98,7 @@
         served: The share of the callers' requests that were answered with 200.
         count_delays_s: The delays between each bad answer and its counting by
             the driver, in seconds.
-        broken: The rules that were broken.
+        violations: The rules that were broken.
     """
 
     state: str = ""
@@ -109,7 +109,7 @@
     aborted_calls: int = 0
     served: float = 0.0
     count_delays_s: tuple[float, ...] = ()
-    broken: tuple[str, ...] = ()
+    violations: tuple[str, ...] = ()
 
 
 def simulate(plan: Parameters) -> Outcome:
@@ -365,7 +365,7 @@
         )
         if len(bad) >= MAX_BAD_ANSWERS:
             outcome.stop_delay_s = calls_to_new[-1] - bad[MAX_BAD_ANSWERS - 1]
-        outcome.broken = tuple(self._list_violations(outcome, all_in_time))
+        outcome.violations = tuple(self._list_violations(outcome, all_in_time))
         return outcome
 
     def _list_violations(self, outcome: Outcome, all_in_time: int) -> list[str]:
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -18,7 +18,7 @@
 
 def check(plan: play.Parameters, state: str) -> play.Outcome:
     outcome = play.simulate(plan)
-    assert outcome.broken == ()
+    assert outcome.violations == ()
     assert outcome.state == state
     assert outcome.ended_s <= play.DURATION_S
     return outcome
