--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Seen:
+class ReceivedRequest:
     """A request that reached the searcher.
 
     Attributes:
@@ -68,12 +68,12 @@
     framed: bool = True
     connection_action: str = "keep"
 
-    def always(self, _: Seen) -> Reaction:
+    def always(self, _: ReceivedRequest) -> Reaction:
         """Returns this response for every request; usable as a `Script`."""
         return self
 
 
-Script = Callable[[Seen], Reaction]
+Script = Callable[[ReceivedRequest], Reaction]
 """Chooses the response to a request."""
 
 
@@ -111,7 +111,7 @@
         self.address = address
         self.zone = zone
         self.script: Script = lambda request: Reaction()
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.connections = 0
         self.open = 0
         self.running = 0
@@ -225,7 +225,7 @@
 
     async def _read_request(
         self, http: h11.Connection, reader: asyncio.StreamReader
-    ) -> Seen | None:
+    ) -> ReceivedRequest | None:
         """Reads one request; returns None at the end of the stream."""
         request_head: h11.Request | None = None
         body = bytearray()
@@ -245,7 +245,7 @@
             name.decode("latin-1"): value.decode("latin-1")
             for name, value in request_head.headers
         }
-        return Seen(
+        return ReceivedRequest(
             asyncio.get_running_loop().time(),
             headers.get("azureramp-request-id", ""),
             request_head.method.decode("ascii"),
@@ -255,7 +255,11 @@
         )
 
     def _encode_response(
-        self, http: h11.Connection, request: Seen, act: Reaction, signature: str
+        self,
+        http: h11.Connection,
+        request: ReceivedRequest,
+        act: Reaction,
+        signature: str,
     ) -> bytes:
         """Encodes the response to a request."""
         if act.raw is not None:
--- a/src/azureramp_standins/rollouts/versions.py
+++ b/src/azureramp_standins/rollouts/versions.py
@@ -110,7 +110,7 @@
         self._recent_s: collections.deque[float] = collections.deque()
         self.bad_answer_times: list[float] = []
 
-    def act(self, request: searcher.Seen) -> searcher.Reaction:
+    def act(self, request: searcher.ReceivedRequest) -> searcher.Reaction:
         """Chooses the response to a request; see `searcher.Script`."""
         self._recent_s.append(request.at_s)
         while self._recent_s[0] < request.at_s - 1.0:
@@ -124,7 +124,7 @@
             return searcher.Reaction(delay_s=work_s * self._version.slowdown)
         return searcher.Reaction(delay_s=work_s, status=500)
 
-    def _is_bad(self, request: searcher.Seen) -> bool:
+    def _is_bad(self, request: searcher.ReceivedRequest) -> bool:
         """Returns True if the version is bad for a request."""
         match self._version.condition:
             case Always():
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -247,7 +247,7 @@
         self._entries[name] = target.describe(Address=advertised)
 
     def _act(
-        self, target: searcher.Searcher, request: searcher.Seen
+        self, target: searcher.Searcher, request: searcher.ReceivedRequest
     ) -> searcher.Reaction:
         """Chooses a searcher's response to a request and records the call."""
         act = self._acts.get(target.id, searcher.Reaction(delay_s=0.01))
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -18,7 +18,7 @@
     crashed: list[str] = []
 
     def script(each: searcher.Searcher) -> searcher.Script:
-        def act(seen: searcher.Seen) -> searcher.Reaction:
+        def act(seen: searcher.ReceivedRequest) -> searcher.Reaction:
             if "poison" not in seen.target:
                 return searcher.Reaction()
             crashed.append(each.id)
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -85,7 +85,7 @@
 
 def test_a_rejected_request_that_runs_once_goes_to_another() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        def reject_first(seen: searcher.Seen) -> searcher.Reaction:
+        def reject_first(seen: searcher.ReceivedRequest) -> searcher.Reaction:
             if count_runs(scene, scenes.SINGLE_SERVICE) == 1:
                 return searcher.Reaction(status=503, not_run=True, signed=False)
             return searcher.Reaction(body=b"done")
@@ -113,7 +113,7 @@
 
 def test_a_repeatable_request_survives_a_reset() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        def reset_first(seen: searcher.Seen) -> searcher.Reaction:
+        def reset_first(seen: searcher.ReceivedRequest) -> searcher.Reaction:
             if count_runs(scene, scenes.SINGLE_SERVICE) == 1:
                 return searcher.Reaction(connection_action="reset")
             return searcher.Reaction(body=b"done")
