--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -87,7 +87,7 @@
         zone: Its availability zone.
         version: The version of its software.
         script: Chooses the response to each request.
-        seen: The requests that reached it.
+        requests: The requests that reached it.
         connections: The number of connections that clients opened.
         open: The number of open connections.
         running: The number of requests in progress.
@@ -111,7 +111,7 @@
         self.address = address
         self.zone = zone
         self.script: Script = lambda request: Reaction()
-        self.seen: list[ReceivedRequest] = []
+        self.requests: list[ReceivedRequest] = []
         self.connections = 0
         self.open = 0
         self.running = 0
@@ -186,8 +186,8 @@
         request = await self._read_request(http, reader)
         if request is None:
             return False
-        self.seen.append(request)
-        signature = f"{self.id}.{request.id}.{len(self.seen)}"
+        self.requests.append(request)
+        signature = f"{self.id}.{request.id}.{len(self.requests)}"
         target_id = request.headers.get("azureramp-target-instance", self.id)
         act = self.script(request)
         if target_id != self.id:
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -334,12 +334,12 @@
         calls_to_new = sorted(
             request.at_s
             for each in self._list_searchers(NEW_VERSION)
-            for request in each.seen
+            for request in each.requests
         )
         calls_to_old = [
             request.at_s
             for each in self._list_searchers(OLD_VERSION)
-            for request in each.seen
+            for request in each.requests
             if request.at_s >= self._ordered_s
         ]
         new_in_time = sum(at_s <= deadline_s for at_s in calls_to_new)
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -268,7 +268,7 @@
                 not act.not_run and target_id == target.id,
                 float(request.headers.get("azureramp-deadline-ms", "1e9"))
                 / 1000,
-                f"{target.id}.{request.id}.{len(target.seen)}",
+                f"{target.id}.{request.id}.{len(target.requests)}",
                 body,
             )
         )
--- a/tests/forwarding/test_change_log.py
+++ b/tests/forwarding/test_change_log.py
@@ -50,7 +50,7 @@
         used = next(
             name
             for name, each in scene.searchers.items()
-            if any(seen.target == "/one/x" for seen in each.seen)
+            if any(seen.target == "/one/x" for seen in each.requests)
         )
         with capture() as handler:
             entry = scene.searchers[used].describe(State="draining")
--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -18,7 +18,7 @@
         scene.declare()
         await deployment.settle()
         assert (await scene.ask("vm-0", "/one/deep/x")).status == 200
-        assert len(scene.searchers["shard-a-0"].seen) == 1
+        assert len(scene.searchers["shard-a-0"].requests) == 1
         assert (await scene.ask("vm-0", "/once/x")).status == 404
 
     scenes.run(scenario)
@@ -111,7 +111,7 @@
             assert answer.status == 200
         for service, expected in (("shard-a", 30), ("shard-b", 10)):
             actual = sum(
-                len(scene.searchers[f"{service}-{index}"].seen)
+                len(scene.searchers[f"{service}-{index}"].requests)
                 for index in range(2)
             )
             assert actual == expected
--- a/tests/forwarding/test_dark_searchers.py
+++ b/tests/forwarding/test_dark_searchers.py
@@ -94,11 +94,11 @@
             await asyncio.sleep(0.03)
         dark.script = searcher.Reaction().always
         hanging.clear()
-        before = len(dark.seen)
+        before = len(dark.requests)
         for _ in range(60):
             await scene.ask("vm-0", "/one/x")
             await asyncio.sleep(0.03)
-        assert len(dark.seen) > before, "the searcher is used again"
+        assert len(dark.requests) > before, "the searcher is used again"
 
     scenes.run(scenario)
 
--- a/tests/forwarding/test_gather.py
+++ b/tests/forwarding/test_gather.py
@@ -47,8 +47,8 @@
             name = f"shard-a-{index}"
             scene.searchers[name].script = lambda seen: searcher.Reaction(
                 delay_s=0.5
-                if len(scene.searchers["shard-a-0"].seen) == 1
-                and not scene.searchers["shard-a-1"].seen
+                if len(scene.searchers["shard-a-0"].requests) == 1
+                and not scene.searchers["shard-a-1"].requests
                 else 0.005
             )
         began_s = asyncio.get_running_loop().time()
@@ -96,11 +96,11 @@
             for index in range(2):
                 scene.store.remove(f"servers/{service}-{index}")
         await deployment.settle()
-        before = len(scene.searchers["shard-c-0"].seen)
+        before = len(scene.searchers["shard-c-0"].requests)
         answer = await scene.ask("vm-0", "/all/x")
         assert answer.status == 503
         assert float(scenes.get_headers(answer)["retry-after"]) > 0
-        assert len(scene.searchers["shard-c-0"].seen) == before
+        assert len(scene.searchers["shard-c-0"].requests) == before
 
     scenes.run(scenario)
 
@@ -177,7 +177,7 @@
             sum(each.cancelled.values()) for each in scene.searchers.values()
         )
         assert cut == 4
-        arrived = sum(len(each.seen) for each in scene.searchers.values())
+        arrived = sum(len(each.requests) for each in scene.searchers.values())
         assert arrived == 4
 
     scenes.run(scenario)
@@ -201,7 +201,7 @@
             await asyncio.sleep(0.04)
         answers = await asyncio.gather(*asking)
         assert all(answer.status == 200 for answer in answers)
-        assert sum(len(each.seen) for each in slow) <= 10
+        assert sum(len(each.requests) for each in slow) <= 10
 
     scenes.run(scenario)
 
@@ -223,12 +223,12 @@
         for _ in range(12):
             await scene.ask("vm-0", "/all/x")
             await asyncio.sleep(0.15)
-        before = sum(len(each.seen) for each in slow)
+        before = sum(len(each.requests) for each in slow)
         for _ in range(10):
             answer = await scene.ask("vm-0", "/all/x")
             assert answer.status == 200
             await asyncio.sleep(0.15)
-        assert sum(len(each.seen) for each in slow) - before <= 11
+        assert sum(len(each.requests) for each in slow) - before <= 11
 
     scenes.run(scenario)
 
--- a/tests/forwarding/test_misdirected.py
+++ b/tests/forwarding/test_misdirected.py
@@ -21,7 +21,7 @@
         for number in range(12):
             answer = await scene.ask("vm-0", "/once/x", "POST", b"%d" % number)
             assert answer.status == 200
-        refused = scene.searchers["statements-0"].seen
+        refused = scene.searchers["statements-0"].requests
         assert len(refused) <= 1
         record = scene.programs["vm-0"].board.targets["statements-0"].record
         assert record.failures == 0
@@ -68,4 +68,4 @@
 def _was_refused(each: searcher.Searcher) -> bool:
     """Returns True if all calls that reached a searcher named another one."""
     wanted = "azureramp-target-instance"
-    return all(seen.headers[wanted] != each.id for seen in each.seen)
+    return all(seen.headers[wanted] != each.id for seen in each.requests)
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -81,7 +81,7 @@
     return collections.Counter(
         {
             version: sum(
-                len(each.seen)
+                len(each.requests)
                 for each in scene.searchers.values()
                 if each.version == version
             )
--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -24,9 +24,9 @@
             "servers/statements-0", leaving.describe(State="draining")
         )
         await deployment.settle()
-        before = len(leaving.seen)
+        before = len(leaving.requests)
         await ask_often(scene)
-        assert len(leaving.seen) == before
+        assert len(leaving.requests) == before
 
     scenes.run(scenario)
 
@@ -36,11 +36,11 @@
         scene.store.put("op/evacuate/zone-0", {})
         await deployment.settle()
         await ask_often(scene)
-        assert not scene.searchers["statements-0"].seen
+        assert not scene.searchers["statements-0"].requests
         scene.store.remove("op/evacuate/zone-0")
         await deployment.settle()
         await ask_often(scene)
-        assert scene.searchers["statements-0"].seen
+        assert scene.searchers["statements-0"].requests
 
     scenes.run(scenario)
 
@@ -64,7 +64,7 @@
         scene.store.put("servers/statements-0", written)
         await deployment.settle()
         await ask_often(scene)
-        assert not scene.searchers["statements-0"].seen
+        assert not scene.searchers["statements-0"].requests
 
     scenes.run(scenario)
 
@@ -85,7 +85,7 @@
         await deployment.settle(3.0)
         answer = await scene.ask("vm-0", "/one/x")
         assert answer.status == 503
-        assert not scene.searchers["statements-0"].seen
+        assert not scene.searchers["statements-0"].requests
 
     scenes.run(scenario)
 
@@ -111,9 +111,9 @@
             if name != "statements-0":
                 scene.store.put(f"servers/{name}", each.describe())
         await deployment.settle(3.0)
-        before = len(scene.searchers["statements-0"].seen)
+        before = len(scene.searchers["statements-0"].requests)
         await ask_often(scene)
-        assert len(scene.searchers["statements-0"].seen) == before
+        assert len(scene.searchers["statements-0"].requests) == before
 
     scenes.run(scenario)
 
@@ -124,7 +124,7 @@
         scene.store.remove("servers/statements-0")
         await deployment.settle(0.5)
         await ask_often(scene)
-        assert not scene.searchers["statements-0"].seen
+        assert not scene.searchers["statements-0"].requests
 
     scenes.run(scenario)
 
@@ -137,7 +137,7 @@
         await crashed.start()
         await deployment.settle(2.0)
         await ask_often(scene, 30)
-        assert crashed.seen
+        assert crashed.requests
 
     scenes.run(scenario)
 
@@ -189,7 +189,7 @@
                 answer = await scene.ask(vm, "/one/x")
                 assert answer.status == 200
             await asyncio.sleep(0.01)
-        times = [seen.at_s for seen in crashed.seen]
+        times = [seen.at_s for seen in crashed.requests]
         bound = 4.0 * 1.5 + 5
         assert times, "the searcher gets calls"
         for number, at_s in enumerate(times):
@@ -225,7 +225,7 @@
             await scene.ask("vm-0", "/one/x")
             await asyncio.sleep(0.01)
         assert target.pool.connected_since_s > began_s - 3.0
-        seen = scene.searchers["statements-0"].seen
+        seen = scene.searchers["statements-0"].requests
         times = [each.at_s for each in seen if each.at_s >= began_s]
         assert times, "the searcher gets calls"
         assert len(times) <= 0.9 * (4.0 * 1.5 + 5), (
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -12,7 +12,7 @@
 
 def count_runs(scene: deployment.Deployment, service: str) -> int:
     return sum(
-        len(each.seen)
+        len(each.requests)
         for each in scene.searchers.values()
         if each.service == service
     )
@@ -41,7 +41,7 @@
         (seen,) = [
             each
             for name in ("statements-0", "statements-1")
-            for each in scene.searchers[name].seen
+            for each in scene.searchers[name].requests
         ]
         assert seen.target == "/once/a%2Fb?x=1&x=2"
         assert seen.method == "POST"
@@ -197,7 +197,7 @@
             assert answer.body == b"first"
         for index in range(2):
             asked = scene.searchers[f"statements-{index}"]
-            assert asked.connections >= len(asked.seen)
+            assert asked.connections >= len(asked.requests)
 
     scenes.run(scenario)
 
@@ -226,7 +226,7 @@
         for _ in range(4):
             answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
             assert answer.status == 200
-        assert len(scene.searchers["statements-0"].seen) <= 1
+        assert len(scene.searchers["statements-0"].requests) <= 1
 
     scenes.run(scenario)
 
@@ -282,7 +282,7 @@
         assert float(scenes.get_headers(late)["retry-after"]) > 0
         for task in before:
             assert (await task).status == 504
-        seen = scene.searchers["statements-0"].seen
+        seen = scene.searchers["statements-0"].requests
         assert "l" not in {each.id for each in seen}
 
     scenes.run(scenario, searchers=1)
