--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -89,7 +89,7 @@
         script: Chooses the response to each request.
         requests: The requests that reached it.
         connections: The number of connections that clients opened.
-        open: The number of open connections.
+        open_connections: The number of open connections.
         running: The number of requests in progress.
         max_connections: The limit of open connections; further ones are reset.
         cancelled: The number of requests whose client disconnected before the
@@ -113,7 +113,7 @@
         self.script: Script = lambda request: Reaction()
         self.requests: list[ReceivedRequest] = []
         self.connections = 0
-        self.open = 0
+        self.open_connections = 0
         self.running = 0
         self.max_connections = 1_000_000
         self.cancelled: collections.Counter[str] = collections.Counter()
@@ -160,10 +160,10 @@
     ) -> None:
         """Serves one connection."""
         self.connections += 1
-        if self.open >= self.max_connections:
+        if self.open_connections >= self.max_connections:
             writer.transport.abort()
             return
-        self.open += 1
+        self.open_connections += 1
         self._writers.add(writer)
         http = h11.Connection(h11.SERVER)
         try:
@@ -172,7 +172,7 @@
         except (OSError, h11.ProtocolError, EOFError):
             writer.transport.abort()
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             self._writers.discard(writer)
             writer.close()
 
