--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -88,7 +88,7 @@
         version: The version of its software.
         script: Chooses the response to each request.
         requests: The requests that reached it.
-        connections: The number of connections that clients opened.
+        accepted_connections: The number of connections that clients opened.
         open_connections: The number of open connections.
         running: The number of requests in progress.
         max_connections: The limit of open connections; further ones are reset.
@@ -112,7 +112,7 @@
         self.zone = zone
         self.script: Script = lambda request: Reaction()
         self.requests: list[ReceivedRequest] = []
-        self.connections = 0
+        self.accepted_connections = 0
         self.open_connections = 0
         self.running = 0
         self.max_connections = 1_000_000
@@ -159,7 +159,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Serves one connection."""
-        self.connections += 1
+        self.accepted_connections += 1
         if self.open_connections >= self.max_connections:
             writer.transport.abort()
             return
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -197,7 +197,7 @@
             assert answer.body == b"first"
         for index in range(2):
             asked = scene.searchers[f"statements-{index}"]
-            assert asked.connections >= len(asked.requests)
+            assert asked.accepted_connections >= len(asked.requests)
 
     scenes.run(scenario)
 
