--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -90,7 +90,7 @@
         requests: The requests that reached it.
         accepted_connections: The number of connections that clients opened.
         open_connections: The number of open connections.
-        running: The number of requests in progress.
+        running_requests: The number of requests in progress.
         max_connections: The limit of open connections; further ones are reset.
         cancelled: The number of requests whose client disconnected before the
             answer, by request id.
@@ -114,7 +114,7 @@
         self.requests: list[ReceivedRequest] = []
         self.accepted_connections = 0
         self.open_connections = 0
-        self.running = 0
+        self.running_requests = 0
         self.max_connections = 1_000_000
         self.cancelled: collections.Counter[str] = collections.Counter()
         self._server: asyncio.Server | None = None
@@ -194,11 +194,11 @@
             act = Reaction(status=421, signed=False)
         work = asyncio.ensure_future(asyncio.sleep(act.delay_s))
         disconnected = asyncio.ensure_future(reader.read(1))
-        self.running += 1
+        self.running_requests += 1
         await asyncio.wait(
             {work, disconnected}, return_when=asyncio.FIRST_COMPLETED
         )
-        self.running -= 1
+        self.running_requests -= 1
         if not work.done():
             work.cancel()
             self.cancelled[request.id] += 1
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -229,7 +229,7 @@
             self._remove(NEW_VERSION)
             return
         for each in self._list_searchers(OLD_VERSION):
-            self._aborted_calls += each.running
+            self._aborted_calls += each.running_requests
             each.crash()
         self._remove(OLD_VERSION)
 
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -168,7 +168,7 @@
             assert scene.read_rollout(shard) == "completed"
         for each in scene.searchers.values():
             if each.service in shards and each.version == "v1":
-                assert each.running == 0
+                assert each.running_requests == 0
                 each.crash()
         assert await send(scene, "/all/x", 1.0) == 0
 
