--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -92,8 +92,8 @@
         open_connections: The number of open connections.
         running_requests: The number of requests in progress.
         max_connections: The limit of open connections; further ones are reset.
-        cancelled: The number of requests whose client disconnected before the
-            answer, by request id.
+        cancelled_requests: The number of requests whose client disconnected
+            before the answer, by request id.
     """
 
     def __init__(
@@ -116,7 +116,9 @@
         self.open_connections = 0
         self.running_requests = 0
         self.max_connections = 1_000_000
-        self.cancelled: collections.Counter[str] = collections.Counter()
+        self.cancelled_requests: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -201,7 +203,7 @@
         self.running_requests -= 1
         if not work.done():
             work.cancel()
-            self.cancelled[request.id] += 1
+            self.cancelled_requests[request.id] += 1
             return False
         if act.connection_action == "hang":
             await disconnected
--- a/tests/forwarding/test_gather.py
+++ b/tests/forwarding/test_gather.py
@@ -174,7 +174,8 @@
         running.cancel()
         await asyncio.sleep(0.4)
         cut = sum(
-            sum(each.cancelled.values()) for each in scene.searchers.values()
+            sum(each.cancelled_requests.values())
+            for each in scene.searchers.values()
         )
         assert cut == 4
         arrived = sum(len(each.requests) for each in scene.searchers.values())
@@ -246,6 +247,6 @@
             each.script = searcher.Reaction(delay_s=0.24).always
         await asyncio.gather(*(scene.ask("vm-0", "/all/x") for _ in range(8)))
         await asyncio.sleep(0.05)
-        assert sum(each.cancelled.total() for each in slow) >= 4
+        assert sum(each.cancelled_requests.total() for each in slow) >= 4
 
     scenes.run(scenario)
