--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -94,7 +94,7 @@
         started = searcher.Searcher(name, service, address, zone, version)
         await started.start()
         self.searchers[name] = started
-        self.store.put(f"servers/{name}", started.describe())
+        self.store.put(f"servers/{name}", started.make_entry())
         return started
 
     def order_rollout(
--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -139,7 +139,7 @@
         """Returns True if the searcher accepts connections."""
         return self._server is not None
 
-    def describe(self, **changes: object) -> dict[str, object]:
+    def make_entry(self, **changes: object) -> dict[str, object]:
         """Returns the searcher's entry for the store.
 
         Args:
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -244,7 +244,7 @@
         number = len(self._searchers)
         self._links["searcher", number] = proxy.Proxy(advertised, own)
         self._searchers.append(target)
-        self._entries[name] = target.describe(Address=advertised)
+        self._entries[name] = target.make_entry(Address=advertised)
 
     def _act(
         self, target: searcher.Searcher, request: searcher.ReceivedRequest
--- a/tests/forwarding/test_change_log.py
+++ b/tests/forwarding/test_change_log.py
@@ -53,7 +53,7 @@
             if any(seen.target == "/one/x" for seen in each.requests)
         )
         with capture() as handler:
-            entry = scene.searchers[used].describe(State="draining")
+            entry = scene.searchers[used].make_entry(State="draining")
             scene.store.put(f"servers/{used}", entry)
             await deployment.settle(1.0)
         messages = [
--- a/tests/forwarding/test_connections.py
+++ b/tests/forwarding/test_connections.py
@@ -22,7 +22,7 @@
         full.max_connections = 0
         before = full.accepted_connections
         for number in range(40):
-            entry = scene.searchers["statements-0"].describe(Slots=2 + number)
+            entry = scene.searchers["statements-0"].make_entry(Slots=2 + number)
             scene.store.put("servers/statements-0", entry)
             await deployment.settle(0.25)
         assert 1 <= full.accepted_connections - before <= 8
--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -21,7 +21,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         leaving = scene.searchers["statements-0"]
         scene.store.put(
-            "servers/statements-0", leaving.describe(State="draining")
+            "servers/statements-0", leaving.make_entry(State="draining")
         )
         await deployment.settle()
         before = len(leaving.requests)
@@ -59,7 +59,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         written: object = entry
         if isinstance(entry, dict) and "Backend" not in entry:
-            described = scene.searchers["statements-0"].describe()
+            described = scene.searchers["statements-0"].make_entry()
             written = described | entry
         scene.store.put("servers/statements-0", written)
         await deployment.settle()
@@ -78,7 +78,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        described = scene.searchers["statements-0"].describe()
+        described = scene.searchers["statements-0"].make_entry()
         for known in ("statements-0", "statements-1"):
             scene.store.remove(f"servers/{known}")
         scene.store.put(f"servers/{name}", described)
@@ -109,7 +109,7 @@
         await ask_often(scene)
         for name, each in scene.searchers.items():
             if name != "statements-0":
-                scene.store.put(f"servers/{name}", each.describe())
+                scene.store.put(f"servers/{name}", each.make_entry())
         await deployment.settle(3.0)
         before = len(scene.searchers["statements-0"].requests)
         await ask_often(scene)
@@ -152,7 +152,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         board = scene.programs["vm-0"].board
         board.targets["statements-0"].record.slowness = 9.0
-        again = scene.searchers["statements-0"].describe(born=2_000)
+        again = scene.searchers["statements-0"].make_entry(born=2_000)
         scene.store.put("servers/statements-0", again)
         await deployment.settle()
         assert board.targets["statements-0"].record.slowness == 1.0
