--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -30,7 +30,7 @@
     Attributes:
         store: The test double of the platform's store.
         searchers: The searchers by id.
-        programs: The daemons by the VM's name.
+        daemons: The daemons by the VM's name.
         configuration: The operators' configuration, as `declare` writes it to
             the store.
     """
@@ -44,7 +44,7 @@
         self._seed = seed
         self.store = store.Store(STORE_ADDRESS)
         self.searchers: dict[str, searcher.Searcher] = {}
-        self.programs: dict[str, program.Program] = {}
+        self.daemons: dict[str, program.Program] = {}
         self.configuration: dict[str, Any] = {
             "Version": 1,
             "Routes": [],
@@ -171,14 +171,14 @@
             base: The first of its ports; 0 for ports by its number.
             first: True if the whole tier starts for the first time.
         """
-        base = base or 30000 + 10 * len(self.programs)
+        base = base or 30000 + 10 * len(self.daemons)
         daemon_settings = make_settings(vm, zone, base, first)
         # A restarted process makes other random draws than its predecessor.
         seed = self._seed + next(self._starts) if not first else self._seed
         clock = asyncio.get_running_loop().time
         started = program.Program(daemon_settings, seed=seed, clock=clock)
         await started.start()
-        self.programs[vm] = started
+        self.daemons[vm] = started
         return started
 
     async def ask(
@@ -220,11 +220,11 @@
 
     def get_address(self, vm: str) -> str:
         """Returns the `IP:port` where a VM accepts callers' requests."""
-        return self.programs[vm].board.identity.front_address
+        return self.daemons[vm].board.identity.front_address
 
     async def kill(self) -> None:
         """Stops all daemons, the searchers and the store at once."""
-        for each in self.programs.values():
+        for each in self.daemons.values():
             await each.abort()
         for other in self.searchers.values():
             other.crash()
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -188,7 +188,7 @@
             vm = (
                 f"vm-{self._rng.randrange(min(MAX_TARGET_VMS, self._plan.vms))}"
             )
-            if vm not in self._fleet.programs:
+            if vm not in self._fleet.daemons:
                 continue
             try:
                 answer = await self._fleet.ask(vm, target)
@@ -259,11 +259,11 @@
             case Fault.DRIVER_UNREACHABLE:
                 # The driver stops listening. It continues to grant calls, but
                 # its writes have no effect.
-                driver = fleet.programs[self._find_driver()]
+                driver = fleet.daemons[self._find_driver()]
                 for server in driver.get_servers():
                     await server.stop(0.0)
             case Fault.ALL_KILLED:
-                await self._restart(list(fleet.programs))
+                await self._restart(list(fleet.daemons))
             case Fault.STORE_DOWN:
                 faults.busy = True
                 await asyncio.sleep(3.0)
@@ -293,7 +293,7 @@
         while True:
             await asyncio.sleep(POLL_S)
             now_s = asyncio.get_running_loop().time()
-            for program in self._fleet.programs.values():
+            for program in self._fleet.daemons.values():
                 counted = program.count_bad_answers(SERVICE)
                 while len(self._counted_s) < counted:
                     self._counted_s.append(now_s)
@@ -310,7 +310,7 @@
     async def _restart(self, vms: list[str]) -> None:
         """Kills VMs and restarts them after 0.5 seconds."""
         for vm in vms:
-            await self._fleet.programs.pop(vm).abort()
+            await self._fleet.daemons.pop(vm).abort()
         await asyncio.sleep(0.5)
         for vm in vms:
             number = int(vm.removeprefix("vm-"))
@@ -320,11 +320,11 @@
 
     def _find_driver(self) -> str:
         """Returns the VM that drives the roll-out; vm-0 if there is none."""
-        for program in self._fleet.programs.values():
+        for program in self._fleet.daemons.values():
             record = program.rollouts.get_record(SERVICE)
             if record is not None:
                 vm = record.driver.rpartition("#")[0]
-                if vm in self._fleet.programs:
+                if vm in self._fleet.daemons:
                     return vm
         return "vm-0"
 
--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -55,7 +55,7 @@
         scene.store.faults.silent = False
         await deployment.settle(15.0)
         assert (await scene.ask("vm-0", "/new/x")).status == 200
-        assert "statements-0" not in scene.programs["vm-0"].board.targets
+        assert "statements-0" not in scene.daemons["vm-0"].board.targets
 
     scenes.run(scenario)
 
@@ -72,7 +72,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await scene.programs["vm-0"].abort()
+        await scene.daemons["vm-0"].abort()
         setattr(scene.store.faults, fault, True)
         await scene.add_vm("late")
         await deployment.settle()
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -50,7 +50,7 @@
             await scene.ask(vm, "/one/poison")
             await deployment.settle(3.0)
         assert 3 <= len(crashed) <= 6
-        for vm in scene.programs:
+        for vm in scene.daemons:
             answer = await scene.ask(vm, "/one/poison")
             assert answer.status == 503
             assert float(scenes.get_headers(answer)["retry-after"]) > 10
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -47,9 +47,9 @@
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
         await deployment.settle(4.0)
-        assert await look_up() == sorted(map(scene.get_address, scene.programs))
-        for each in (*scene.programs.values(), directory):
-            assert sorted(each.board.members) == sorted(scene.programs)
+        assert await look_up() == sorted(map(scene.get_address, scene.daemons))
+        for each in (*scene.daemons.values(), directory):
+            assert sorted(each.board.members) == sorted(scene.daemons)
         assert not any(
             target.pool.count_open()
             for target in directory.board.targets.values()
@@ -75,9 +75,9 @@
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
         await deployment.settle(4.0)
-        await scene.programs.pop("vm-1").abort()
+        await scene.daemons.pop("vm-1").abort()
         await deployment.settle(5.0)
-        assert await look_up() == sorted(map(scene.get_address, scene.programs))
+        assert await look_up() == sorted(map(scene.get_address, scene.daemons))
         await directory.abort()
 
     scenes.run(scenario, vms=VMS)
--- a/tests/forwarding/test_members.py
+++ b/tests/forwarding/test_members.py
@@ -28,8 +28,8 @@
 def test_all_ready_vms_are_advertised() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await deployment.settle(2.0)
-        expected = sorted(scene.get_address(vm) for vm in scene.programs)
-        for vm in scene.programs:
+        expected = sorted(scene.get_address(vm) for vm in scene.daemons)
+        for vm in scene.daemons:
             assert await resolve(scene, vm) == expected
 
     scenes.run(scenario, vms=3)
@@ -38,7 +38,7 @@
 def test_a_killed_vm_is_advertised_for_a_few_seconds_at_most() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await deployment.settle(2.0)
-        await scene.programs["vm-1"].abort()
+        await scene.daemons["vm-1"].abort()
         await deployment.settle(5.0)
         assert scene.get_address("vm-1") not in await resolve(scene, "vm-0")
 
@@ -82,7 +82,7 @@
             )
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        stopping = asyncio.ensure_future(scene.programs["vm-1"].stop())
+        stopping = asyncio.ensure_future(scene.daemons["vm-1"].stop())
         await asyncio.sleep(0.5)
         assert scene.get_address("vm-1") not in await resolve(scene, "vm-0")
         assert scene.get_address("vm-1") not in await resolve(scene, "vm-1")
--- a/tests/forwarding/test_misdirected.py
+++ b/tests/forwarding/test_misdirected.py
@@ -23,7 +23,7 @@
             assert answer.status == 200
         refused = scene.searchers["statements-0"].requests
         assert len(refused) <= 1
-        record = scene.programs["vm-0"].board.targets["statements-0"].record
+        record = scene.daemons["vm-0"].board.targets["statements-0"].record
         assert record.failures == 0
 
     scenes.run(scenario)
@@ -42,7 +42,7 @@
         for _ in range(60):
             assert (await scene.ask("vm-0", "/one/x")).status == 200
             await asyncio.sleep(0.05)
-        running = scene.programs["vm-0"].rollouts.running["statements"]
+        running = scene.daemons["vm-0"].rollouts.running["statements"]
         tallies = {
             name: tally for (_, name), tally in running.tallies.items() if name
         }
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -18,12 +18,12 @@
     await deployment.settle(3.0)
     watching = {
         program.board.identity.zone: vm
-        for vm, program in scene.programs.items()
+        for vm, program in scene.daemons.items()
         if program.board.follows_store
     }
     following = [
         vm
-        for vm, program in scene.programs.items()
+        for vm, program in scene.daemons.items()
         if not program.board.follows_store
     ]
     assert len(following) == VMS - 2
@@ -37,7 +37,7 @@
     expected = scene.configuration["Version"]
     scene.store.put("op/config", scene.configuration)
     await deployment.settle(within_s)
-    for vm, program in scene.programs.items():
+    for vm, program in scene.daemons.items():
         configuration = program.board.configuration
         assert configuration is not None
         assert configuration.version == expected, vm
@@ -56,7 +56,7 @@
 def test_a_killed_relay_is_replaced_in_time() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
-        await scene.programs.pop(relay).abort()
+        await scene.daemons.pop(relay).abort()
         await check_change(scene, 2.0)
 
     scenes.run(scenario, vms=VMS)
@@ -72,7 +72,7 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
-        isolated = scene.programs.pop(relay)
+        isolated = scene.daemons.pop(relay)
         unreachable = store.PlatformStore("127.0.0.1:1")
         await isolated._store.close()
         isolated._feed._store = isolated._members._store = unreachable
@@ -87,7 +87,7 @@
 def test_a_hanging_relay_is_abandoned_in_time(seed: int) -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
-        hanging = scene.programs.pop(relay)
+        hanging = scene.daemons.pop(relay)
 
         async def hang(request: object) -> None:
             await asyncio.sleep(3600)
--- a/tests/forwarding/test_relay_race.py
+++ b/tests/forwarding/test_relay_race.py
@@ -41,7 +41,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        program: Any = scene.programs["vm-0"]
+        program: Any = scene.daemons["vm-0"]
         relay = program._relay
         loop = asyncio.get_running_loop()
         after = relay.copy.revision
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -183,7 +183,7 @@
         await add_new(scene, "v2")
         await send(scene, "/one/x", 3.0)
         assert count_calls(scene)["v2"] > 0
-        for program in scene.programs.values():
+        for program in scene.daemons.values():
             running = program.rollouts.running[scenes.SINGLE_SERVICE]
             loop = asyncio.get_running_loop()
             sides = running.list_sides(True, loop.time() + 1.5)
@@ -211,7 +211,7 @@
     """Guards against requests to old searchers that stop without draining."""
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await scene.programs.pop("vm-0").abort()
+        await scene.daemons.pop("vm-0").abort()
         scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 8.0)
         await add_new(scene, "v2")
         await scene.add_vm("vm-0", "zone-0", 30000, first=False)
--- a/tests/forwarding/test_roster.py
+++ b/tests/forwarding/test_roster.py
@@ -30,7 +30,7 @@
     """Returns the VM of each zone that announces other VMs."""
     return {
         program.board.identity.zone: vm
-        for vm, program in scene.programs.items()
+        for vm, program in scene.daemons.items()
         if program._roster.has_followers()
     }
 
@@ -39,16 +39,16 @@
     scene: deployment.Deployment, without: Collection[str] = ()
 ) -> None:
     """Checks that every running VM lists exactly the running VMs."""
-    expected = sorted(set(scene.programs) - set(without))
+    expected = sorted(set(scene.daemons) - set(without))
     for vm in expected:
-        assert sorted(scene.programs[vm].board.members) == expected, vm
+        assert sorted(scene.daemons[vm].board.members) == expected, vm
 
 
 def pick_standby(scene: deployment.Deployment) -> str:
     """Returns a VM that is not advertised and announces no other VM."""
-    board = scene.programs["vm-0"].board
+    board = scene.daemons["vm-0"].board
     excluded = {*board.advertised, *find_relays(scene).values()}
-    return next(vm for vm in scene.programs if vm not in excluded)
+    return next(vm for vm in scene.daemons if vm not in excluded)
 
 
 def hang_servers(scene: deployment.Deployment, vm: str) -> None:
@@ -57,13 +57,13 @@
     async def hang(request: object) -> None:
         await asyncio.sleep(3600)
 
-    for server in scene.programs[vm]._servers:
+    for server in scene.daemons[vm]._servers:
         server._handler = hang  # type: ignore[assignment]
 
 
 def cut_from_store(scene: deployment.Deployment, vm: str) -> None:
     """Makes the store unreachable for a VM."""
-    program = scene.programs[vm]
+    program = scene.daemons[vm]
     unreachable = store.PlatformStore("127.0.0.1:1")
     program._feed._store = unreachable
     program._members._store = program._roster._store = unreachable
@@ -83,7 +83,7 @@
         await settle(scene)
         scene.store.calls.clear()
         await deployment.settle(20.0)
-        advertised = len(scene.programs["vm-0"].board.advertised)
+        advertised = len(scene.daemons["vm-0"].board.advertised)
         writers = advertised + 2
         assert scene.store.calls["/kv-keep"] <= writers * 25
         assert scene.store.calls["/kv-txn"] == 0
@@ -97,10 +97,10 @@
 def test_an_advertised_vm_announces_itself() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        board = scene.programs["vm-0"].board
+        board = scene.daemons["vm-0"].board
         for member in board.advertised.values():
             assert not member.keeper
-            assert scene.programs[member.vm].board.lease
+            assert scene.daemons[member.vm].board.lease
 
     scenes.run(scenario, vms=VMS)
 
@@ -108,7 +108,7 @@
 def test_a_killed_standby_is_soon_removed() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        await scene.programs.pop(pick_standby(scene)).abort()
+        await scene.daemons.pop(pick_standby(scene)).abort()
         await deployment.settle(2.0)
         check_members(scene)
 
@@ -119,13 +119,13 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         paused = pick_standby(scene)
-        program = scene.programs[paused]
+        program = scene.daemons[paused]
         relays = program._feed._relays
         program._feed._relays = _TimingOutRelays()
         stores = program._feed._store, program._members._store
         cut_from_store(scene, paused)
         await deployment.settle(REMOVAL_S)
-        for vm, other in scene.programs.items():
+        for vm, other in scene.daemons.items():
             if vm != paused:
                 assert paused not in other.board.members
         program._feed._relays = relays
@@ -142,15 +142,15 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         leaving = pick_standby(scene)
-        stopping = asyncio.ensure_future(scene.programs[leaving].stop())
+        stopping = asyncio.ensure_future(scene.daemons[leaving].stop())
         await deployment.settle(1.0)
         for _ in range(8):
-            for vm, program in scene.programs.items():
+            for vm, program in scene.daemons.items():
                 if vm != leaving:
                     assert leaving not in program.board.members
             await deployment.settle(0.5)
         await stopping
-        scene.programs.pop(leaving)
+        scene.daemons.pop(leaving)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -168,22 +168,22 @@
         lost = relays["zone-0"]
         match how:
             case "kill":
-                await scene.programs.pop(lost).abort()
+                await scene.daemons.pop(lost).abort()
             case "still":
                 hang_servers(scene, lost)
                 cut_from_store(scene, lost)
             case "cut":
                 cut_from_store(scene, lost)
         await deployment.settle(REMOVAL_S)
-        for vm, program in scene.programs.items():
+        for vm, program in scene.daemons.items():
             if vm == lost:
                 continue
-            for other in scene.programs:
+            for other in scene.daemons:
                 if other != lost:
                     assert other in program.board.members, (vm, other)
         addresses = await resolve(scene, "vm-3" if lost != "vm-3" else "vm-5")
         if how == "kill":
-            assert lost not in scene.programs["vm-1"].board.members
+            assert lost not in scene.daemons["vm-1"].board.members
         assert addresses
 
     scenes.run(scenario, vms=VMS, seed=seed)
@@ -217,7 +217,7 @@
         scene.store.faults.lost = 2
         await deployment.settle(0.4)
         await back.abort()
-        scene.programs.pop("vm-new")
+        scene.daemons.pop("vm-new")
         await deployment.settle(REMOVAL_S)
         check_members(scene)
 
@@ -227,15 +227,15 @@
 def test_all_vms_are_announced_again_after_a_restart() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        killed = list(scene.programs)
+        killed = list(scene.daemons)
         for vm in killed:
-            await scene.programs[vm].abort()
+            await scene.daemons[vm].abort()
         await deployment.settle(1.5)
         zones = {
             vm: program.board.identity.zone
-            for vm, program in scene.programs.items()
+            for vm, program in scene.daemons.items()
         }
-        scene.programs.clear()
+        scene.daemons.clear()
         for vm in killed:
             await scene.add_vm(vm, zones[vm])
         await deployment.settle(1.0)
@@ -255,17 +255,17 @@
         relay = relays["zone-0"]
         standbys = {
             vm
-            for vm, member in scene.programs["vm-1"].board.members.items()
+            for vm, member in scene.daemons["vm-1"].board.members.items()
             if member.keeper == relay
         }
         assert standbys
         base = int(scene.get_address(relay).rpartition(":")[2])
-        await scene.programs.pop(relay).abort()
+        await scene.daemons.pop(relay).abort()
         await deployment.settle(0.2)
         await scene.add_vm(relay, "zone-0", base)
         for _ in range(12):
             await deployment.settle(0.25)
-            assert standbys <= scene.programs["vm-1"].board.members.keys()
+            assert standbys <= scene.daemons["vm-1"].board.members.keys()
 
     scenes.run(scenario, vms=VMS)
 
@@ -280,13 +280,13 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         relays = await settle(scene)
-        advertised = scene.programs["vm-0"].board.advertised
+        advertised = scene.daemons["vm-0"].board.advertised
         cut = next(vm for vm in advertised if vm not in relays.values())
         cut_from_store(scene, cut)
         await deployment.settle(1.2)
         for _ in range(15):
             await deployment.settle(0.1)
-            assert not scene.programs[cut].board.contact.reachable
+            assert not scene.daemons[cut].board.contact.reachable
 
     scenes.run(scenario, vms=VMS)
 
--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -150,7 +150,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        board = scene.programs["vm-0"].board
+        board = scene.daemons["vm-0"].board
         board.targets["statements-0"].record.slowness = 9.0
         again = scene.searchers["statements-0"].make_entry(born=2_000)
         scene.store.put("servers/statements-0", again)
@@ -214,10 +214,10 @@
         await deployment.settle(15.0)
         await ask_often(scene, 40)
         loop = asyncio.get_running_loop()
-        target = scene.programs["vm-0"].board.targets["statements-0"]
+        target = scene.daemons["vm-0"].board.targets["statements-0"]
         scene.searchers["statements-0"].crash()
         await scene.searchers["statements-0"].start()
-        scene.programs["vm-0"].board.pause = board.Pause(
+        scene.daemons["vm-0"].board.pause = board.Pause(
             loop.time() - 3.0, loop.time()
         )
         began_s = loop.time()
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -269,7 +269,7 @@
             scenes.SINGLE_SERVICE,
             searcher.Reaction(connection_action="hang"),
         )
-        target = next(iter(scene.programs["vm-0"].board.targets.values()))
+        target = next(iter(scene.daemons["vm-0"].board.targets.values()))
         before = [
             asyncio.ensure_future(scene.ask("vm-0", "/once/x", "POST", b"a"))
             for _ in range(target.pool.limit)
