--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -31,8 +31,8 @@
         store: The test double of the platform's store.
         searchers: The searchers by id.
         daemons: The daemons by the VM's name.
-        configuration: The operators' configuration, as `declare` writes it to
-            the store.
+        configuration: The operators' configuration, as `write_configuration`
+            writes it to the store.
     """
 
     def __init__(self, seed: int = 0) -> None:
@@ -151,7 +151,7 @@
             | fields
         )
 
-    def declare(self) -> None:
+    def write_configuration(self) -> None:
         """Writes the configuration to the store under a new version."""
         self.configuration["Version"] += 3
         self.store.put("op/config", self.configuration)
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -145,7 +145,7 @@
             each.script = versions.Behaviour(good, self._rng).act
         for prefix in ROUTES:
             fleet.add_route(prefix, Backend=SERVICE)
-        fleet.declare()
+        fleet.write_configuration()
         for number in range(plan.vms):
             await fleet.add_vm(f"vm-{number}", f"zone-{number % 2}")
         await deployment.settle(2.0)
--- a/tests/forwarding/scenes.py
+++ b/tests/forwarding/scenes.py
@@ -35,7 +35,7 @@
         scene.add_route(
             "/once/", Backend=SINGLE_SERVICE, RouteType="non_idempotent"
         )
-        scene.declare()
+        scene.write_configuration()
         for number in range(vms):
             await scene.add_vm(f"vm-{number}", f"zone-{number % 2}")
         await deployment.settle()
--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -15,7 +15,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         scene.add_route("/one/deep/", Backend="shard-a")
         del scene.configuration["Routes"][2]
-        scene.declare()
+        scene.write_configuration()
         await deployment.settle()
         assert (await scene.ask("vm-0", "/one/deep/x")).status == 200
         assert len(scene.searchers["shard-a-0"].requests) == 1
@@ -28,7 +28,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         old = msgspec.json.decode(msgspec.json.encode(scene.configuration))
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
-        scene.declare()
+        scene.write_configuration()
         await deployment.settle()
         scene.store.put("op/config", old)
         await deployment.settle()
@@ -50,7 +50,7 @@
         scene.store.faults.silent = True
         scene.store.remove("servers/statements-0")
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
-        scene.declare()
+        scene.write_configuration()
         scene.store.compact()
         scene.store.faults.silent = False
         await deployment.settle(15.0)
@@ -90,7 +90,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         scene.store.faults.slow_s = 0.3
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
-        scene.declare()
+        scene.write_configuration()
         await deployment.settle(2.0)
         assert (await scene.ask("vm-0", "/new/x")).status == 200
 
@@ -104,7 +104,7 @@
             {"Backend": "shard-b", "Weight": 1},
         ]
         scene.add_route("/split/", TrafficSplit=split)
-        scene.declare()
+        scene.write_configuration()
         await deployment.settle()
         for _ in range(40):
             answer = await scene.ask("vm-0", "/split/x")
@@ -123,7 +123,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         before = scene.store.calls["/kv-watch"]
         for _ in range(50):
-            scene.declare()
+            scene.write_configuration()
             await asyncio.sleep(0.04)
         assert scene.store.calls["/kv-watch"] - before <= 12
 
@@ -148,7 +148,7 @@
         assert (await scene.ask("late", "/one/x")).status == 200
         setattr(scene.store.faults, fault, False)
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
-        scene.declare()
+        scene.write_configuration()
         await deployment.settle(4.0)
         assert (await scene.ask("late", "/new/x")).status == 200
 
--- a/tests/forwarding/test_gather.py
+++ b/tests/forwarding/test_gather.py
@@ -141,12 +141,12 @@
                     searcher.Reaction(delay_s=0.6)
                 )
         scene.configuration["Routes"][0]["TargetLatencyMs"] = 900
-        scene.declare()
+        scene.write_configuration()
         await deployment.settle()
         running = asyncio.ensure_future(scene.ask("vm-0", "/all/x"))
         await asyncio.sleep(0.05)
         scene.configuration["Routes"][0]["FanoutServices"] = ["new-0", "new-1"]
-        scene.declare()
+        scene.write_configuration()
         answer = await running
         stamps = scenes.get_headers(answer)["azureramp-part-stamps"]
         assert stamps.count("shard-") == 4
--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -174,7 +174,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for each in scene.configuration["Services"]:
             each["ColdPerS"] = 4.0
-        scene.declare()
+        scene.write_configuration()
         await deployment.settle(15.0)
         crashed = scene.searchers["statements-0"]
         crashed.crash()
@@ -210,7 +210,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for each in scene.configuration["Services"]:
             each["ColdPerS"] = 4.0
-        scene.declare()
+        scene.write_configuration()
         await deployment.settle(15.0)
         await ask_often(scene, 40)
         loop = asyncio.get_running_loop()
