--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -181,7 +181,7 @@
         self.daemons[vm] = started
         return started
 
-    async def ask(
+    async def send_request(
         self,
         vm: str,
         target: str,
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -191,7 +191,7 @@
             if vm not in self._fleet.daemons:
                 continue
             try:
-                answer = await self._fleet.ask(vm, target)
+                answer = await self._fleet.send_request(vm, target)
             except (web_connection.ConnectionBrokenError, OSError):
                 continue
             if answer.status == 200:
--- a/tests/forwarding/test_change_log.py
+++ b/tests/forwarding/test_change_log.py
@@ -46,7 +46,7 @@
 
 def test_a_change_of_a_searcher_in_use_is_logged_as_a_line() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        assert (await scene.ask("vm-0", "/one/x")).status == 200
+        assert (await scene.send_request("vm-0", "/one/x")).status == 200
         used = next(
             name
             for name, each in scene.searchers.items()
--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -17,9 +17,9 @@
         del scene.configuration["Routes"][2]
         scene.write_configuration()
         await deployment.settle()
-        assert (await scene.ask("vm-0", "/one/deep/x")).status == 200
+        assert (await scene.send_request("vm-0", "/one/deep/x")).status == 200
         assert len(scene.searchers["shard-a-0"].requests) == 1
-        assert (await scene.ask("vm-0", "/once/x")).status == 404
+        assert (await scene.send_request("vm-0", "/once/x")).status == 404
 
     scenes.run(scenario)
 
@@ -32,7 +32,7 @@
         await deployment.settle()
         scene.store.put("op/config", old)
         await deployment.settle()
-        assert (await scene.ask("vm-0", "/new/x")).status == 200
+        assert (await scene.send_request("vm-0", "/new/x")).status == 200
 
     scenes.run(scenario)
 
@@ -54,7 +54,7 @@
         scene.store.compact()
         scene.store.faults.silent = False
         await deployment.settle(15.0)
-        assert (await scene.ask("vm-0", "/new/x")).status == 200
+        assert (await scene.send_request("vm-0", "/new/x")).status == 200
         assert "statements-0" not in scene.daemons["vm-0"].board.targets
 
     scenes.run(scenario)
@@ -76,12 +76,12 @@
         setattr(scene.store.faults, fault, True)
         await scene.add_vm("late")
         await deployment.settle()
-        answer = await scene.ask("late", "/one/x")
+        answer = await scene.send_request("late", "/one/x")
         assert answer.status == 503
         assert float(scenes.get_headers(answer)["retry-after"]) > 0
         setattr(scene.store.faults, fault, False)
         await deployment.settle(4.0)
-        assert (await scene.ask("late", "/one/x")).status == 200
+        assert (await scene.send_request("late", "/one/x")).status == 200
 
     scenes.run(scenario)
 
@@ -92,7 +92,7 @@
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.write_configuration()
         await deployment.settle(2.0)
-        assert (await scene.ask("vm-0", "/new/x")).status == 200
+        assert (await scene.send_request("vm-0", "/new/x")).status == 200
 
     scenes.run(scenario)
 
@@ -107,7 +107,7 @@
         scene.write_configuration()
         await deployment.settle()
         for _ in range(40):
-            answer = await scene.ask("vm-0", "/split/x")
+            answer = await scene.send_request("vm-0", "/split/x")
             assert answer.status == 200
         for service, expected in (("shard-a", 30), ("shard-b", 10)):
             actual = sum(
@@ -145,11 +145,11 @@
         setattr(scene.store.faults, fault, True)
         await scene.add_vm("late")
         await deployment.settle(3.0)
-        assert (await scene.ask("late", "/one/x")).status == 200
+        assert (await scene.send_request("late", "/one/x")).status == 200
         setattr(scene.store.faults, fault, False)
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.write_configuration()
         await deployment.settle(4.0)
-        assert (await scene.ask("late", "/new/x")).status == 200
+        assert (await scene.send_request("late", "/new/x")).status == 200
 
     scenes.run(scenario)
--- a/tests/forwarding/test_connections.py
+++ b/tests/forwarding/test_connections.py
@@ -43,10 +43,10 @@
         only.crash()
         await only.start()
         for _ in range(3):
-            await scene.ask("vm-0", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
         only.max_connections = 4
         await deployment.settle(1.0)
-        answer = await scene.ask("vm-0", "/one/x")
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status == 200
 
     scenes.run(scenario, searchers=1)
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -47,14 +47,14 @@
         crashed = crash_on_poison(scene)
         for round_ in range(6):
             vm = f"vm-{round_ % 2}"
-            await scene.ask(vm, "/one/poison")
+            await scene.send_request(vm, "/one/poison")
             await deployment.settle(3.0)
         assert 3 <= len(crashed) <= 6
         for vm in scene.daemons:
-            answer = await scene.ask(vm, "/one/poison")
+            answer = await scene.send_request(vm, "/one/poison")
             assert answer.status == 503
             assert float(scenes.get_headers(answer)["retry-after"]) > 10
-            assert (await scene.ask(vm, "/one/fine")).status == 200
+            assert (await scene.send_request(vm, "/one/fine")).status == 200
 
     scenes.run(scenario, vms=2)
 
@@ -63,7 +63,9 @@
     async def scenario(scene: deployment.Deployment) -> None:
         crashed = crash_on_poison(scene)
         for round_ in range(8):
-            await scene.ask(f"vm-{round_ % 4}", "/once/poison", "POST", b"x")
+            await scene.send_request(
+                f"vm-{round_ % 4}", "/once/poison", "POST", b"x"
+            )
             await deployment.settle(3.0)
         assert 3 <= len(crashed) <= 5
 
@@ -83,13 +85,13 @@
                 searcher.Reaction(connection_action="reset")
             )
         for _ in range(8):
-            answer = await scene.ask("vm-0", "/one/x")
+            answer = await scene.send_request("vm-0", "/one/x")
             assert answer.status in (502, 503)
             await deployment.settle(2.0)
         for index in range(2):
             name = f"statements-{index}"
             scene.searchers[name].script = searcher.Reaction().always
         await deployment.settle(2.0)
-        assert (await scene.ask("vm-0", "/one/x")).status == 200
+        assert (await scene.send_request("vm-0", "/one/x")).status == 200
 
     scenes.run(scenario)
--- a/tests/forwarding/test_dark_searchers.py
+++ b/tests/forwarding/test_dark_searchers.py
@@ -55,7 +55,9 @@
         loop = asyncio.get_running_loop()
         for number in range(6):
             began_s = loop.time()
-            answer = await scene.ask("vm-0", "/once/x", "POST", b"%d" % number)
+            answer = await scene.send_request(
+                "vm-0", "/once/x", "POST", b"%d" % number
+            )
             assert answer.status == 200
             assert loop.time() - began_s < 0.1
         hanging.clear()
@@ -76,19 +78,19 @@
         dark = scene.searchers["statements-0"]
         loop = asyncio.get_running_loop()
         for _ in range(30):
-            await scene.ask("vm-0", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
         hanging.add(dark)
         dark.script = searcher.Reaction(connection_action="hang").always
         record = scene.daemons["vm-0"].board.targets["statements-0"].record
         for _ in range(300):
             if record.rests(loop.time()):
                 break
-            await scene.ask("vm-0", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
             await asyncio.sleep(0.03)
         until_s = loop.time() + 4.0
         while loop.time() < until_s:
             began_s = loop.time()
-            answer = await scene.ask("vm-0", "/one/x")
+            answer = await scene.send_request("vm-0", "/one/x")
             assert answer.status == 200
             assert loop.time() - began_s < PROMPT_S
             await asyncio.sleep(0.03)
@@ -96,7 +98,7 @@
         hanging.clear()
         before = len(dark.requests)
         for _ in range(60):
-            await scene.ask("vm-0", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
             await asyncio.sleep(0.03)
         assert len(dark.requests) > before, "the searcher is used again"
 
@@ -120,7 +122,7 @@
         prompt = 0
         for _ in range(20):
             began_s = loop.time()
-            answer = await scene.ask("vm-0", "/all/x")
+            answer = await scene.send_request("vm-0", "/all/x")
             assert answer.status == 200
             prompt += loop.time() - began_s < PROMPT_S
             await asyncio.sleep(0.03)
--- a/tests/forwarding/test_gather.py
+++ b/tests/forwarding/test_gather.py
@@ -19,7 +19,7 @@
             act = searcher.Reaction(body=body)
             for index in range(2):
                 scene.searchers[f"{service}-{index}"].script = act.always
-        answer = await scene.ask("vm-0", "/all/x")
+        answer = await scene.send_request("vm-0", "/all/x")
         assert answer.status == 200
         assert answer.body == b"".join(map(make_record, (13, 12, 11)))
         headers = scenes.get_headers(answer)
@@ -52,7 +52,7 @@
                 else 0.005
             )
         began_s = asyncio.get_running_loop().time()
-        answer = await scene.ask("vm-0", "/all/x")
+        answer = await scene.send_request("vm-0", "/all/x")
         took_s = asyncio.get_running_loop().time() - began_s
         assert answer.status == 200
         assert scenes.get_headers(answer)["azureramp-missing-parts"] == "0"
@@ -75,7 +75,7 @@
                 searcher.Reaction(connection_action="hang")
             )
         began_s = asyncio.get_running_loop().time()
-        answer = await scene.ask("vm-0", "/all/x")
+        answer = await scene.send_request("vm-0", "/all/x")
         took_s = asyncio.get_running_loop().time() - began_s
         assert answer.status == 200
         assert scenes.get_headers(answer)["azureramp-missing-parts"] == "1"
@@ -97,7 +97,7 @@
                 scene.store.remove(f"servers/{service}-{index}")
         await deployment.settle()
         before = len(scene.searchers["shard-c-0"].requests)
-        answer = await scene.ask("vm-0", "/all/x")
+        answer = await scene.send_request("vm-0", "/all/x")
         assert answer.status == 503
         assert float(scenes.get_headers(answer)["retry-after"]) > 0
         assert len(scene.searchers["shard-c-0"].requests) == before
@@ -118,7 +118,7 @@
                 scene.searchers[f"{service}-{index}"].script = lambda seen: (
                     searcher.Reaction(connection_action="reset")
                 )
-        answer = await scene.ask("vm-0", "/all/x")
+        answer = await scene.send_request("vm-0", "/all/x")
         assert answer.status == 502
 
     scenes.run(scenario)
@@ -143,7 +143,7 @@
         scene.configuration["Routes"][0]["TargetLatencyMs"] = 900
         scene.write_configuration()
         await deployment.settle()
-        running = asyncio.ensure_future(scene.ask("vm-0", "/all/x"))
+        running = asyncio.ensure_future(scene.send_request("vm-0", "/all/x"))
         await asyncio.sleep(0.05)
         scene.configuration["Routes"][0]["FanoutServices"] = ["new-0", "new-1"]
         scene.write_configuration()
@@ -151,7 +151,7 @@
         stamps = scenes.get_headers(answer)["azureramp-part-stamps"]
         assert stamps.count("shard-") == 4
         assert "new-" not in stamps
-        answer = await scene.ask("vm-0", "/all/x")
+        answer = await scene.send_request("vm-0", "/all/x")
         stamps = scenes.get_headers(answer)["azureramp-part-stamps"]
         assert stamps.count("new-") == 2
         assert "shard-" not in stamps
@@ -169,7 +169,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for each in scene.searchers.values():
             each.script = lambda seen: searcher.Reaction(delay_s=0.8)
-        running = asyncio.ensure_future(scene.ask("vm-0", "/all/x"))
+        running = asyncio.ensure_future(scene.send_request("vm-0", "/all/x"))
         await asyncio.sleep(0.01)
         running.cancel()
         await asyncio.sleep(0.4)
@@ -198,7 +198,9 @@
             each.script = searcher.Reaction(delay_s=0.4).always
         asking = []
         for _ in range(8):
-            asking.append(asyncio.ensure_future(scene.ask("vm-0", "/all/x")))
+            asking.append(
+                asyncio.ensure_future(scene.send_request("vm-0", "/all/x"))
+            )
             await asyncio.sleep(0.04)
         answers = await asyncio.gather(*asking)
         assert all(answer.status == 200 for answer in answers)
@@ -218,15 +220,15 @@
     async def scenario(scene: deployment.Deployment) -> None:
         slow = [scene.searchers[f"shard-a-{index}"] for index in range(2)]
         for _ in range(20):
-            await scene.ask("vm-0", "/all/x")
+            await scene.send_request("vm-0", "/all/x")
         for each in slow:
             each.script = searcher.Reaction(delay_s=0.12).always
         for _ in range(12):
-            await scene.ask("vm-0", "/all/x")
+            await scene.send_request("vm-0", "/all/x")
             await asyncio.sleep(0.15)
         before = sum(len(each.requests) for each in slow)
         for _ in range(10):
-            answer = await scene.ask("vm-0", "/all/x")
+            answer = await scene.send_request("vm-0", "/all/x")
             assert answer.status == 200
             await asyncio.sleep(0.15)
         assert sum(len(each.requests) for each in slow) - before <= 11
@@ -245,7 +247,9 @@
         slow = [scene.searchers[f"shard-a-{index}"] for index in range(2)]
         for each in slow:
             each.script = searcher.Reaction(delay_s=0.24).always
-        await asyncio.gather(*(scene.ask("vm-0", "/all/x") for _ in range(8)))
+        await asyncio.gather(
+            *(scene.send_request("vm-0", "/all/x") for _ in range(8))
+        )
         await asyncio.sleep(0.05)
         assert sum(each.cancelled_requests.total() for each in slow) >= 4
 
--- a/tests/forwarding/test_members.py
+++ b/tests/forwarding/test_members.py
@@ -86,10 +86,10 @@
         await asyncio.sleep(0.5)
         assert scene.get_address("vm-1") not in await resolve(scene, "vm-0")
         assert scene.get_address("vm-1") not in await resolve(scene, "vm-1")
-        late = await scene.ask("vm-1", "/one/x")
+        late = await scene.send_request("vm-1", "/one/x")
         assert late.status == 200
         await asyncio.sleep(began_s + 2.2 - loop.time())
-        last = await scene.ask("vm-1", "/once/x", "POST", b"grant")
+        last = await scene.send_request("vm-1", "/once/x", "POST", b"grant")
         assert last.status == 200
         assert await stopping == 0
         assert loop.time() - began_s < 6.0
--- a/tests/forwarding/test_misdirected.py
+++ b/tests/forwarding/test_misdirected.py
@@ -19,7 +19,9 @@
     async def scenario(scene: deployment.Deployment) -> None:
         reassign_address(scene, "statements-0")
         for number in range(12):
-            answer = await scene.ask("vm-0", "/once/x", "POST", b"%d" % number)
+            answer = await scene.send_request(
+                "vm-0", "/once/x", "POST", b"%d" % number
+            )
             assert answer.status == 200
         refused = scene.searchers["statements-0"].requests
         assert len(refused) <= 1
@@ -40,7 +42,7 @@
             )
         reassign_address(scene, "new-0")
         for _ in range(60):
-            assert (await scene.ask("vm-0", "/one/x")).status == 200
+            assert (await scene.send_request("vm-0", "/one/x")).status == 200
             await asyncio.sleep(0.05)
         running = scene.daemons["vm-0"].rollouts.running["statements"]
         tallies = {
@@ -56,7 +58,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for name in ("statements-0", "statements-1"):
             reassign_address(scene, name)
-        answer = await scene.ask("vm-0", "/once/x", "POST", b"1")
+        answer = await scene.send_request("vm-0", "/once/x", "POST", b"1")
         assert answer.status == 503
         assert scenes.get_headers(answer)["retry-after"]
         both = [scene.searchers[f"statements-{n}"] for n in range(2)]
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -70,7 +70,7 @@
     until_s = loop.time() + seconds
     failed = 0
     while loop.time() < until_s:
-        answer = await scene.ask("vm-0", target)
+        answer = await scene.send_request("vm-0", target)
         failed += answer.status != 200
         await asyncio.sleep(0.045)
     return failed
--- a/tests/forwarding/test_roster.py
+++ b/tests/forwarding/test_roster.py
@@ -239,7 +239,7 @@
         for vm in killed:
             await scene.add_vm(vm, zones[vm])
         await deployment.settle(1.0)
-        assert (await scene.ask("vm-0", "/one/x")).status == 200
+        assert (await scene.send_request("vm-0", "/one/x")).status == 200
         assert await resolve(scene, "vm-0")
         await deployment.settle(3.0)
         check_members(scene)
--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -13,7 +13,7 @@
 
 async def ask_often(scene: deployment.Deployment, count: int = 12) -> None:
     for _ in range(count):
-        answer = await scene.ask("vm-0", "/one/x")
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status == 200
 
 
@@ -83,7 +83,7 @@
             scene.store.remove(f"servers/{known}")
         scene.store.put(f"servers/{name}", described)
         await deployment.settle(3.0)
-        answer = await scene.ask("vm-0", "/one/x")
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status == 503
         assert not scene.searchers["statements-0"].requests
 
@@ -179,14 +179,14 @@
         crashed = scene.searchers["statements-0"]
         crashed.crash()
         for _ in range(10):
-            await scene.ask("vm-0", "/one/x")
-            await scene.ask("vm-1", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
+            await scene.send_request("vm-1", "/one/x")
         await crashed.start()
         loop = asyncio.get_running_loop()
         until_s = loop.time() + 1.8
         while loop.time() < until_s:
             for vm in ("vm-0", "vm-1"):
-                answer = await scene.ask(vm, "/one/x")
+                answer = await scene.send_request(vm, "/one/x")
                 assert answer.status == 200
             await asyncio.sleep(0.01)
         times = [seen.at_s for seen in crashed.requests]
@@ -222,7 +222,7 @@
         )
         began_s = loop.time()
         while loop.time() < began_s + 1.0:
-            await scene.ask("vm-0", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
             await asyncio.sleep(0.01)
         assert target.pool.connected_since_s > began_s - 3.0
         seen = scene.searchers["statements-0"].requests
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -30,7 +30,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         act = searcher.Reaction(body=b"\x00whole\xff")
         set_script(scene, scenes.SINGLE_SERVICE, act)
-        answer = await scene.ask(
+        answer = await scene.send_request(
             "vm-0", "/once/a%2Fb?x=1&x=2", "POST", b"grant", request_id="r-7"
         )
         assert answer.status == 200
@@ -66,7 +66,7 @@
             scenes.SINGLE_SERVICE,
             searcher.Reaction(connection_action="reset"),
         )
-        answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+        answer = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 502
         assert count_runs(scene, scenes.SINGLE_SERVICE) == 1
 
@@ -76,7 +76,7 @@
 def test_a_slow_request_that_runs_once_is_not_hedged() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         set_script(scene, scenes.SINGLE_SERVICE, searcher.Reaction(delay_s=0.5))
-        answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+        answer = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 200
         assert count_runs(scene, scenes.SINGLE_SERVICE) == 1
 
@@ -92,7 +92,7 @@
 
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = reject_first
-        answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+        answer = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 200
         assert answer.body == b"done"
         assert count_runs(scene, scenes.SINGLE_SERVICE) == 2
@@ -104,7 +104,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         act = searcher.Reaction(status=503, not_run=True, signed=False)
         set_script(scene, scenes.SINGLE_SERVICE, act)
-        answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+        answer = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 503
         assert float(scenes.get_headers(answer)["retry-after"]) > 0
 
@@ -120,7 +120,7 @@
 
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = reset_first
-        answer = await scene.ask("vm-0", "/one/x")
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.body == b"done"
 
     scenes.run(scenario)
@@ -151,7 +151,7 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         set_script(scene, scenes.SINGLE_SERVICE, act)
-        answer = await scene.ask("vm-0", "/one/x")
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status in (502, 504)
         assert b"half" not in answer.body
         assert b"yours" not in answer.body
@@ -179,7 +179,7 @@
         set_script(
             scene, scenes.SINGLE_SERVICE, searcher.Reaction(raw=late + own)
         )
-        answer = await scene.ask(
+        answer = await scene.send_request(
             "vm-0", "/once/x", "POST", b"grant", request_id="mine"
         )
         assert answer.status == 200
@@ -193,7 +193,7 @@
         act = searcher.Reaction(body=b"first", extra=b"HTTP/1.1 200 OK\r\n\r\n")
         set_script(scene, scenes.SINGLE_SERVICE, act)
         for _ in range(3):
-            answer = await scene.ask("vm-0", "/one/x")
+            answer = await scene.send_request("vm-0", "/one/x")
             assert answer.body == b"first"
         for index in range(2):
             asked = scene.searchers[f"statements-{index}"]
@@ -208,7 +208,7 @@
             framed=False, body=b"whole", connection_action="close"
         )
         set_script(scene, scenes.SINGLE_SERVICE, act)
-        answer = await scene.ask("vm-0", "/one/x")
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.body == b"whole"
 
     scenes.run(scenario)
@@ -224,7 +224,9 @@
     async def scenario(scene: deployment.Deployment) -> None:
         scene.searchers["statements-0"].id = "someone-else"
         for _ in range(4):
-            answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+            answer = await scene.send_request(
+                "vm-0", "/once/x", "POST", b"grant"
+            )
             assert answer.status == 200
         assert len(scene.searchers["statements-0"].requests) <= 1
 
@@ -239,7 +241,7 @@
             searcher.Reaction(connection_action="hang"),
         )
         began_s = asyncio.get_running_loop().time()
-        answer = await scene.ask("vm-0", "/one/x", deadline_ms=5000)
+        answer = await scene.send_request("vm-0", "/one/x", deadline_ms=5000)
         took_s = asyncio.get_running_loop().time() - began_s
         assert answer.status == 504
         assert 0.99 < took_s < 1.1
@@ -249,7 +251,7 @@
 
 def test_a_request_without_a_route_is_not_found() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        answer = await scene.ask("vm-0", "/none/x")
+        answer = await scene.send_request("vm-0", "/none/x")
         assert answer.status == 404
 
     scenes.run(scenario)
@@ -271,11 +273,13 @@
         )
         target = next(iter(scene.daemons["vm-0"].board.targets.values()))
         before = [
-            asyncio.ensure_future(scene.ask("vm-0", "/once/x", "POST", b"a"))
+            asyncio.ensure_future(
+                scene.send_request("vm-0", "/once/x", "POST", b"a")
+            )
             for _ in range(target.pool.limit)
         ]
         await deployment.settle(0.05)
-        late = await scene.ask(
+        late = await scene.send_request(
             "vm-0", "/once/x", "POST", b"order", deadline_ms=300, request_id="l"
         )
         assert late.status == 503
@@ -301,12 +305,12 @@
         lost = searcher.Reaction(delay_s=0.01, connection_action="reset")
         set_script(scene, scenes.SINGLE_SERVICE, lost)
         for _ in range(4):
-            await scene.ask("vm-0", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
         set_script(scene, scenes.SINGLE_SERVICE, searcher.Reaction())
         before = count_runs(scene, scenes.SINGLE_SERVICE)
-        grant = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+        grant = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert grant.status == 503
         assert count_runs(scene, scenes.SINGLE_SERVICE) == before
-        assert (await scene.ask("vm-0", "/one/x")).status == 200
+        assert (await scene.send_request("vm-0", "/one/x")).status == 200
 
     scenes.run(scenario)
