--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -119,7 +119,7 @@
             },
         )
 
-    def read_rollout(self, service: str) -> str:
+    def read_rollout_state(self, service: str) -> str:
         """Returns a roll-out's state from the operators' status entry.
 
         Empty if there is no entry.
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -221,10 +221,10 @@
             behaviour = versions.Behaviour(version, self._rng)
             self._new_behaviours.append(behaviour)
             started.script = behaviour.act
-        while fleet.read_rollout(SERVICE) not in FINAL_STATES:
+        while fleet.read_rollout_state(SERVICE) not in FINAL_STATES:
             await fleet.store.state.wait_for_change(1.0)
         self._ended_s = loop.time()
-        if fleet.read_rollout(SERVICE) == "rolled_back":
+        if fleet.read_rollout_state(SERVICE) == "rolled_back":
             await asyncio.sleep(ROLLBACK_DRAIN_S)
             self._remove(NEW_VERSION)
             return
@@ -352,7 +352,7 @@
             for at_s in each.bad_answer_times
         )
         outcome = Outcome(
-            state=self._fleet.read_rollout(SERVICE),
+            state=self._fleet.read_rollout_state(SERVICE),
             ended_s=self._ended_s - self._ordered_s if self._ended_s else 0.0,
             share=new_in_time / max(1, all_in_time),
             calls_to_new=new_in_time,
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -116,7 +116,7 @@
         counts_before = count_calls(scene)
         assert counts_before["v2"] > 0
         await send(scene, "/one/x", 7.5)
-        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "completed"
+        assert scene.read_rollout_state(scenes.SINGLE_SERVICE) == "completed"
         assert count_calls(scene)["v2"] == counts_before["v2"]
         assert count_calls(scene)["v3"] > 20
 
@@ -130,7 +130,7 @@
         await send(scene, "/one/x", 2.0)
         scene.store.remove(f"op/rollout/{scenes.SINGLE_SERVICE}")
         await send(scene, "/one/x", 1.0)
-        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "rolled_back"
+        assert scene.read_rollout_state(scenes.SINGLE_SERVICE) == "rolled_back"
         counts_before = count_calls(scene)["v2"]
         assert await send(scene, "/one/x", 1.0) == 0
         assert count_calls(scene)["v2"] == counts_before
@@ -142,7 +142,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         scene.order_rollout(scenes.SINGLE_SERVICE, "v1", 12.0)
         assert await send(scene, "/one/x", 2.0) == 0
-        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "completed"
+        assert scene.read_rollout_state(scenes.SINGLE_SERVICE) == "completed"
         assert await send(scene, "/one/x", 1.0) == 0
 
     scenes.run(scenario)
@@ -152,7 +152,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 4.0)
         assert await send(scene, "/one/x", 4.0) == 0
-        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "rolled_back"
+        assert scene.read_rollout_state(scenes.SINGLE_SERVICE) == "rolled_back"
 
     scenes.run(scenario)
 
@@ -165,7 +165,7 @@
             await add_new(scene, "v2", shard)
         assert await send(scene, "/all/x", 7.5) == 0
         for shard in shards:
-            assert scene.read_rollout(shard) == "completed"
+            assert scene.read_rollout_state(shard) == "completed"
         for each in scene.searchers.values():
             if each.service in shards and each.version == "v1":
                 assert each.running_requests == 0
@@ -202,7 +202,7 @@
             await send(scene, "/one/x", 1.0)
             scene.store.compact()
         await send(scene, "/one/x", 1.0)
-        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "completed"
+        assert scene.read_rollout_state(scenes.SINGLE_SERVICE) == "completed"
 
     scenes.run(scenario)
 
@@ -217,7 +217,7 @@
         await scene.add_vm("vm-0", "zone-0", 30000, first=False)
         await deployment.settle()
         assert await send(scene, "/one/x", 6.8) == 0
-        assert scene.read_rollout(scenes.SINGLE_SERVICE) == "completed"
+        assert scene.read_rollout_state(scenes.SINGLE_SERVICE) == "completed"
         before = count_calls(scene)["v1"]
         assert await send(scene, "/one/x", 1.0) == 0
         assert count_calls(scene)["v1"] == before
