--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -283,7 +283,7 @@
     return opened.ok
 
 
-async def settle(seconds: float = 1.0) -> None:
+async def wait_for_updates(seconds: float = 1.0) -> None:
     """Waits for the daemons to receive earlier writes to the store.
 
     Args:
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -148,7 +148,7 @@
         fleet.write_configuration()
         for number in range(plan.vms):
             await fleet.add_vm(f"vm-{number}", f"zone-{number % 2}")
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         traffic = asyncio.create_task(self._send_traffic())
         await asyncio.sleep(TRAFFIC_LEAD_S)
         loop = asyncio.get_running_loop()
--- a/tests/forwarding/scenes.py
+++ b/tests/forwarding/scenes.py
@@ -38,7 +38,7 @@
         scene.write_configuration()
         for number in range(vms):
             await scene.add_vm(f"vm-{number}", f"zone-{number % 2}")
-        await deployment.settle()
+        await deployment.wait_for_updates()
         try:
             await scenario(scene)
         finally:
--- a/tests/forwarding/test_change_log.py
+++ b/tests/forwarding/test_change_log.py
@@ -32,11 +32,11 @@
     """Guards against a log line for each new searcher on each VM."""
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await deployment.settle(4.0)
+        await deployment.wait_for_updates(4.0)
         with capture() as handler:
             for number in range(SERVICES):
                 await scene.add_searchers(f"more-{number}")
-            await deployment.settle(change_log.FLUSH_INTERVAL_S + 1.0)
+            await deployment.wait_for_updates(change_log.FLUSH_INTERVAL_S + 1.0)
         counts = count_lines(handler)
         assert counts["azureramp.searchers"] == 0
         assert 0 < counts["azureramp.changes"] <= 3 * VMS
@@ -55,7 +55,7 @@
         with capture() as handler:
             entry = scene.searchers[used].make_entry(State="draining")
             scene.store.put(f"servers/{used}", entry)
-            await deployment.settle(1.0)
+            await deployment.wait_for_updates(1.0)
         messages = [
             record.message
             for record in handler.records
--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -16,7 +16,7 @@
         scene.add_route("/one/deep/", Backend="shard-a")
         del scene.configuration["Routes"][2]
         scene.write_configuration()
-        await deployment.settle()
+        await deployment.wait_for_updates()
         assert (await scene.send_request("vm-0", "/one/deep/x")).status == 200
         assert len(scene.searchers["shard-a-0"].requests) == 1
         assert (await scene.send_request("vm-0", "/once/x")).status == 404
@@ -29,9 +29,9 @@
         old = msgspec.json.decode(msgspec.json.encode(scene.configuration))
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.write_configuration()
-        await deployment.settle()
+        await deployment.wait_for_updates()
         scene.store.put("op/config", old)
-        await deployment.settle()
+        await deployment.wait_for_updates()
         assert (await scene.send_request("vm-0", "/new/x")).status == 200
 
     scenes.run(scenario)
@@ -46,14 +46,14 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await deployment.settle(5.0)
+        await deployment.wait_for_updates(5.0)
         scene.store.faults.silent = True
         scene.store.remove("servers/statements-0")
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.write_configuration()
         scene.store.compact()
         scene.store.faults.silent = False
-        await deployment.settle(15.0)
+        await deployment.wait_for_updates(15.0)
         assert (await scene.send_request("vm-0", "/new/x")).status == 200
         assert "statements-0" not in scene.daemons["vm-0"].board.targets
 
@@ -75,12 +75,12 @@
         await scene.daemons["vm-0"].abort()
         setattr(scene.store.faults, fault, True)
         await scene.add_vm("late")
-        await deployment.settle()
+        await deployment.wait_for_updates()
         answer = await scene.send_request("late", "/one/x")
         assert answer.status == 503
         assert float(scenes.get_headers(answer)["retry-after"]) > 0
         setattr(scene.store.faults, fault, False)
-        await deployment.settle(4.0)
+        await deployment.wait_for_updates(4.0)
         assert (await scene.send_request("late", "/one/x")).status == 200
 
     scenes.run(scenario)
@@ -91,7 +91,7 @@
         scene.store.faults.slow_s = 0.3
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.write_configuration()
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         assert (await scene.send_request("vm-0", "/new/x")).status == 200
 
     scenes.run(scenario)
@@ -105,7 +105,7 @@
         ]
         scene.add_route("/split/", TrafficSplit=split)
         scene.write_configuration()
-        await deployment.settle()
+        await deployment.wait_for_updates()
         for _ in range(40):
             answer = await scene.send_request("vm-0", "/split/x")
             assert answer.status == 200
@@ -144,12 +144,12 @@
     async def scenario(scene: deployment.Deployment) -> None:
         setattr(scene.store.faults, fault, True)
         await scene.add_vm("late")
-        await deployment.settle(3.0)
+        await deployment.wait_for_updates(3.0)
         assert (await scene.send_request("late", "/one/x")).status == 200
         setattr(scene.store.faults, fault, False)
         scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
         scene.write_configuration()
-        await deployment.settle(4.0)
+        await deployment.wait_for_updates(4.0)
         assert (await scene.send_request("late", "/new/x")).status == 200
 
     scenes.run(scenario)
--- a/tests/forwarding/test_connections.py
+++ b/tests/forwarding/test_connections.py
@@ -24,7 +24,7 @@
         for number in range(40):
             entry = scene.searchers["statements-0"].make_entry(Slots=2 + number)
             scene.store.put("servers/statements-0", entry)
-            await deployment.settle(0.25)
+            await deployment.wait_for_updates(0.25)
         assert 1 <= full.accepted_connections - before <= 8
 
     scenes.run(scenario)
@@ -45,7 +45,7 @@
         for _ in range(3):
             await scene.send_request("vm-0", "/one/x")
         only.max_connections = 4
-        await deployment.settle(1.0)
+        await deployment.wait_for_updates(1.0)
         answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status == 200
 
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -48,7 +48,7 @@
         for round_ in range(6):
             vm = f"vm-{round_ % 2}"
             await scene.send_request(vm, "/one/poison")
-            await deployment.settle(3.0)
+            await deployment.wait_for_updates(3.0)
         assert 3 <= len(crashed) <= 6
         for vm in scene.daemons:
             answer = await scene.send_request(vm, "/one/poison")
@@ -66,7 +66,7 @@
             await scene.send_request(
                 f"vm-{round_ % 4}", "/once/poison", "POST", b"x"
             )
-            await deployment.settle(3.0)
+            await deployment.wait_for_updates(3.0)
         assert 3 <= len(crashed) <= 5
 
     scenes.run(scenario, vms=4)
@@ -87,11 +87,11 @@
         for _ in range(8):
             answer = await scene.send_request("vm-0", "/one/x")
             assert answer.status in (502, 503)
-            await deployment.settle(2.0)
+            await deployment.wait_for_updates(2.0)
         for index in range(2):
             name = f"statements-{index}"
             scene.searchers[name].script = searcher.Reaction().always
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         assert (await scene.send_request("vm-0", "/one/x")).status == 200
 
     scenes.run(scenario)
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -46,7 +46,7 @@
 def test_it_returns_the_advertised_vms_but_not_itself() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
-        await deployment.settle(4.0)
+        await deployment.wait_for_updates(4.0)
         assert await look_up() == sorted(map(scene.get_address, scene.daemons))
         for each in (*scene.daemons.values(), directory):
             assert sorted(each.board.members) == sorted(scene.daemons)
@@ -64,7 +64,7 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         assert await look_up() is None
         await directory.abort()
 
@@ -74,9 +74,9 @@
 def test_a_killed_vm_is_soon_removed() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
-        await deployment.settle(4.0)
+        await deployment.wait_for_updates(4.0)
         await scene.daemons.pop("vm-1").abort()
-        await deployment.settle(5.0)
+        await deployment.wait_for_updates(5.0)
         assert await look_up() == sorted(map(scene.get_address, scene.daemons))
         await directory.abort()
 
--- a/tests/forwarding/test_gather.py
+++ b/tests/forwarding/test_gather.py
@@ -95,7 +95,7 @@
         for service in ("shard-a", "shard-b"):
             for index in range(2):
                 scene.store.remove(f"servers/{service}-{index}")
-        await deployment.settle()
+        await deployment.wait_for_updates()
         before = len(scene.searchers["shard-c-0"].requests)
         answer = await scene.send_request("vm-0", "/all/x")
         assert answer.status == 503
@@ -142,7 +142,7 @@
                 )
         scene.configuration["Routes"][0]["TargetLatencyMs"] = 900
         scene.write_configuration()
-        await deployment.settle()
+        await deployment.wait_for_updates()
         running = asyncio.ensure_future(scene.send_request("vm-0", "/all/x"))
         await asyncio.sleep(0.05)
         scene.configuration["Routes"][0]["FanoutServices"] = ["new-0", "new-1"]
--- a/tests/forwarding/test_members.py
+++ b/tests/forwarding/test_members.py
@@ -27,7 +27,7 @@
 
 def test_all_ready_vms_are_advertised() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         expected = sorted(scene.get_address(vm) for vm in scene.daemons)
         for vm in scene.daemons:
             assert await resolve(scene, vm) == expected
@@ -37,9 +37,9 @@
 
 def test_a_killed_vm_is_advertised_for_a_few_seconds_at_most() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         await scene.daemons["vm-1"].abort()
-        await deployment.settle(5.0)
+        await deployment.wait_for_updates(5.0)
         assert scene.get_address("vm-1") not in await resolve(scene, "vm-0")
 
     scenes.run(scenario, vms=2)
@@ -53,14 +53,14 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         both = await resolve(scene, "vm-0")
         scene.store.faults.busy = True
-        await deployment.settle(10.0)
+        await deployment.wait_for_updates(10.0)
         assert await resolve(scene, "vm-0") == both
         scene.store.faults.busy = False
         for _ in range(8):
-            await deployment.settle(0.5)
+            await deployment.wait_for_updates(0.5)
             assert await resolve(scene, "vm-0") == both
 
     scenes.run(scenario, vms=2)
@@ -75,7 +75,7 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = lambda seen: (
                 searcher.Reaction(delay_s=0.7)
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -15,7 +15,7 @@
 
 async def settle_sources(scene: deployment.Deployment) -> str:
     """Checks that one VM per zone watches the store; returns zone-0's."""
-    await deployment.settle(3.0)
+    await deployment.wait_for_updates(3.0)
     watching = {
         program.board.identity.zone: vm
         for vm, program in scene.daemons.items()
@@ -36,7 +36,7 @@
     scene.configuration["Version"] += 1
     expected = scene.configuration["Version"]
     scene.store.put("op/config", scene.configuration)
-    await deployment.settle(within_s)
+    await deployment.wait_for_updates(within_s)
     for vm, program in scene.daemons.items():
         configuration = program.board.configuration
         assert configuration is not None
@@ -106,7 +106,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle_sources(scene)
         setattr(scene.store.faults, fault, True)
-        await deployment.settle(8.0)
+        await deployment.wait_for_updates(8.0)
         setattr(scene.store.faults, fault, False)
         await check_change(scene, 3.0)
 
--- a/tests/forwarding/test_roster.py
+++ b/tests/forwarding/test_roster.py
@@ -71,7 +71,7 @@
 
 async def settle(scene: deployment.Deployment) -> dict[str, str]:
     """Waits until every VM is announced; returns the relays by zone."""
-    await deployment.settle(6.0)
+    await deployment.wait_for_updates(6.0)
     check_members(scene)
     relays = find_relays(scene)
     assert sorted(relays) == ["zone-0", "zone-1"]
@@ -82,7 +82,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         scene.store.calls.clear()
-        await deployment.settle(20.0)
+        await deployment.wait_for_updates(20.0)
         advertised = len(scene.daemons["vm-0"].board.advertised)
         writers = advertised + 2
         assert scene.store.calls["/kv-keep"] <= writers * 25
@@ -109,7 +109,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         await scene.daemons.pop(pick_standby(scene)).abort()
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -124,13 +124,13 @@
         program._feed._relays = _TimingOutRelays()
         stores = program._feed._store, program._members._store
         cut_from_store(scene, paused)
-        await deployment.settle(REMOVAL_S)
+        await deployment.wait_for_updates(REMOVAL_S)
         for vm, other in scene.daemons.items():
             if vm != paused:
                 assert paused not in other.board.members
         program._feed._relays = relays
         program._feed._store, program._members._store = stores
-        await deployment.settle(RECOVERY_S)
+        await deployment.wait_for_updates(RECOVERY_S)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -143,12 +143,12 @@
         await settle(scene)
         leaving = pick_standby(scene)
         stopping = asyncio.ensure_future(scene.daemons[leaving].stop())
-        await deployment.settle(1.0)
+        await deployment.wait_for_updates(1.0)
         for _ in range(8):
             for vm, program in scene.daemons.items():
                 if vm != leaving:
                     assert leaving not in program.board.members
-            await deployment.settle(0.5)
+            await deployment.wait_for_updates(0.5)
         await stopping
         scene.daemons.pop(leaving)
         check_members(scene)
@@ -174,7 +174,7 @@
                 cut_from_store(scene, lost)
             case "cut":
                 cut_from_store(scene, lost)
-        await deployment.settle(REMOVAL_S)
+        await deployment.wait_for_updates(REMOVAL_S)
         for vm, program in scene.daemons.items():
             if vm == lost:
                 continue
@@ -199,10 +199,10 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         setattr(scene.store.faults, fault, True)
-        await deployment.settle(10.0)
+        await deployment.wait_for_updates(10.0)
         setattr(scene.store.faults, fault, False)
         for _ in range(12):
-            await deployment.settle(0.5)
+            await deployment.wait_for_updates(0.5)
             check_members(scene)
 
     scenes.run(scenario, vms=VMS, seed=seed)
@@ -215,10 +215,10 @@
         await settle(scene)
         back = await scene.add_vm("vm-new", "zone-0")
         scene.store.faults.lost = 2
-        await deployment.settle(0.4)
+        await deployment.wait_for_updates(0.4)
         await back.abort()
         scene.daemons.pop("vm-new")
-        await deployment.settle(REMOVAL_S)
+        await deployment.wait_for_updates(REMOVAL_S)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -230,7 +230,7 @@
         killed = list(scene.daemons)
         for vm in killed:
             await scene.daemons[vm].abort()
-        await deployment.settle(1.5)
+        await deployment.wait_for_updates(1.5)
         zones = {
             vm: program.board.identity.zone
             for vm, program in scene.daemons.items()
@@ -238,10 +238,10 @@
         scene.daemons.clear()
         for vm in killed:
             await scene.add_vm(vm, zones[vm])
-        await deployment.settle(1.0)
+        await deployment.wait_for_updates(1.0)
         assert (await scene.send_request("vm-0", "/one/x")).status == 200
         assert await resolve(scene, "vm-0")
-        await deployment.settle(3.0)
+        await deployment.wait_for_updates(3.0)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -261,10 +261,10 @@
         assert standbys
         base = int(scene.get_address(relay).rpartition(":")[2])
         await scene.daemons.pop(relay).abort()
-        await deployment.settle(0.2)
+        await deployment.wait_for_updates(0.2)
         await scene.add_vm(relay, "zone-0", base)
         for _ in range(12):
-            await deployment.settle(0.25)
+            await deployment.wait_for_updates(0.25)
             assert standbys <= scene.daemons["vm-1"].board.members.keys()
 
     scenes.run(scenario, vms=VMS)
@@ -283,9 +283,9 @@
         advertised = scene.daemons["vm-0"].board.advertised
         cut = next(vm for vm in advertised if vm not in relays.values())
         cut_from_store(scene, cut)
-        await deployment.settle(1.2)
+        await deployment.wait_for_updates(1.2)
         for _ in range(15):
-            await deployment.settle(0.1)
+            await deployment.wait_for_updates(0.1)
             assert not scene.daemons[cut].board.contact.reachable
 
     scenes.run(scenario, vms=VMS)
--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -23,7 +23,7 @@
         scene.store.put(
             "servers/statements-0", leaving.make_entry(State="draining")
         )
-        await deployment.settle()
+        await deployment.wait_for_updates()
         before = len(leaving.requests)
         await ask_often(scene)
         assert len(leaving.requests) == before
@@ -34,11 +34,11 @@
 def test_an_evacuated_zone_gets_no_calls_until_it_is_restored() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.store.put("op/evacuate/zone-0", {})
-        await deployment.settle()
+        await deployment.wait_for_updates()
         await ask_often(scene)
         assert not scene.searchers["statements-0"].requests
         scene.store.remove("op/evacuate/zone-0")
-        await deployment.settle()
+        await deployment.wait_for_updates()
         await ask_often(scene)
         assert scene.searchers["statements-0"].requests
 
@@ -62,7 +62,7 @@
             described = scene.searchers["statements-0"].make_entry()
             written = described | entry
         scene.store.put("servers/statements-0", written)
-        await deployment.settle()
+        await deployment.wait_for_updates()
         await ask_often(scene)
         assert not scene.searchers["statements-0"].requests
 
@@ -82,7 +82,7 @@
         for known in ("statements-0", "statements-1"):
             scene.store.remove(f"servers/{known}")
         scene.store.put(f"servers/{name}", described)
-        await deployment.settle(3.0)
+        await deployment.wait_for_updates(3.0)
         answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status == 503
         assert not scene.searchers["statements-0"].requests
@@ -101,16 +101,16 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         scene.store.faults.busy = True
-        await deployment.settle(3.0)
+        await deployment.wait_for_updates(3.0)
         for name in list(scene.searchers):
             scene.store.remove(f"servers/{name}")
         scene.store.faults.busy = False
-        await deployment.settle(1.0)
+        await deployment.wait_for_updates(1.0)
         await ask_often(scene)
         for name, each in scene.searchers.items():
             if name != "statements-0":
                 scene.store.put(f"servers/{name}", each.make_entry())
-        await deployment.settle(3.0)
+        await deployment.wait_for_updates(3.0)
         before = len(scene.searchers["statements-0"].requests)
         await ask_often(scene)
         assert len(scene.searchers["statements-0"].requests) == before
@@ -120,9 +120,9 @@
 
 def test_a_removed_entry_takes_effect_at_once_if_the_store_is_up() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        await deployment.settle(5.0)
+        await deployment.wait_for_updates(5.0)
         scene.store.remove("servers/statements-0")
-        await deployment.settle(0.5)
+        await deployment.wait_for_updates(0.5)
         await ask_often(scene)
         assert not scene.searchers["statements-0"].requests
 
@@ -135,7 +135,7 @@
         crashed.crash()
         await ask_often(scene)
         await crashed.start()
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         await ask_often(scene, 30)
         assert crashed.requests
 
@@ -154,7 +154,7 @@
         board.targets["statements-0"].record.slowness = 9.0
         again = scene.searchers["statements-0"].make_entry(born=2_000)
         scene.store.put("servers/statements-0", again)
-        await deployment.settle()
+        await deployment.wait_for_updates()
         assert board.targets["statements-0"].record.slowness == 1.0
 
     scenes.run(scenario)
@@ -175,7 +175,7 @@
         for each in scene.configuration["Services"]:
             each["ColdPerS"] = 4.0
         scene.write_configuration()
-        await deployment.settle(15.0)
+        await deployment.wait_for_updates(15.0)
         crashed = scene.searchers["statements-0"]
         crashed.crash()
         for _ in range(10):
@@ -211,7 +211,7 @@
         for each in scene.configuration["Services"]:
             each["ColdPerS"] = 4.0
         scene.write_configuration()
-        await deployment.settle(15.0)
+        await deployment.wait_for_updates(15.0)
         await ask_often(scene, 40)
         loop = asyncio.get_running_loop()
         target = scene.daemons["vm-0"].board.targets["statements-0"]
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -278,7 +278,7 @@
             )
             for _ in range(target.pool.limit)
         ]
-        await deployment.settle(0.05)
+        await deployment.wait_for_updates(0.05)
         late = await scene.send_request(
             "vm-0", "/once/x", "POST", b"order", deadline_ms=300, request_id="l"
         )
