--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -46,18 +46,24 @@
     Attributes:
         faults: The injected faults.
         compacted_revision: Watches from before this revision get 410.
-        calls: The number of calls by path.
+        call_counts: The number of calls by path.
         server: The HTTP server.
         state: The keys, revisions and leases.
     """
 
-    __slots__ = ("calls", "compacted_revision", "faults", "server", "state")
+    __slots__ = (
+        "call_counts",
+        "compacted_revision",
+        "faults",
+        "server",
+        "state",
+    )
 
     def __init__(self, address: str) -> None:
         """Makes an empty store; see `start`."""
         self.faults = Faults()
         self.compacted_revision = 0
-        self.calls: collections.Counter[str] = collections.Counter()
+        self.call_counts: collections.Counter[str] = collections.Counter()
         self.state = store_state.State()
         self.server = web_server.Server(address, self._handle)
 
@@ -92,7 +98,7 @@
     async def _handle(self, request: web_api.Request) -> web_api.Response:
         """Answers one call, subject to the injected faults."""
         path = request.path.rpartition("/")[0] or request.path
-        self.calls[path] += 1
+        self.call_counts[path] += 1
         if self.faults.silent:
             await asyncio.sleep(3600)
         if self.faults.slow_s:
--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -121,11 +121,11 @@
 
 def test_a_burst_of_versions_causes_few_store_calls() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        before = scene.store.calls["/kv-watch"]
+        before = scene.store.call_counts["/kv-watch"]
         for _ in range(50):
             scene.write_configuration()
             await asyncio.sleep(0.04)
-        assert scene.store.calls["/kv-watch"] - before <= 12
+        assert scene.store.call_counts["/kv-watch"] - before <= 12
 
     scenes.run(scenario)
 
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -46,9 +46,9 @@
 def test_one_vm_per_zone_watches_and_all_vms_receive_a_change() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle_sources(scene)
-        before = scene.store.calls["/kv-watch"]
+        before = scene.store.call_counts["/kv-watch"]
         await check_change(scene, 0.6)
-        assert scene.store.calls["/kv-watch"] - before <= 4
+        assert scene.store.call_counts["/kv-watch"] - before <= 4
 
     scenes.run(scenario, vms=VMS)
 
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -227,8 +227,8 @@
 
 def test_roll_outs_cause_no_store_calls_without_orders() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        before = scene.store.calls["/kv-txn"]
+        before = scene.store.call_counts["/kv-txn"]
         await send(scene, "/one/x", 5.0)
-        assert scene.store.calls["/kv-txn"] == before
+        assert scene.store.call_counts["/kv-txn"] == before
 
     scenes.run(scenario)
--- a/tests/forwarding/test_roster.py
+++ b/tests/forwarding/test_roster.py
@@ -81,14 +81,14 @@
 def test_standbys_cause_no_store_calls() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        scene.store.calls.clear()
+        scene.store.call_counts.clear()
         await deployment.wait_for_updates(20.0)
         advertised = len(scene.daemons["vm-0"].board.advertised)
         writers = advertised + 2
-        assert scene.store.calls["/kv-keep"] <= writers * 25
-        assert scene.store.calls["/kv-txn"] == 0
-        assert scene.store.calls["/kv-lease"] == 0
-        assert scene.store.calls["/kv-watch"] <= 8
+        assert scene.store.call_counts["/kv-keep"] <= writers * 25
+        assert scene.store.call_counts["/kv-txn"] == 0
+        assert scene.store.call_counts["/kv-lease"] == 0
+        assert scene.store.call_counts["/kv-watch"] <= 8
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -38,7 +38,7 @@
         listing = (await client.read_prefix("k/")).ok
         assert len(listing.entries) == 120
         assert listing.revision == 120
-        assert server.calls["/kv-range"] == 3
+        assert server.call_counts["/kv-range"] == 3
 
     run(scenario)
 
@@ -138,7 +138,7 @@
         written = (await client.write_batch(changes)).ok
         assert written == api.Written(server.state.revision)
         assert server.state.read("old") is None
-        assert server.calls["/kv-txn"] == 2
+        assert server.call_counts["/kv-txn"] == 2
 
     run(scenario)
 
