--- a/src/azureramp_standins/platform.py
+++ b/src/azureramp_standins/platform.py
@@ -55,17 +55,24 @@
 
     Attributes:
         faults: The injected faults.
-        meter: Counts the calls.
+        call_meter: Counts the calls.
         server: The HTTP server.
         state: The state of the key-value service.
     """
 
-    __slots__ = ("_list_history", "_vms", "faults", "meter", "server", "state")
+    __slots__ = (
+        "_list_history",
+        "_vms",
+        "call_meter",
+        "faults",
+        "server",
+        "state",
+    )
 
     def __init__(self, address: str) -> None:
         """Makes a platform without keys and VMs; see `make`."""
         self.faults = Faults()
-        self.meter = platform_meter.Meter()
+        self.call_meter = platform_meter.Meter()
         self.state = store_state.State()
         self.server = web_server.Server(address, self.handle)
         self._vms: dict[str, vmlist_api.Vm] = {}
@@ -88,7 +95,7 @@
         """Serves the interface for call counts and fault injection."""
         match request.method, request.path:
             case "GET", "/stats":
-                return _make_response(200, self.meter.get_stats())
+                return _make_response(200, self.call_meter.get_stats())
             case "GET", "/faults":
                 return _make_response(200, self.faults)
             case "POST", "/faults":
@@ -101,7 +108,7 @@
         name = request.path.removeprefix("/vms").lstrip("/")
         match request.method:
             case "GET" if not name:
-                self.meter.count("list")
+                self.call_meter.count("list")
                 if self.faults.list_down:
                     return _make_response(503, {"detail": "the list is down"})
                 return _make_response(200, self._get_vm_list())
@@ -127,7 +134,7 @@
 
     async def _handle_store(self, request: web_api.Request) -> web_api.Response:
         """Serves the key-value service, subject to the injected faults."""
-        self.meter.count(_classify_call(request))
+        self.call_meter.count(_classify_call(request))
         self.state.expire_leases(asyncio.get_running_loop().time())
         if self.faults.down:
             await self._delay()
@@ -211,7 +218,7 @@
         after = int(request.query["after"])
         wait_s = int(request.query["wait_ms"]) / 1000
         deadline_s = loop.time() + min(wait_s, MAX_WAIT_S)
-        self.meter.waiting += 1
+        self.call_meter.waiting += 1
         try:
             while True:
                 self.state.expire_leases(loop.time())
@@ -226,7 +233,7 @@
                     remaining_s = min(remaining_s, expiry_s - loop.time())
                 await self.state.wait_for_change(remaining_s)
         finally:
-            self.meter.waiting -= 1
+            self.call_meter.waiting -= 1
 
     def _handle_lease(self, request: web_api.Request) -> web_api.Response:
         """Grants or renews a lease."""
