--- a/src/azureramp_standins/platform.py
+++ b/src/azureramp_standins/platform.py
@@ -72,7 +72,7 @@
     def __init__(self, address: str) -> None:
         """Makes a platform without keys and VMs; see `make`."""
         self.faults = Faults()
-        self.call_meter = platform_meter.Meter()
+        self.call_meter = platform_meter.CallMeter()
         self.state = store_state.State()
         self.server = web_server.Server(address, self.handle)
         self._vms: dict[str, vmlist_api.Vm] = {}
--- a/src/azureramp_standins/platform_meter.py
+++ b/src/azureramp_standins/platform_meter.py
@@ -25,7 +25,7 @@
     waiting: int
 
 
-class Meter:
+class CallMeter:
     """Counts calls by kind and second.
 
     Attributes:
