--- a/src/azureramp_standins/processes.py
+++ b/src/azureramp_standins/processes.py
@@ -15,7 +15,7 @@
 import sys
 import time
 
-START_S = 15.0
+MAX_START_S = 15.0
 """Maximum wait for a process to listen, in seconds."""
 
 STOP_S = 40.0
@@ -122,10 +122,10 @@
     """Waits until a process accepts connections.
 
     Raises:
-        StartError: The process exited or did not listen within `START_S`.
+        StartError: The process exited or did not listen within `MAX_START_S`.
     """
     host, _, port = process.address.rpartition(":")
-    deadline_s = time.monotonic() + START_S
+    deadline_s = time.monotonic() + MAX_START_S
     while time.monotonic() < deadline_s:
         if process.popen.poll() is not None:
             code = process.popen.returncode
