--- a/src/azureramp_standins/processes.py
+++ b/src/azureramp_standins/processes.py
@@ -18,7 +18,7 @@
 MAX_START_S = 15.0
 """Maximum wait for a process to listen, in seconds."""
 
-STOP_S = 40.0
+MAX_STOP_S = 40.0
 """Maximum wait for a process to exit, in seconds."""
 
 FIRST_PORT = 10_000
@@ -50,13 +50,13 @@
             self.popen.send_signal(signal.SIGTERM)
 
     def wait(self) -> int:
-        """Waits until the process exits; kills it after `STOP_S`.
+        """Waits until the process exits; kills it after `MAX_STOP_S`.
 
         Returns:
             The exit code.
         """
         try:
-            return self.popen.wait(STOP_S)
+            return self.popen.wait(MAX_STOP_S)
         except subprocess.TimeoutExpired:
             self.popen.kill()
             return self.popen.wait()
