--- a/src/azureramp_standins/searcher.py
+++ b/src/azureramp_standins/searcher.py
@@ -20,7 +20,7 @@
 
 DEFAULT_DATA = pathlib.Path(__file__).with_name("burial_fund.json")
 CRASH_STATUS = 70
-STOP_S = 10.0
+MAX_STOP_S = 10.0
 
 
 class Faults(msgspec.Struct):
@@ -249,7 +249,7 @@
         with contextlib.suppress(NotImplementedError):
             loop.add_signal_handler(number, stopped.set)
     await stopped.wait()
-    await server.stop(STOP_S)
+    await server.stop(MAX_STOP_S)
 
 
 @click.command()
