--- a/src/azureramp_standins/virtual.py
+++ b/src/azureramp_standins/virtual.py
@@ -16,7 +16,7 @@
 """Resolution of the virtual clock, in seconds."""
 
 
-class EventLoop(async_solipsism.EventLoop):  # type: ignore[misc]
+class VirtualEventLoop(async_solipsism.EventLoop):  # type: ignore[misc]
     """An event loop whose timers never fire early.
 
     The clock advances in ticks. A timer less than half a tick away would fire
@@ -60,5 +60,5 @@
     with warnings.catch_warnings():
         # async_solipsism warns that in-memory sockets have no options.
         warnings.simplefilter("ignore", async_solipsism.SolipsismWarning)
-        with asyncio.Runner(loop_factory=EventLoop) as runner:
+        with asyncio.Runner(loop_factory=VirtualEventLoop) as runner:
             return runner.run(coroutine)
