--- a/src/azureramp_standins/client.py
+++ b/src/azureramp_standins/client.py
@@ -26,7 +26,7 @@
         self._token = token
         self.addresses = addresses
 
-    async def ask(
+    async def send_request(
         self,
         method: str,
         path: str,
@@ -68,7 +68,7 @@
         Returns:
             Time for which the addresses may be cached, in milliseconds.
         """
-        response = await self.ask("GET", "/v1/addresses")
+        response = await self.send_request("GET", "/v1/addresses")
         answer = msgspec.json.decode(response.body)
         self.addresses = tuple(answer["addresses"])
         return int(answer["lifetime_ms"])
--- a/src/azureramp_standins/demo.py
+++ b/src/azureramp_standins/demo.py
@@ -46,7 +46,9 @@
     """
     async with asyncio.timeout(READY_S):
         while True:
-            response = await caller.ask("POST", "/v1/query", make_query("x"))
+            response = await caller.send_request(
+                "POST", "/v1/query", make_query("x")
+            )
             answer = msgspec.json.decode(response.body)
             if answer.get("complete"):
                 return
@@ -60,7 +62,9 @@
         True if the answer is complete.
     """
     start_s = time.monotonic()
-    response = await caller.ask("POST", "/v1/query", make_query("MacAoidh"))
+    response = await caller.send_request(
+        "POST", "/v1/query", make_query("MacAoidh")
+    )
     took_ms = (time.monotonic() - start_s) * 1000
     answer = msgspec.json.decode(response.body)
     print_lines(f"\nA caller searches for 'MacAoidh': HTTP {response.status}")
@@ -92,7 +96,7 @@
     async def send_queries() -> None:
         while not stopping.is_set():
             try:
-                response = await caller.ask(
+                response = await caller.send_request(
                     "POST", "/v1/query", make_query("Müller")
                 )
                 answer = msgspec.json.decode(response.body)
@@ -167,7 +171,9 @@
     }
     headers = (("Idempotency-Key", "grant-2026-0001"),)
     for _ in range(2):
-        response = await caller.ask("POST", "/v1/execute", body, headers)
+        response = await caller.send_request(
+            "POST", "/v1/execute", body, headers
+        )
         answer = msgspec.json.decode(response.body)
         print_lines(
             f"  HTTP {response.status}, replayed {answer.get('replayed')}, "
@@ -177,7 +183,7 @@
     effects = 0
     for searcher in running.searchers.values():
         searcher_client = client.Client("", (searcher.address,))
-        response = await searcher_client.ask("GET", "/v1/effects")
+        response = await searcher_client.send_request("GET", "/v1/effects")
         effects += len(msgspec.json.decode(response.body))
     print_lines(f"  the backend servers ran it {effects} time(s)")
     return effects == 1
--- a/src/azureramp_standins/deployment.py
+++ b/src/azureramp_standins/deployment.py
@@ -229,7 +229,7 @@
         vm: The VM's entry.
     """
     platform_client = client.Client("", (platform,))
-    await platform_client.ask("PUT", f"/vms/{vm.name}", vm)
+    await platform_client.send_request("PUT", f"/vms/{vm.name}", vm)
 
 
 def _make_server(number: int, address: str) -> resources.BackendServer:
--- a/tests/processes/test_rolling_restart.py
+++ b/tests/processes/test_rolling_restart.py
@@ -36,7 +36,7 @@
     while not stopping.is_set():
         if loop.time() >= expires_s:
             expires_s = loop.time() + await caller.refresh() / 1000
-        response = await caller.ask(
+        response = await caller.send_request(
             "POST", "/v1/query", demo.make_query("MacAoidh")
         )
         answer = msgspec.json.decode(response.body)
