--- a/src/azureramp_standins/client.py
+++ b/src/azureramp_standins/client.py
@@ -62,7 +62,7 @@
                 opened.ok.abort()
         raise ConnectionError("no entry VM accepts connections")
 
-    async def refresh(self) -> int:
+    async def refresh_addresses(self) -> int:
         """Replaces the addresses with those that an entry VM advertises.
 
         Returns:
--- a/src/azureramp_standins/demo.py
+++ b/src/azureramp_standins/demo.py
@@ -108,7 +108,7 @@
             codes[code] = codes.get(code, 0) + 1
             await asyncio.sleep(0.005)
             if sum(codes.values()) % 100 == 0:
-                await caller.refresh()
+                await caller.refresh_addresses()
 
     print_lines(f"\nZone {DRAINED_ZONE} is drained while queries run:")
     querying = asyncio.create_task(send_queries())
@@ -204,7 +204,7 @@
     first = running.daemons["entry-1"].address
     caller = client.Client(deployment.CALLER_TOKEN, (first,))
     await wait_until_answered(caller)
-    lifetime_ms = await caller.refresh()
+    lifetime_ms = await caller.refresh_addresses()
     print_lines(
         f"\nThe caller fetches the addresses to use: "
         f"{', '.join(caller.addresses)}, valid for {lifetime_ms} ms"
--- a/tests/processes/test_rolling_restart.py
+++ b/tests/processes/test_rolling_restart.py
@@ -35,7 +35,7 @@
     expires_s = 0.0
     while not stopping.is_set():
         if loop.time() >= expires_s:
-            expires_s = loop.time() + await caller.refresh() / 1000
+            expires_s = loop.time() + await caller.refresh_addresses() / 1000
         response = await caller.send_request(
             "POST", "/v1/query", demo.make_query("MacAoidh")
         )
