--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -364,7 +364,9 @@
         response = web_api.Response(status=0)
         for _ in range(MAX_CHANGE_ATTEMPTS):
             for name in candidates:
-                response = await self.ask(name, self._make_change(resource))
+                response = await self.send_request(
+                    name, self._make_change(resource)
+                )
                 if response.status not in (0, 503):
                     return response
             await asyncio.sleep(CHANGE_RETRY_DELAY_S)
@@ -384,7 +386,9 @@
             msgspec.json.encode(resource),
         )
 
-    async def ask(self, vm: str, request: web_api.Request) -> web_api.Response:
+    async def send_request(
+        self, vm: str, request: web_api.Request
+    ) -> web_api.Response:
         """Calls a VM's request handler, without the HTTP transport.
 
         Returns:
--- a/src/azureramp_standins/measuring/platform_calls.py
+++ b/src/azureramp_standins/measuring/platform_calls.py
@@ -125,7 +125,7 @@
         self.waiting += 1
         for _ in range(MAX_ATTEMPTS):
             vm = vms[self.rng.randrange(len(vms))]
-            response = await self.deployment.ask(vm, request)
+            response = await self.deployment.send_request(vm, request)
             if response.status == 200:
                 self.served += 1
                 self.waiting -= 1
--- a/src/azureramp_standins/measuring/propagation.py
+++ b/src/azureramp_standins/measuring/propagation.py
@@ -164,7 +164,7 @@
     """Returns True if a VM reports that a revision is in force."""
     token = {"authorization": f"Bearer {cluster.OPERATOR_TOKEN}"}
     query = {"revision": str(revision)}
-    response = await deployment.ask(
+    response = await deployment.send_request(
         vm, web_api.Request("GET", "/v1/status", query, token)
     )
     status = msgspec.json.decode(
--- a/src/azureramp_standins/traffic.py
+++ b/src/azureramp_standins/traffic.py
@@ -118,7 +118,7 @@
     if over_http:
         response = await _send_over_http(deployment, vm, request)
     else:
-        response = await deployment.ask(vm, request)
+        response = await deployment.send_request(vm, request)
     received = _read_answer(
         response, vm, sent_s, loop.time(), wanted, idempotency_key
     )
