--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -343,7 +343,7 @@
         self.history.end_s = asyncio.get_running_loop().time()
         return self.history
 
-    async def change(
+    async def put_resource(
         self, vm: str, resource: resources.AnyResource
     ) -> web_api.Response:
         """Puts a resource through the operators' HTTP interface.
--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -165,7 +165,7 @@
 
     async def _change_policy(self) -> None:
         """Changes a resource that has no effect on answers."""
-        await self._deployment.change(
+        await self._deployment.put_resource(
             self._choose_vm(),
             resources.Policy(name="default", queue_ms=900),
         )
--- a/src/azureramp_standins/matrix/changes.py
+++ b/src/azureramp_standins/matrix/changes.py
@@ -92,7 +92,7 @@
     for searcher in deployment.fleet.searchers.values():
         searcher.versions = (f"{service.name}.2",)
     shard_map = layouts.make_shard_map(service, 2, service.shards + 1)
-    await deployment.change(target.get_vm(), shard_map)
+    await deployment.put_resource(target.get_vm(), shard_map)
 
 
 async def end_repartition(target: FaultTarget) -> None:
@@ -100,7 +100,7 @@
     deployment = target.deployment
     service = deployment.layout.services[0]
     shard_map = layouts.make_shard_map(service, 2, service.shards + 1)
-    await deployment.change(target.get_vm(), shard_map)
+    await deployment.put_resource(target.get_vm(), shard_map)
 
 
 async def begin_cold(target: FaultTarget) -> None:
@@ -167,7 +167,7 @@
     )
     await asyncio.gather(
         *(
-            deployment.change(vm, change)
+            deployment.put_resource(vm, change)
             for vm, change in zip(running, changes, strict=False)
         )
     )
@@ -255,13 +255,15 @@
     """Drains a zone."""
     zone = target.deployment.layout.zones[-1]
     out = resources.Zone(name=zone, state=resources.ZoneState.OUT)
-    await target.deployment.change(target.get_vm(), out)
+    await target.deployment.put_resource(target.get_vm(), out)
 
 
 async def end_zone_out(target: FaultTarget) -> None:
     """Restores the zone."""
     zone = target.deployment.layout.zones[-1]
-    await target.deployment.change(target.get_vm(), resources.Zone(name=zone))
+    await target.deployment.put_resource(
+        target.get_vm(), resources.Zone(name=zone)
+    )
 
 
 async def begin_planned_stop(target: FaultTarget) -> None:
--- a/src/azureramp_standins/measuring/platform_calls.py
+++ b/src/azureramp_standins/measuring/platform_calls.py
@@ -252,7 +252,7 @@
         await asyncio.sleep(CHANGE_INTERVAL_S)
         number += 1
         policy = resources.Policy(name="default", queue_ms=1000 + number)
-        await deployment.change("vm-0", policy)
+        await deployment.put_resource("vm-0", policy)
 
 
 def _set_faults(
--- a/src/azureramp_standins/measuring/propagation.py
+++ b/src/azureramp_standins/measuring/propagation.py
@@ -110,7 +110,7 @@
     """Makes one change and records when each step is reached."""
     loop = asyncio.get_running_loop()
     start_s = loop.time()
-    response = await deployment.change(asked_vm, zone)
+    response = await deployment.put_resource(asked_vm, zone)
     assert response.status == 200, response.body
     times.answered.append(loop.time() - start_s)
     answer = msgspec.json.decode(
--- a/src/azureramp_standins/measuring/running.py
+++ b/src/azureramp_standins/measuring/running.py
@@ -174,11 +174,11 @@
             return
         case scenarios.Incident.ZONE_CYCLE:
             drained = resources.Zone(name=zone, state=resources.ZoneState.OUT)
-            await deployment.change(vm, drained)
+            await deployment.put_resource(vm, drained)
             await asyncio.sleep(scenario.seconds / 4)
             _make_cold(deployment, zone, restart=True)
             await asyncio.sleep(scenario.seconds / 8)
-            await deployment.change(vm, resources.Zone(name=zone))
+            await deployment.put_resource(vm, resources.Zone(name=zone))
         case scenarios.Incident.COLD_ZONE:
             _make_cold(deployment, zone, restart=False)
 
--- a/tests/cluster/test_query_faults.py
+++ b/tests/cluster/test_query_faults.py
@@ -89,7 +89,7 @@
         asking: list[asyncio.Future[history.RequestOutcome]] = []
         load = asyncio.ensure_future(ask())
         await asyncio.sleep(0.5)
-        await deployment.change("vm-0", new)
+        await deployment.put_resource("vm-0", new)
         for searcher in deployment.fleet.searchers.values():
             searcher.versions = (f"{old.index}.1", f"{old.index}.2")
             await asyncio.sleep(0.02)
--- a/tests/cluster/test_thin_path.py
+++ b/tests/cluster/test_thin_path.py
@@ -48,7 +48,7 @@
         deployment = cluster.make()
         await deployment.start()
         zone = resources.Zone(name="b", state=resources.ZoneState.OUT)
-        response = await deployment.change(vm, zone)
+        response = await deployment.put_resource(vm, zone)
         assert response.status in (200, 202), response.body
         got = [
             await traffic.query(deployment, vm, "Dundee") for _ in range(400)
