--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -200,12 +200,12 @@
     async def start(self) -> None:
         """Declares the resources, starts all VMs and awaits readiness."""
         for resource in layouts.make_resources(self.layout):
-            self.declare(resource)
+            self.write_resource(resource)
         for name in self.vms:
             await self.start_vm(name)
         await self.wait_until_ready()
 
-    def declare(self, resource: resources.AnyResource) -> int:
+    def write_resource(self, resource: resources.AnyResource) -> int:
         """Writes a resource directly into the store, without a daemon.
 
         Returns:
--- a/src/azureramp_standins/measuring/variants.py
+++ b/src/azureramp_standins/measuring/variants.py
@@ -16,9 +16,11 @@
         case scenarios.Variant.DIRECT:
             deployment.isolated = True
         case scenarios.Variant.NO_HEDGE:
-            deployment.declare(resources.Policy(name="default", hedge_budget=0))
+            deployment.write_resource(
+                resources.Policy(name="default", hedge_budget=0)
+            )
         case scenarios.Variant.NO_ADMISSION:
-            deployment.declare(
+            deployment.write_resource(
                 resources.Policy(
                     name="default",
                     queue_limit=UNREACHABLE_LIMIT,
