--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -88,7 +88,7 @@
         network: The network that carries the peer messages.
         state: State of the key-value service.
         vmlist: The VM list.
-        fleet: The searchers.
+        searcher_fleet: The searchers.
         vms: The VMs by name.
         history: Recorded history, the input of the invariant checker.
         overrides: Settings that differ from the defaults.
@@ -101,13 +101,13 @@
         "_ended_timelines",
         "_random",
         "_searcher_names",
-        "fleet",
         "history",
         "isolated",
         "layout",
         "network",
         "observer",
         "overrides",
+        "searcher_fleet",
         "state",
         "vmlist",
         "vms",
@@ -139,7 +139,7 @@
         self.vmlist = vmlist_memory.MemoryVmList(
             *(vm.entry for vm in self.vms.values())
         )
-        self.fleet = searchers_memory.Fleet(
+        self.searcher_fleet = searchers_memory.Fleet(
             self._make_searchers(seed, service_ms)
         )
 
@@ -264,7 +264,7 @@
                 else self.vmlist
             ),
             peers=peers,
-            searchers=searchers_memory.make(self.fleet),
+            searchers=searchers_memory.make(self.searcher_fleet),
         )
         vm.daemon = wiring.make(
             self._make_settings(entry), vm.starts, timeline, counters, ports
--- a/src/azureramp_standins/matrix/changes.py
+++ b/src/azureramp_standins/matrix/changes.py
@@ -46,7 +46,7 @@
 
     def get_searcher(self) -> searchers_memory.Searcher:
         """Returns the step's searcher if it has one, otherwise the first."""
-        fleet = self.deployment.fleet.searchers
+        fleet = self.deployment.searcher_fleet.searchers
         for server in layouts.make_servers(self.deployment.layout):
             for declared in server.searchers:
                 if declared.name == self.reached_step.searcher:
@@ -65,7 +65,7 @@
 
 async def end_straggler(target: FaultTarget) -> None:
     """Restores the normal speed of all searchers."""
-    for searcher in target.deployment.fleet.searchers.values():
+    for searcher in target.deployment.searcher_fleet.searchers.values():
         searcher.faults.straggles = 0.0
 
 
@@ -79,7 +79,7 @@
 
 async def end_replica_lost(target: FaultTarget) -> None:
     """Restarts every backend server that is down, in cold start."""
-    for searcher in target.deployment.fleet.searchers.values():
+    for searcher in target.deployment.searcher_fleet.searchers.values():
         if searcher.faults.down:
             searcher.faults.down = False
             searcher.restart(COLD_CALLS)
@@ -89,7 +89,7 @@
     """Replaces the index version with one with another number of shards."""
     deployment = target.deployment
     service = deployment.layout.services[0]
-    for searcher in deployment.fleet.searchers.values():
+    for searcher in deployment.searcher_fleet.searchers.values():
         searcher.versions = (f"{service.name}.2",)
     shard_map = layouts.make_shard_map(service, 2, service.shards + 1)
     await deployment.put_resource(target.get_vm(), shard_map)
@@ -176,7 +176,7 @@
 async def begin_poison(target: FaultTarget) -> None:
     """Sends a query that crashes each searcher that runs it."""
     deployment = target.deployment
-    for searcher in deployment.fleet.searchers.values():
+    for searcher in deployment.searcher_fleet.searchers.values():
         searcher.faults.crashes_on = POISON_TEXT.encode()
     for _ in range(3):
         await traffic.query(deployment, target.get_vm(), POISON_TEXT)
@@ -223,7 +223,7 @@
 
 async def end_lying_reports(target: FaultTarget) -> None:
     """Makes all searchers report their actual state."""
-    for searcher in target.deployment.fleet.searchers.values():
+    for searcher in target.deployment.searcher_fleet.searchers.values():
         searcher.faults.reports_cold = None
 
 
--- a/src/azureramp_standins/measuring/running.py
+++ b/src/azureramp_standins/measuring/running.py
@@ -95,7 +95,7 @@
     variants.configure(deployment, scenario.variant)
     await deployment.start()
     if scenario.stragglers:
-        for searcher in deployment.fleet.searchers.values():
+        for searcher in deployment.searcher_fleet.searchers.values():
             searcher.faults.straggles = scenarios.STRAGGLER_SHARE
             searcher.faults.straggler_factor = scenarios.STRAGGLER_FACTOR
     samples: list[Sample] = []
@@ -197,7 +197,7 @@
         if server.zone != zone:
             continue
         for declared in server.searchers:
-            searcher = deployment.fleet.searchers[declared.address]
+            searcher = deployment.searcher_fleet.searchers[declared.address]
             if restart:
                 searcher.restart(scenarios.COLD_CALLS)
             else:
--- a/tests/cluster/test_query_faults.py
+++ b/tests/cluster/test_query_faults.py
@@ -90,11 +90,11 @@
         load = asyncio.ensure_future(ask())
         await asyncio.sleep(0.5)
         await deployment.put_resource("vm-0", new)
-        for searcher in deployment.fleet.searchers.values():
+        for searcher in deployment.searcher_fleet.searchers.values():
             searcher.versions = (f"{old.index}.1", f"{old.index}.2")
             await asyncio.sleep(0.02)
         await asyncio.sleep(0.5)
-        for searcher in deployment.fleet.searchers.values():
+        for searcher in deployment.searcher_fleet.searchers.values():
             searcher.versions = (f"{old.index}.2",)
         await load
         await asyncio.gather(*asking)
