--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -92,7 +92,7 @@
         vms: The VMs by name.
         history: Recorded history, the input of the invariant checker.
         overrides: Settings that differ from the defaults.
-        observer: Called with each timeline record of any VM.
+        on_record: Called with each timeline record of any VM.
         isolated: True if the VM list that a VM reads contains only that VM,
             so that each VM is the owner of every searcher.
     """
@@ -105,7 +105,7 @@
         "isolated",
         "layout",
         "network",
-        "observer",
+        "on_record",
         "overrides",
         "searcher_fleet",
         "state",
@@ -128,7 +128,7 @@
         self.history = history.History()
         self.overrides = overrides
         self.isolated = False
-        self.observer: Callable[[timelines.Record], None] | None = None
+        self.on_record: Callable[[timelines.Record], None] | None = None
         self._random = random.Random(seed)
         self._ended_timelines: list[list[timelines.Record]] = []
         self._searcher_names: dict[str, tuple[str, str, str]] = {}
@@ -250,7 +250,7 @@
         vm.store = store_memory.MemoryStore(self.state)
         loop = asyncio.get_running_loop()
         timeline = timelines.Timeline(name, wall=loop.time)
-        timeline.observer = self.observer
+        timeline.observer = self.on_record
         counters = metrics.Metrics()
         entry = vm.entry
         peers = peers_memory.MemoryPeers(
--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -106,7 +106,7 @@
         network = steps.ObservedNetwork(seed, self._detector)
         self._deployment.state = state
         self._deployment.network = network
-        self._deployment.observer = self._detector.observe_event
+        self._deployment.on_record = self._detector.observe_event
         self._faults = [faults.FAULTS[name] for name in names]
         self._step = step
         self._random = random.Random(seed)
