--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -93,8 +93,8 @@
         history: Recorded history, the input of the invariant checker.
         overrides: Settings that differ from the defaults.
         on_record: Called with each timeline record of any VM.
-        isolated: True if the VM list that a VM reads contains only that VM,
-            so that each VM is the owner of every searcher.
+        vm_lists_isolated: True if the VM list that a VM reads contains only
+            that VM, so that each VM is the owner of every searcher.
     """
 
     __slots__ = (
@@ -102,13 +102,13 @@
         "_random",
         "_searcher_names",
         "history",
-        "isolated",
         "layout",
         "network",
         "on_record",
         "overrides",
         "searcher_fleet",
         "state",
+        "vm_lists_isolated",
         "vmlist",
         "vms",
     )
@@ -127,7 +127,7 @@
         self.state = store_state.State()
         self.history = history.History()
         self.overrides = overrides
-        self.isolated = False
+        self.vm_lists_isolated = False
         self.on_record: Callable[[timelines.Record], None] | None = None
         self._random = random.Random(seed)
         self._ended_timelines: list[list[timelines.Record]] = []
@@ -260,7 +260,7 @@
             store=store_counting.CountingStore(vm.store, counters),
             vmlist=(
                 vmlist_memory.MemoryVmList(entry)
-                if self.isolated
+                if self.vm_lists_isolated
                 else self.vmlist
             ),
             peers=peers,
--- a/src/azureramp_standins/measuring/variants.py
+++ b/src/azureramp_standins/measuring/variants.py
@@ -14,7 +14,7 @@
     """Configures a deployment for a variant, before the deployment starts."""
     match variant:
         case scenarios.Variant.DIRECT:
-            deployment.isolated = True
+            deployment.vm_lists_isolated = True
         case scenarios.Variant.NO_HEDGE:
             deployment.write_resource(
                 resources.Policy(name="default", hedge_budget=0)
