--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -66,7 +66,7 @@
         daemon: Its daemon; None while no process runs.
         server: Its HTTP server; None while no process runs.
         store: Its latest client of the key-value service.
-        starts: Number of starts, which is also the incarnation.
+        incarnation: Number of starts, which is also the incarnation.
         stopping: True during a graceful stop.
         started: Set while the daemon runs and has finished its start.
     """
@@ -75,7 +75,7 @@
     daemon: wiring.Daemon | None = None
     server: web_server.Server | None = None
     store: store_memory.MemoryStore | None = None
-    starts: int = 0
+    incarnation: int = 0
     stopping: bool = False
     started: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
@@ -243,7 +243,7 @@
     async def start_vm(self, name: str) -> None:
         """Starts a VM's daemon."""
         vm = self.vms[name]
-        vm.starts += 1
+        vm.incarnation += 1
         # The clocks can't order events of two processes of one VM that are
         # less than a millisecond apart. Real processes take longer to start.
         await asyncio.sleep(MIN_RESTART_S)
@@ -254,7 +254,7 @@
         counters = metrics.Metrics()
         entry = vm.entry
         peers = peers_memory.MemoryPeers(
-            self.network, name, entry.peer_address, vm.starts, timeline
+            self.network, name, entry.peer_address, vm.incarnation, timeline
         )
         ports = wiring.Ports(
             store=store_counting.CountingStore(vm.store, counters),
@@ -267,7 +267,11 @@
             searchers=searchers_memory.make(self.searcher_fleet),
         )
         vm.daemon = wiring.make(
-            self._make_settings(entry), vm.starts, timeline, counters, ports
+            self._make_settings(entry),
+            vm.incarnation,
+            timeline,
+            counters,
+            ports,
         )
         vm.server = web_server.Server(entry.http_address, vm.daemon.handle)
         await vm.daemon.start(vm.server)
