--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -62,7 +62,7 @@
     """One VM and the parts of its process.
 
     Attributes:
-        entry: Its entry in the VM list.
+        list_entry: Its entry in the VM list.
         daemon: Its daemon; None while no process runs.
         server: Its HTTP server; None while no process runs.
         store: Its latest client of the key-value service.
@@ -71,7 +71,7 @@
         started: Set while the daemon runs and has finished its start.
     """
 
-    entry: vmlist_api.Vm
+    list_entry: vmlist_api.Vm
     daemon: wiring.Daemon | None = None
     server: web_server.Server | None = None
     store: store_memory.MemoryStore | None = None
@@ -137,7 +137,7 @@
             for vm in (_make_vm(layout, n) for n in range(layout.vms))
         }
         self.vmlist = vmlist_memory.MemoryVmList(
-            *(vm.entry for vm in self.vms.values())
+            *(vm.list_entry for vm in self.vms.values())
         )
         self.searcher_fleet = searchers_memory.Fleet(
             self._make_searchers(seed, service_ms)
@@ -252,7 +252,7 @@
         timeline = timelines.Timeline(name, wall=loop.time)
         timeline.observer = self.on_record
         counters = metrics.Metrics()
-        entry = vm.entry
+        entry = vm.list_entry
         peers = peers_memory.MemoryPeers(
             self.network, name, entry.peer_address, vm.incarnation, timeline
         )
@@ -322,7 +322,7 @@
         assert vm.server is not None
         daemon, server = vm.daemon, vm.server
         self._discard_daemon(vm)
-        self.network.detach(vm.entry.peer_address)
+        self.network.detach(vm.list_entry.peer_address)
         await server.stop(0.0)
         await daemon.abort()
 
--- a/src/azureramp_standins/matrix/changes.py
+++ b/src/azureramp_standins/matrix/changes.py
@@ -191,16 +191,16 @@
 async def begin_peer_cut(target: FaultTarget) -> None:
     """Drops all messages between a VM and the others."""
     deployment = target.deployment
-    own = deployment.vms[target.get_vm()].entry.peer_address
+    own = deployment.vms[target.get_vm()].list_entry.peer_address
     for vm in deployment.vms.values():
-        other = vm.entry.peer_address
+        other = vm.list_entry.peer_address
         deployment.network.faults.cut |= {(own, other), (other, own)}
 
 
 async def begin_vm_frozen(target: FaultTarget) -> None:
     """Holds all messages to a VM and delays its calls to the store."""
     vm = target.deployment.vms[target.get_vm()]
-    target.deployment.network.faults.frozen.add(vm.entry.peer_address)
+    target.deployment.network.faults.frozen.add(vm.list_entry.peer_address)
     if vm.store is not None:
         vm.store.faults.delay_s = STORE_DELAY_S
 
--- a/src/azureramp_standins/measuring/propagation.py
+++ b/src/azureramp_standins/measuring/propagation.py
@@ -82,10 +82,10 @@
 
 def _disconnect(deployment: cluster.Cluster, cut_vm: str) -> None:
     """Disconnects a VM from all other VMs and from the store."""
-    address = deployment.vms[cut_vm].entry.peer_address
+    address = deployment.vms[cut_vm].list_entry.peer_address
     for name, vm in deployment.vms.items():
         if name != cut_vm:
-            pair = (address, vm.entry.peer_address)
+            pair = (address, vm.list_entry.peer_address)
             deployment.network.faults.cut |= {pair, pair[::-1]}
     store = deployment.vms[cut_vm].store
     assert store is not None
--- a/src/azureramp_standins/traffic.py
+++ b/src/azureramp_standins/traffic.py
@@ -137,7 +137,7 @@
     deployment: cluster.Cluster, vm: str, request: web_api.Request
 ) -> web_api.Response:
     """Sends a request to a VM over a new HTTP connection."""
-    address = deployment.vms[vm].entry.http_address
+    address = deployment.vms[vm].list_entry.http_address
     opened = await web_connection.connect(address, 1.0)
     if opened.is_error():
         return web_api.Response(status=0, headers=(("refused", "1"),))
--- a/tests/cluster/test_rolling_restart.py
+++ b/tests/cluster/test_rolling_restart.py
@@ -44,7 +44,7 @@
         list_lag_ms=500,
     )
     await deployment.start()
-    addresses = [vm.entry.http_address for vm in deployment.vms.values()]
+    addresses = [vm.list_entry.http_address for vm in deployment.vms.values()]
     all_callers = [
         callers.Caller(name, list(addresses), QUERY) for name in CALLER_NAMES
     ]
