--- a/src/azureramp_standins/layout.py
+++ b/src/azureramp_standins/layout.py
@@ -9,7 +9,7 @@
 
 KEYS_PER_SHARD = 1000
 
-CALLERS = {
+PRIORITY_BY_CALLER = {
     "desk": resources.Priority.URGENT,
     "ledger": resources.Priority.NORMAL,
     "statements": resources.Priority.DEFERRABLE,
@@ -217,7 +217,7 @@
             services=names,
             priority=priority,
         )
-        for name, priority in CALLERS.items()
+        for name, priority in PRIORITY_BY_CALLER.items()
     )
     return made
 
