--- a/src/azureramp_standins/demo.py
+++ b/src/azureramp_standins/demo.py
@@ -114,7 +114,7 @@
     querying = asyncio.create_task(send_queries())
     await asyncio.sleep(1.0)
     printed = await asyncio.to_thread(
-        running.run_tool, "drain-zone", DRAINED_ZONE
+        running.run_cli, "drain-zone", DRAINED_ZONE
     )
     print_lines("  " + printed.strip().replace("\n", "\n  "))
     await asyncio.sleep(QUERIES_AFTER_DRAIN_S)
@@ -139,7 +139,7 @@
 
     The time is in seconds since the zone's change was accepted.
     """
-    printed = running.run_tool("timeline", "--format", "json")
+    printed = running.run_cli("timeline", "--format", "json")
     accepted_s: list[float] = []
     worked_s: list[float] = []
     for line in map(msgspec.json.decode, printed.splitlines()):
@@ -198,7 +198,7 @@
     path = running.write_resources()
     print_lines("\nThe operator applies the resources:")
     printed = await asyncio.to_thread(
-        running.run_tool, "apply", "--file", str(path)
+        running.run_cli, "apply", "--file", str(path)
     )
     print_lines("  " + "\n  ".join(printed.strip().splitlines()[-4:]))
     first = running.daemons["entry-1"].address
--- a/src/azureramp_standins/deployment.py
+++ b/src/azureramp_standins/deployment.py
@@ -49,7 +49,7 @@
     servers: list[resources.BackendServer]
     vms: list[vmlist_api.Vm]
 
-    def run_tool(self, *arguments: str) -> str:
+    def run_cli(self, *arguments: str) -> str:
         """Runs the `azureramp` command-line tool.
 
         Args:
--- a/src/azureramp_standins/measuring/process_cost.py
+++ b/src/azureramp_standins/measuring/process_cost.py
@@ -180,7 +180,7 @@
         try:
             deployment.start(running)
             path = running.write_resources()
-            running.run_tool("apply", "--file", str(path))
+            running.run_cli("apply", "--file", str(path))
             cost = asyncio.run(measure(running, queries, callers, rest_s))
         finally:
             running.stop()
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -85,7 +85,7 @@
     running = deployment.make(tmp_path)
     try:
         deployment.start(running)
-        running.run_tool("apply", "--file", str(running.write_resources()))
+        running.run_cli("apply", "--file", str(running.write_resources()))
         codes, outcomes = asyncio.run(restart_all(running))
     finally:
         stopped = running.stop()
--- a/tests/processes/test_rolling_restart.py
+++ b/tests/processes/test_rolling_restart.py
@@ -19,7 +19,7 @@
     deployed = deployment.make(tmp_path)
     try:
         deployment.start(deployed)
-        deployed.run_tool("apply", "--file", str(deployed.write_resources()))
+        deployed.run_cli("apply", "--file", str(deployed.write_resources()))
         yield deployed
     finally:
         deployed.stop()
