--- a/src/azureramp_standins/demo.py
+++ b/src/azureramp_standins/demo.py
@@ -220,7 +220,7 @@
     """Runs the demo; the exit code is 0 if all steps succeeded."""
     start_s = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
-        running = deployment.make(pathlib.Path(folder))
+        running = deployment.prepare(pathlib.Path(folder))
         try:
             deployment.start(running)
         except processes.StartError:
--- a/src/azureramp_standins/deployment.py
+++ b/src/azureramp_standins/deployment.py
@@ -166,7 +166,7 @@
     )
 
 
-def make(folder: pathlib.Path) -> Deployment:
+def prepare(folder: pathlib.Path) -> Deployment:
     """Starts a platform and prepares the other parts of a deployment.
 
     Args:
--- a/src/azureramp_standins/measuring/process_cost.py
+++ b/src/azureramp_standins/measuring/process_cost.py
@@ -176,7 +176,7 @@
 def main(queries: int, callers: int, rest_s: float) -> None:
     """Measures real daemons at rest and under load."""
     with tempfile.TemporaryDirectory() as folder:
-        running = deployment.make(pathlib.Path(folder))
+        running = deployment.prepare(pathlib.Path(folder))
         try:
             deployment.start(running)
             path = running.write_resources()
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -82,7 +82,7 @@
     The callers keep their addresses and connections. No connection may end
     without an answer, and no address may refuse a connection.
     """
-    running = deployment.make(tmp_path)
+    running = deployment.prepare(tmp_path)
     try:
         deployment.start(running)
         running.run_cli("apply", "--file", str(running.write_resources()))
--- a/tests/processes/test_rolling_restart.py
+++ b/tests/processes/test_rolling_restart.py
@@ -16,7 +16,7 @@
 @pytest.fixture
 def running(tmp_path: pathlib.Path) -> Iterator[deployment.Deployment]:
     """A running deployment with its resources in force."""
-    deployed = deployment.make(tmp_path)
+    deployed = deployment.prepare(tmp_path)
     try:
         deployment.start(deployed)
         deployed.run_cli("apply", "--file", str(deployed.write_resources()))
