--- a/src/azureramp_standins/demo.py
+++ b/src/azureramp_standins/demo.py
@@ -20,7 +20,7 @@
 """Time for which queries continue after the zone was drained, in seconds."""
 
 DRAINED_ZONE = "edinburgh-b"
-READY_S = 15.0
+READY_TIMEOUT_S = 15.0
 
 
 def print_lines(words: str) -> None:
@@ -42,9 +42,9 @@
     """Waits until a query is answered completely.
 
     Raises:
-        TimeoutError: None is within `READY_S`.
+        TimeoutError: None is within `READY_TIMEOUT_S`.
     """
-    async with asyncio.timeout(READY_S):
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
             response = await caller.send_request(
                 "POST", "/v1/query", make_query("x")
--- a/tests/processes/test_rolling_restart.py
+++ b/tests/processes/test_rolling_restart.py
@@ -61,7 +61,7 @@
     caller = client.Client(
         deployment.CALLER_TOKEN, (running.daemons[vm].address,)
     )
-    async with asyncio.timeout(demo.READY_S):
+    async with asyncio.timeout(demo.READY_TIMEOUT_S):
         while True:
             try:
                 await demo.wait_until_answered(caller)
