--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -47,7 +47,7 @@
 
 NO_AWAIT = "no await between admission and pinning"
 
-CANNOT_OCCUR: dict[tuple[str, str], str] = {
+IMPOSSIBLE_CELLS: dict[tuple[str, str], str] = {
     (fault, "query.pin"): NO_AWAIT for fault in faults.FAULTS
 }
 """Reasons why cells cannot occur, by fault and step."""
@@ -59,7 +59,7 @@
     HELD = "held"
     BROKEN = "broken"
     NOT_RUN = "not_run"
-    CANNOT_OCCUR = "cannot_occur"
+    IMPOSSIBLE_CELLS = "cannot_occur"
 
 
 class Result(msgspec.Struct, frozen=True):
@@ -268,9 +268,9 @@
     """
     joined = "+".join(names)
     for name in names:
-        if (name, step) in CANNOT_OCCUR:
-            reason = CANNOT_OCCUR[(name, step)]
-            return Result(joined, step, Verdict.CANNOT_OCCUR, (reason,))
+        if (name, step) in IMPOSSIBLE_CELLS:
+            reason = IMPOSSIBLE_CELLS[(name, step)]
+            return Result(joined, step, Verdict.IMPOSSIBLE_CELLS, (reason,))
     past, recovery_s, reached = virtual.run(Cell(names, step, seed).run())
     if not reached:
         reasons = ("the step was not reached",)
--- a/tests/matrix/test_grid.py
+++ b/tests/matrix/test_grid.py
@@ -14,8 +14,8 @@
 def test_invariants_hold_under_each_fault(fault: str, step: str) -> None:
     result = cells.run((fault,), step)
 
-    if (fault, step) in cells.CANNOT_OCCUR:
-        assert result.verdict is cells.Verdict.CANNOT_OCCUR
+    if (fault, step) in cells.IMPOSSIBLE_CELLS:
+        assert result.verdict is cells.Verdict.IMPOSSIBLE_CELLS
         return
     assert result.verdict is cells.Verdict.HELD, result.words
 
