--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -255,7 +255,7 @@
         await asyncio.gather(*sending)
 
 
-def run(names: tuple[str, ...], step: str, seed: int = 1) -> Result:
+def run_cell(names: tuple[str, ...], step: str, seed: int = 1) -> Result:
     """Runs one cell in virtual time.
 
     Args:
--- a/src/azureramp_standins/matrix/main.py
+++ b/src/azureramp_standins/matrix/main.py
@@ -44,7 +44,7 @@
     """Runs one cell; an exception makes its verdict broken."""
     names, step, seed = cell
     try:
-        return cells.run(names, step, seed)
+        return cells.run_cell(names, step, seed)
     except Exception as error:
         messages = (f"{type(error).__name__}: {error}",)
         return cells.Result(
--- a/tests/matrix/test_grid.py
+++ b/tests/matrix/test_grid.py
@@ -12,7 +12,7 @@
 @pytest.mark.parametrize("step", steps.STEPS)
 @pytest.mark.parametrize("fault", faults.FAULTS)
 def test_invariants_hold_under_each_fault(fault: str, step: str) -> None:
-    result = cells.run((fault,), step)
+    result = cells.run_cell((fault,), step)
 
     if (fault, step) in cells.IMPOSSIBLE_CELLS:
         assert result.verdict is cells.Verdict.IMPOSSIBLE_CELLS
@@ -24,6 +24,6 @@
 def test_invariants_hold_under_two_faults(
     pair: tuple[str, str], step: str
 ) -> None:
-    result = cells.run(pair, step)
+    result = cells.run_cell(pair, step)
 
     assert result.verdict is cells.Verdict.HELD, result.words
