--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -243,7 +243,7 @@
         retry elsewhere before its deadline. It is aborted immediately if the
         searcher reports fewer calls in flight than this side has sent, since
         it has then never received this call; otherwise, as reports may be
-        wrong, after `give_up_ms`.
+        wrong, after `abort_after_ms`.
         """
         report = await self.read_health(call.address, fresh=True)
         match report:
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -93,7 +93,7 @@
 def make_received(**fields: object) -> history.RequestOutcome:
     values: dict[str, object] = {
         "sent_s": 1.0,
-        "got_s": 2.0,
+        "ended_s": 2.0,
         "vm": "vm-1",
         "answered": True,
         "code": "ok",
--- a/tests/ports/searchers/test_half_open.py
+++ b/tests/ports/searchers/test_half_open.py
@@ -164,8 +164,8 @@
     made = harness_module.make_call(
         harness.address,
         call_id=f"r{number}/1",
-        overdue_ms=60.0,
-        give_up_ms=240.0,
+        suspect_after_ms=60.0,
+        abort_after_ms=240.0,
         deadline_ms=20_000.0,
         **fields,
     )
@@ -229,10 +229,10 @@
         harness.make_half_open()
         made = harness_module.make_call(
             harness.address,
-            overdue_ms=60.0,
-            give_up_ms=240.0,
+            suspect_after_ms=60.0,
+            abort_after_ms=240.0,
             deadline_ms=3000.0,
-            repeatable=False,
+            idempotent=False,
         )
         started_s = asyncio.get_running_loop().time()
         result = await harness.port.call(made, lambda: True)
@@ -261,7 +261,7 @@
     """The searcher reports running calls although the connection is dead.
 
     The report then gives no reason to abort the call, so it is aborted after
-    `give_up_ms`.
+    `abort_after_ms`.
     """
 
     async def scenario(harness: Any) -> None:
--- a/tests/ports/searchers/test_replies.py
+++ b/tests/ports/searchers/test_replies.py
@@ -113,7 +113,7 @@
 
         assert result.error.failure.kind is errors.Kind.CROSSED_REPLY
         assert result.error.sent
-        assert port.get_links(ADDRESS).open == 0
+        assert port.count_connections(ADDRESS).open_count == 0
 
     run(lambda number: encode_response(encode_reply(**fields)), scenario)
 
@@ -148,7 +148,7 @@
             errors.Kind.CONNECTION_LOST,
             errors.Kind.DEADLINE_PASSED,
         }
-        assert port.get_links(ADDRESS).open == 0
+        assert port.count_connections(ADDRESS).open_count == 0
 
     run(lambda number: data, scenario)
 
@@ -240,6 +240,6 @@
                 assert result.ok.high == 1200
             else:
                 assert isinstance(result.error.failure.kind, errors.Kind)
-            assert port.get_links(ADDRESS).open <= 1
+            assert port.count_connections(ADDRESS).open_count <= 1
 
     run(respond, scenario)
