--- a/src/azureramp/timelines.py
+++ b/src/azureramp/timelines.py
@@ -76,20 +76,21 @@
     def __init__(
         self,
         vm: str,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         capacity: int = CAPACITY,
     ) -> None:
         """Creates an empty timeline.
 
         Args:
             vm: The VM's name.
-            wall: Returns the time of the wall clock, in seconds since 1970.
+            wall_clock: Returns the time of the wall clock, in seconds since
+                1970.
             capacity: Maximum number of events to keep.
         """
         self.vm = vm
         self.dropped = 0
         self.observer: Callable[[Record], None] | None = None
-        self._read_wall_clock = wall
+        self._read_wall_clock = wall_clock
         self._clock = 0
         self._records: collections.deque[Record] = collections.deque(
             maxlen=capacity
--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -249,7 +249,7 @@
         await asyncio.sleep(MIN_RESTART_S)
         vm.store = store_memory.MemoryStore(self.state)
         loop = asyncio.get_running_loop()
-        timeline = timelines.Timeline(name, wall=loop.time)
+        timeline = timelines.Timeline(name, wall_clock=loop.time)
         timeline.observer = self.on_record
         counters = metrics.Metrics()
         entry = vm.list_entry
--- a/tests/controllers/configured.py
+++ b/tests/controllers/configured.py
@@ -51,7 +51,7 @@
                 ).hexdigest(),
             ),
             start * 1000,
-            timelines.Timeline(self.name, wall=lambda: 0.0),
+            timelines.Timeline(self.name, wall_clock=lambda: 0.0),
             metrics.Metrics(),
         )
         self.store = deployment.stores[number]
--- a/tests/controllers/owning.py
+++ b/tests/controllers/owning.py
@@ -169,7 +169,7 @@
                 lease_ms=LEASE_MS,
             ),
             1,
-            timelines.Timeline(vm, wall=lambda: 0.0),
+            timelines.Timeline(vm, wall_clock=lambda: 0.0),
             metrics.Metrics(),
         )
         for name in (*vms, "asker"):
--- a/tests/controllers/test_shutdown.py
+++ b/tests/controllers/test_shutdown.py
@@ -62,7 +62,7 @@
 
     stub = ControllerStub(work_s)
     made = settings.Settings("vm", "z", "h:1", "p:1", "s:1", "l:1")
-    timeline = timelines.Timeline("vm", wall=lambda: 0.0)
+    timeline = timelines.Timeline("vm", wall_clock=lambda: 0.0)
     board = blackboard.Blackboard(made, 1, timeline, metrics.Metrics())
     aborted = virtual.run(body())
     stops = [
--- a/tests/controllers/vms.py
+++ b/tests/controllers/vms.py
@@ -81,7 +81,7 @@
                 vm.name, vm.zone, vm.http_address, vm.name, "", ""
             ),
             incarnation,
-            timelines.Timeline(vm.name, wall=lambda: 0.0),
+            timelines.Timeline(vm.name, wall_clock=lambda: 0.0),
             metrics.Metrics(),
         )
         self.board.configuration = configuration
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -67,7 +67,7 @@
 ) -> history.History:
     """Makes a history of one VM's events at given times, in seconds."""
     now = [0.0]
-    timeline = timelines.Timeline("vm-1", wall=lambda: now[0])
+    timeline = timelines.Timeline("vm-1", wall_clock=lambda: now[0])
     for at_s, event in timed_events:
         now[0] = at_s
         timeline.record(event, at_s)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -21,8 +21,8 @@
 
 
 def test_clock_moves_past_a_received_clock_value() -> None:
-    ahead = timelines.Timeline("a", wall=lambda: 100.0)
-    behind = timelines.Timeline("b", wall=lambda: 1.0)
+    ahead = timelines.Timeline("a", wall_clock=lambda: 100.0)
+    behind = timelines.Timeline("b", wall_clock=lambda: 1.0)
 
     sent = ahead.advance_clock()
     behind.merge_clock(sent)
