--- a/src/azureramp/ports/peers/memory.py
+++ b/src/azureramp/ports/peers/memory.py
@@ -87,7 +87,7 @@
         self._handlers.pop(address, None)
         self._queued.pop(address, None)
 
-    def carry(self, source: str, target: str, data: bytes) -> None:
+    def send(self, source: str, target: str, data: bytes) -> None:
         """Sends an encoded envelope, subject to the injected faults."""
         self.sent_bytes[source] = self.sent_bytes.get(source, 0) + len(data)
         faults = self.faults
@@ -160,7 +160,7 @@
             self._vm, self._incarnation, self._timeline.advance_clock(), batch
         )
         data = self._encoder.encode(envelope)
-        self._network.carry(self._address, address, data)
+        self._network.send(self._address, address, data)
         return True
 
     def reconnect(self, address: str) -> None:
--- a/src/azureramp_standins/matrix/steps.py
+++ b/src/azureramp_standins/matrix/steps.py
@@ -177,8 +177,8 @@
         self.detector = detector
         self._decoder = msgspec.msgpack.Decoder(messages.Envelope)
 
-    def carry(self, source: str, target: str, data: bytes) -> None:
+    def send(self, source: str, target: str, data: bytes) -> None:
         """Carries an envelope, and reports its messages to the detector."""
-        super().carry(source, target, data)
+        super().send(source, target, data)
         for message in self._decoder.decode(data).messages:
             self.detector.observe_message(message)
