--- a/src/azureramp/cli/get.py
+++ b/src/azureramp/cli/get.py
@@ -17,7 +17,7 @@
 @click.argument("name", default="")
 @click.option(
     "--format",
-    "form",
+    "output_format",
     type=options.Choice("yaml", "json"),
     default="yaml",
     show_default=True,
@@ -25,17 +25,20 @@
 )
 @options.add_common_options
 def command(
-    common: options.CommonOptions, kind: str, name: str, form: str
+    common: options.CommonOptions, kind: str, name: str, output_format: str
 ) -> int:
     """Prints all resources of a KIND, or the one with the given NAME.
 
     The output can be passed to `apply` and includes the current revisions.
     """
-    return asyncio.run(run(common, kind, name, form))
+    return asyncio.run(run(common, kind, name, output_format))
 
 
 async def run(
-    common: options.CommonOptions, kind: str, name: str = "", form: str = "yaml"
+    common: options.CommonOptions,
+    kind: str,
+    name: str = "",
+    output_format: str = "yaml",
 ) -> exits.Exit:
     """Prints resources.
 
@@ -43,7 +46,7 @@
         common: The options shared by all commands.
         kind: The kind of the resources.
         name: The name of the resource; empty prints all of the kind.
-        form: The output format, `yaml` or `json`.
+        output_format: The output format, `yaml` or `json`.
 
     Returns:
         The exit code.
@@ -65,7 +68,7 @@
             return output.print_error(listed.error, common)
         entries = list(listed.ok.entries)
     documents = [output.make_document(entry) for entry in entries]
-    if form == "json":
+    if output_format == "json":
         output.print_json(documents)
     elif documents:
         click.echo(output.format_yaml(documents), nl=False)
--- a/src/azureramp/cli/status.py
+++ b/src/azureramp/cli/status.py
@@ -19,7 +19,7 @@
 )
 @click.option(
     "--format",
-    "form",
+    "output_format",
     type=options.Choice("text", "json"),
     default="text",
     show_default=True,
@@ -27,16 +27,16 @@
 )
 @options.add_common_options
 def command(
-    common: options.CommonOptions, revision: int | None, form: str
+    common: options.CommonOptions, revision: int | None, output_format: str
 ) -> int:
     """Prints the state of all VMs, as known to the VM that answers."""
-    return asyncio.run(run(common, revision, form))
+    return asyncio.run(run(common, revision, output_format))
 
 
 async def run(
     common: options.CommonOptions,
     revision: int | None = None,
-    form: str = "text",
+    output_format: str = "text",
 ) -> exits.Exit:
     """Prints the state of all VMs.
 
@@ -44,7 +44,7 @@
         common: The options shared by all commands.
         revision: The revision whose progress is shown; None asks about
             the revision of the VM that answers.
-        form: The output format, `text` or `json`.
+        output_format: The output format, `text` or `json`.
 
     Returns:
         The exit code.
@@ -57,7 +57,7 @@
     if result.is_error():
         return output.print_error(result.error, common)
     status = result.ok
-    if form == "json":
+    if output_format == "json":
         output.print_json(status)
         return exits.Exit.OK
     output.print_state(
--- a/src/azureramp/cli/timeline.py
+++ b/src/azureramp/cli/timeline.py
@@ -75,7 +75,7 @@
 @click.option("--until", type=UtcTime(), help="Only events before this time.")
 @click.option(
     "--format",
-    "form",
+    "output_format",
     type=options.Choice("text", "json"),
     default="text",
     show_default=True,
@@ -89,7 +89,7 @@
     zone: str,
     since: float | None,
     until: float | None,
-    form: str,
+    output_format: str,
 ) -> int:
     """Prints the events of all VMs in causal order.
 
@@ -97,20 +97,20 @@
     the VMs differ. VMs that did not answer are listed at the end.
     """
     wanted = selecting.EventFilter(request, key, zone, since, until)
-    return asyncio.run(run(common, wanted, form))
+    return asyncio.run(run(common, wanted, output_format))
 
 
 async def run(
     common: options.CommonOptions,
     wanted: selecting.EventFilter | None = None,
-    form: str = "text",
+    output_format: str = "text",
 ) -> exits.Exit:
     """Prints the events that match the criteria.
 
     Args:
         common: The options shared by all commands.
         wanted: The criteria; None matches every event.
-        form: The output format, `text` or `json`.
+        output_format: The output format, `text` or `json`.
 
     Returns:
         The exit code.
@@ -124,8 +124,8 @@
     collected = await collect(common, status.ok.members)
     merged = timelines.merge(collected.timelines)
     for record in selecting.select(merged, wanted or selecting.EventFilter()):
-        click.echo(format_record(record, form))
-    _print_gaps(common, collected, form)
+        click.echo(format_record(record, output_format))
+    _print_gaps(common, collected, output_format)
     return exits.Exit.OK
 
 
@@ -172,12 +172,12 @@
         after = records[-1].clock
 
 
-def format_record(record: timelines.Record, form: str) -> str:
+def format_record(record: timelines.Record, output_format: str) -> str:
     """Formats an event as a line of text or of JSON."""
     fields: dict[str, Any] = msgspec.to_builtins(record.event)
     name = fields.pop("event")
     at = timelines.format_utc(record.at_s)
-    if form == "json":
+    if output_format == "json":
         line = {"at": at, "clock": record.clock, "vm": record.vm}
         line |= {"event": name} | fields
         return msgspec.json.encode(line).decode()
@@ -200,10 +200,12 @@
 
 
 def _print_gaps(
-    common: options.CommonOptions, collected: CollectedTimelines, form: str
+    common: options.CommonOptions,
+    collected: CollectedTimelines,
+    output_format: str,
 ) -> None:
     """Prints which VMs and events are missing from the timeline."""
-    if form == "json":
+    if output_format == "json":
         gaps = {"missing": collected.missing, "dropped": collected.dropped}
         click.echo(msgspec.json.encode(gaps).decode())
         return
