--- a/src/azureramp/cli/rollouts.py
+++ b/src/azureramp/cli/rollouts.py
@@ -25,13 +25,13 @@
 @click.option("--service", help="Only roll-outs of this service.")
 @click.option(
     "--watch/--once",
-    "watches",
+    "watch",
     default=False,
     show_default=True,
     help="Keep reading the logs and print new steps.",
 )
 def command(
-    logs: tuple[pathlib.Path, ...], service: str | None, watches: bool
+    logs: tuple[pathlib.Path, ...], service: str | None, watch: bool
 ) -> exits.Exit:
     """Shows the steps of roll-outs, from the logs of all VMs.
 
@@ -46,7 +46,7 @@
         for row in rows[printed:]:
             click.echo(row)
         printed = len(rows)
-        if not watches:
+        if not watch:
             break
         time.sleep(POLL_INTERVAL_S)
     if not printed:
