--- a/src/azureramp/cli/explain.py
+++ b/src/azureramp/cli/explain.py
@@ -71,7 +71,9 @@
     for call in explanation.calls:
         ended = "" if call.ended_ms is None else f"{call.ended_ms} "
         name = call.searcher or "nobody"
-        yield f"  {call.sent_ms:>6} {call.service} {name}: {ended}{call.end}"
+        yield (
+            f"  {call.sent_ms:>6} {call.service} {name}: {ended}{call.outcome}"
+        )
     for gap in explanation.missing_lines:
         yield f"missing: {gap}"
 
--- a/src/azureramp/explanations.py
+++ b/src/azureramp/explanations.py
@@ -133,7 +133,7 @@
             descriptions = [
                 _describe_searcher(call.searcher, explanation)
                 for call in explanation.calls
-                if call.end == "no answer yet"
+                if call.outcome == "no answer yet"
             ]
             return "no answer in time: " + "; ".join(descriptions)
         case "caller_gone":
@@ -154,12 +154,12 @@
         by_service.setdefault(call.service, []).append(call)
     shards: list[str] = []
     for service, calls in by_service.items():
-        if any(call.end == "200" for call in calls):
+        if any(call.outcome == "200" for call in calls):
             continue
         descriptions = [
             _describe_searcher(call.searcher, explanation)
             if call.searcher
-            else call.end
+            else call.outcome
             for call in calls
         ]
         if len(calls) == 1 and calls[0].searcher:
@@ -180,7 +180,9 @@
     total = sum(observed.ends.values())
     if not total:
         ends = [
-            call.end for call in explanation.calls if call.searcher == searcher
+            call.outcome
+            for call in explanation.calls
+            if call.searcher == searcher
         ]
         return f"{searcher} {', '.join(ends)} (seen by this request only)"
     end, count = observed.ends.most_common(1)[0]
@@ -244,11 +246,11 @@
         ):
             continue
         for call in log_lines.parse_calls(line):
-            if call.searcher in searchers and call.end != "200":
+            if call.searcher in searchers and call.outcome != "200":
                 observed = observations.setdefault(
                     call.searcher, CallObservations()
                 )
-                observed.ends[call.end] += 1
+                observed.ends[call.outcome] += 1
                 observed.vms.add(line.vm)
     return observations
 
--- a/src/azureramp/log_lines.py
+++ b/src/azureramp/log_lines.py
@@ -44,14 +44,14 @@
         sent_ms: When it was sent, in milliseconds since the request began.
         ended_ms: When it ended, likewise; None if it had not ended or the line
             doesn't say.
-        end: Its outcome, as text.
+        outcome: Its outcome, as text.
     """
 
     service: str
     searcher: str
     sent_ms: int = 0
     ended_ms: int | None = None
-    end: str = ""
+    outcome: str = ""
 
 
 def read(paths: Iterable[pathlib.Path]) -> list[Line]:
@@ -95,7 +95,7 @@
     calls: list[Call] = []
     for text in line.fields.get("calls", ()):
         if none := _NO_CALL.fullmatch(text):
-            calls.append(Call(none[1], "", end=none[2]))
+            calls.append(Call(none[1], "", outcome=none[2]))
         elif found := _CALL.fullmatch(text):
             ended = int(found[4]) if found[4] else None
             end = found[5]
--- a/src/azureramp/loss_causes.py
+++ b/src/azureramp/loss_causes.py
@@ -73,10 +73,10 @@
         took_ms = float(line.fields.get("took_ms", 0.0))
         began_s = line.at_s - took_ms / 1000
         for call in log_lines.parse_calls(line):
-            if call.end == "no answer yet":
+            if call.outcome == "no answer yet":
                 sent_s = began_s + call.sent_ms / 1000
                 self._silent_s[call.searcher] += [sent_s, line.at_s]
-            elif call.end == "200" and call.ended_ms is not None:
+            elif call.outcome == "200" and call.ended_ms is not None:
                 ended_s = began_s + call.ended_ms / 1000
                 self._answered_s[call.searcher].append(ended_s)
 
@@ -93,13 +93,13 @@
     """
     if not call.searcher:
         return Cause.NO_SEARCHER
-    if "not sent" in call.end or "no_connection" in call.end:
+    if "not sent" in call.outcome or "no_connection" in call.outcome:
         return Cause.CONNECTION
-    if "not run" in call.end:
+    if "not run" in call.outcome:
         return Cause.REJECTED
-    if call.end == "200":
+    if call.outcome == "200":
         return Cause.SLOW
-    if call.end != "no answer yet":
+    if call.outcome != "no answer yet":
         return Cause.BROKEN
     dark = call_times.is_dark(call.searcher, at_s)
     return Cause.DARK if dark else Cause.PAUSED
--- a/src/azureramp/losses.py
+++ b/src/azureramp/losses.py
@@ -218,7 +218,7 @@
 
 def _succeeded_quickly(call: log_lines.Call, took_ms: float) -> bool:
     """Returns True if a call succeeded without delaying its request."""
-    if call.end != "200" or call.ended_ms is None:
+    if call.outcome != "200" or call.ended_ms is None:
         return False
     return call.ended_ms < SLOW_CALL_SHARE * took_ms
 
