--- a/src/azureramp_standins/rollouts/main.py
+++ b/src/azureramp_standins/rollouts/main.py
@@ -112,7 +112,8 @@
     return (
         f"{plan.vms} {plan.seed} {plan.kind.value} {plan.fault.value}:"
         f" {outcome.state}, {outcome.ended_s:.1f}, {outcome.share:.3f},"
-        f" {outcome.calls_to_new}, {stopped}, {outcome.served:.3f}{broken}"
+        f" {outcome.calls_to_new}, {stopped},"
+        f" {outcome.success_share:.3f}{broken}"
     )
 
 
@@ -142,7 +143,7 @@
             each.state == wanted and each.ended_s <= play.DURATION_S
             for each in of_kind
         )
-        served = sum(each.served for each in of_kind) / len(of_kind)
+        served = sum(each.success_share for each in of_kind) / len(of_kind)
         share = max(each.share for each in of_kind)
         yield (
             f"{kind.value}: {wanted} in time {in_time} of {len(of_kind)},"
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -95,7 +95,8 @@
             version, in seconds; None if there were fewer bad answers.
         aborted_calls: The number of calls running on old searchers at their
             removal.
-        served: The share of the callers' requests that were answered with 200.
+        success_share: The share of the callers' requests that were answered
+            with 200.
         count_delays_s: The delays between each bad answer and its counting by
             the driver, in seconds.
         violations: The rules that were broken.
@@ -107,7 +108,7 @@
     calls_to_new: int = 0
     stop_delay_s: float | None = None
     aborted_calls: int = 0
-    served: float = 0.0
+    success_share: float = 0.0
     count_delays_s: tuple[float, ...] = ()
     violations: tuple[str, ...] = ()
 
@@ -357,7 +358,7 @@
             share=new_in_time / max(1, all_in_time),
             calls_to_new=new_in_time,
             aborted_calls=self._aborted_calls,
-            served=sum(self._succeeded) / max(1, len(self._succeeded)),
+            success_share=sum(self._succeeded) / max(1, len(self._succeeded)),
         )
         outcome.count_delays_s = tuple(
             counted_s - bad_s
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("vms", [1, 3, 12])
 def test_a_good_version_is_completed_without_failures(vms: int) -> None:
     outcome = check(play.Parameters(vms, 1, KIND.GOOD), "completed")
-    assert outcome.served == 1.0
+    assert outcome.success_share == 1.0
     assert outcome.aborted_calls == 0
 
 
