--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -160,21 +160,23 @@
         self,
         vm: str,
         zone: str = "zone-0",
-        base: int = 0,
-        first: bool = True,
+        first_port: int = 0,
+        first_start: bool = True,
     ) -> program.Program:
         """Starts a daemon.
 
         Args:
             vm: The VM's name.
             zone: Its availability zone.
-            base: The first of its ports; 0 for ports by its number.
-            first: True if the whole tier starts for the first time.
+            first_port: The first of its ports; 0 for ports by its number.
+            first_start: True if the whole tier starts for the first time.
         """
-        base = base or 30000 + 10 * len(self.daemons)
-        daemon_settings = make_settings(vm, zone, base, first)
+        first_port = first_port or 30000 + 10 * len(self.daemons)
+        daemon_settings = make_settings(vm, zone, first_port, first_start)
         # A restarted process makes other random draws than its predecessor.
-        seed = self._seed + next(self._starts) if not first else self._seed
+        seed = (
+            self._seed + next(self._starts) if not first_start else self._seed
+        )
         clock = asyncio.get_running_loop().time
         started = program.Program(daemon_settings, seed=seed, clock=clock)
         await started.start()
@@ -234,24 +236,24 @@
 
 
 def make_settings(
-    vm: str, zone: str, base: int, first: bool = True
+    vm: str, zone: str, first_port: int, first_start: bool = True
 ) -> settings.Settings:
     """Makes a daemon's settings.
 
     Args:
         vm: The VM's name.
         zone: Its availability zone.
-        base: The first of its four ports.
-        first: True if the whole tier starts for the first time.
+        first_port: The first of its four ports.
+        first_start: True if the whole tier starts for the first time.
     """
     return settings.Settings(
         identity=board.Identity(
             vm=vm,
             zone=zone,
-            front_address=f"127.0.0.1:{base}",
-            peer_address=f"127.0.0.1:{base + 3}",
+            front_address=f"127.0.0.1:{first_port}",
+            peer_address=f"127.0.0.1:{first_port + 3}",
             cores=1.0,
-            first_start=first,
+            first_start=first_start,
         ),
         bounds=board.Bounds(
             extra=allowances.Terms(ratio=0.2, window_s=10.0, fixed=56.0),
@@ -261,9 +263,9 @@
             address_lifetime_s=5.0,
             exposure=exposure.Terms(share=0.1, fixed=50.0, stop_s=5.0),
         ),
-        front_address=f"127.0.0.1:{base}",
-        ready_address=f"127.0.0.1:{base + 1}",
-        directory_address=f"127.0.0.1:{base + 2}",
+        front_address=f"127.0.0.1:{first_port}",
+        ready_address=f"127.0.0.1:{first_port + 1}",
+        directory_address=f"127.0.0.1:{first_port + 2}",
         store_address=STORE_ADDRESS,
         seeds=tuple(f"127.0.0.1:{30003 + 10 * index}" for index in range(3)),
         descriptors=4000,
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -316,7 +316,7 @@
         for vm in vms:
             number = int(vm.removeprefix("vm-"))
             await self._fleet.add_vm(
-                vm, f"zone-{number % 2}", 30000 + 10 * number, first=False
+                vm, f"zone-{number % 2}", 30000 + 10 * number, first_start=False
             )
 
     def _find_driver(self) -> str:
--- a/tests/forwarding/test_rollouts.py
+++ b/tests/forwarding/test_rollouts.py
@@ -214,7 +214,7 @@
         await scene.daemons.pop("vm-0").abort()
         scene.order_rollout(scenes.SINGLE_SERVICE, "v2", 8.0)
         await add_new(scene, "v2")
-        await scene.add_vm("vm-0", "zone-0", 30000, first=False)
+        await scene.add_vm("vm-0", "zone-0", 30000, first_start=False)
         await deployment.wait_for_updates()
         assert await send(scene, "/one/x", 6.8) == 0
         assert scene.read_rollout_state(scenes.SINGLE_SERVICE) == "completed"
