--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -139,7 +139,10 @@
     run_history.keys_by_tag["q@1"] = (1, 2, 3)
     run_history.outcomes.append(
         make_received(
-            wanted="q", complete=True, item_keys=(1, 2), item_tags=("q@1",) * 2
+            expected_query="q",
+            complete=True,
+            item_keys=(1, 2),
+            item_tags=("q@1",) * 2,
         )
     )
     return run_history
@@ -250,7 +253,7 @@
     run_history.keys_by_tag["q@1"] = (1, 2)
     run_history.outcomes.append(
         make_received(
-            wanted="q",
+            expected_query="q",
             complete=True,
             coverage=1.0,
             item_keys=(1, 2),
--- a/tests/ports/searchers/test_contract.py
+++ b/tests/ports/searchers/test_contract.py
@@ -106,7 +106,7 @@
             asked.append(harness.connects)
             return False
 
-        call = make_call(harness.address, repeatable=False)
+        call = make_call(harness.address, idempotent=False)
         result = await harness.port.call(call, forbid)
         again = await harness.port.call(call, allow)
 
@@ -229,7 +229,7 @@
 @pytest.mark.parametrize("kind", KINDS)
 def test_call_with_side_effects_runs_once(kind: str) -> None:
     async def scenario(harness: Harness) -> None:
-        call = make_call(harness.address, repeatable=False)
+        call = make_call(harness.address, idempotent=False)
         result = await harness.port.call(call, allow)
 
         assert result.is_ok()
