--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -119,7 +119,7 @@
         slots: int = 2,
         cold_limit: int = 1,
         service_ms: float = 10.0,
-        spread: float = 0.2,
+        service_time_sigma: float = 0.2,
         connect_ms: float = 6.0,
         versions: tuple[str, ...] = (),
         seed: int = 0,
@@ -135,7 +135,7 @@
         self.warm_after = 0
         self.cold_factor = 5.0
         self.service_ms = service_ms
-        self.service_time_sigma = spread
+        self.service_time_sigma = service_time_sigma
         self.connect_ms = connect_ms
         self.siblings: list[Searcher] = [self]
         self.served = 0
--- a/tests/controllers/owning.py
+++ b/tests/controllers/owning.py
@@ -278,7 +278,7 @@
 
 def make_bench(searcher: memory.Searcher | None = None, **fields: Any) -> Bench:
     """Creates a VM that owns only the searcher `s1`."""
-    searcher = searcher or make_searcher("s1", spread=0.0)
+    searcher = searcher or make_searcher("s1", service_time_sigma=0.0)
     return Bench(memory.Fleet([searcher]), [make_server("s1", **fields)])
 
 
--- a/tests/controllers/test_handoffs.py
+++ b/tests/controllers/test_handoffs.py
@@ -44,7 +44,7 @@
     """
 
     async def scenario() -> None:
-        searcher = owning.make_searcher("s1", spread=0.0)
+        searcher = owning.make_searcher("s1", service_time_sigma=0.0)
         first, second = make_pair(searcher)
         await first.start()
         await second.start()
--- a/tests/controllers/test_owner.py
+++ b/tests/controllers/test_owner.py
@@ -66,7 +66,7 @@
     """
 
     async def scenario() -> None:
-        searcher = owning.make_searcher("s1", slots=8, spread=0.0)
+        searcher = owning.make_searcher("s1", slots=8, service_time_sigma=0.0)
         bench = owning.make_bench(
             searcher, slots=8, cold_limit=8, connections=10
         )
--- a/tests/controllers/test_poisoning.py
+++ b/tests/controllers/test_poisoning.py
@@ -396,7 +396,7 @@
 
     async def scenario() -> None:
         bench = owning.make_bench(
-            owning.make_searcher("s1", spread=0.0), cold_limit=2
+            owning.make_searcher("s1", service_time_sigma=0.0), cold_limit=2
         )
         await bench.start()
         bench.send("s1", request_id="before")
--- a/tests/ports/searchers/harness.py
+++ b/tests/ports/searchers/harness.py
@@ -65,7 +65,10 @@
         """Makes a searcher that is not started."""
         self.address = "s1:1"
         self._searcher = memory.Searcher(
-            self.address, versions=(VERSION,), service_ms=SERVICE_MS, spread=0
+            self.address,
+            versions=(VERSION,),
+            service_ms=SERVICE_MS,
+            service_time_sigma=0,
         )
         self._fleet = memory.Fleet([self._searcher])
         self.port: calls.PooledSearchers[Any] = memory.make(self._fleet)
--- a/tests/ports/searchers/test_half_open.py
+++ b/tests/ports/searchers/test_half_open.py
@@ -121,7 +121,9 @@
         """Makes a searcher."""
         self.address = "s1:1"
         self._searcher = memory.Searcher(
-            self.address, versions=(harness_module.VERSION,), spread=0
+            self.address,
+            versions=(harness_module.VERSION,),
+            service_time_sigma=0,
         )
         self._fleet = memory.Fleet([self._searcher])
         self.port = memory.make(self._fleet)
