--- a/src/azureramp/cli/output.py
+++ b/src/azureramp/cli/output.py
@@ -25,7 +25,7 @@
     """Prints one line with the code, the subjects and the text of a state.
 
     Args:
-        code: A key of `texts.TOOL`.
+        code: A key of `texts.TOOL_MESSAGES`.
         common: The shared options, which state the language.
         *subjects: Words such as `revision=18`.
         err: Whether to print to stderr.
--- a/src/azureramp/controllers/record_outcomes.py
+++ b/src/azureramp/controllers/record_outcomes.py
@@ -35,7 +35,7 @@
         claims: Number of claims that name the group.
         open_claims: Number of these that have no final outcome yet.
         outcomes: The outcomes by nonce.
-        revision: The store revision of the value; `api.CREATE` for none.
+        revision: The store revision of the value; `api.NO_REVISION` for none.
         saved: Number of changes of `outcomes` that are in the store.
         changes: Number of changes of `outcomes` in total.
         pending: The number of each unsaved change, with an event that is set
--- a/src/azureramp/controllers/record_writer.py
+++ b/src/azureramp/controllers/record_writer.py
@@ -69,7 +69,7 @@
         Args:
             store_key: The key in the store.
             data: The value.
-            expected: The revision to replace, or `api.CREATE`.
+            expected: The revision to replace, or `api.NO_REVISION`.
             attempt_s: Timeout for the reply, in seconds.
 
         Returns:
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -55,7 +55,7 @@
         entry: The entry; its value is None if it was deleted.
 
     Returns:
-        The update; `catalog.Unreadable` if the value can't be decoded, None
+        The update; `catalog.InvalidEntry` if the value can't be decoded, None
         for a key that isn't used here.
     """
     key, value = entry.key, entry.value
--- a/src/azureramp/ports/relays/http.py
+++ b/src/azureramp/ports/relays/http.py
@@ -20,7 +20,7 @@
 
 
 class HttpRelayClient:
-    """HTTP client of the other VMs; see `api.Relays`."""
+    """HTTP client of the other VMs; see `api.RelayClient`."""
 
     __slots__ = ("_pools",)
 
@@ -31,7 +31,7 @@
     async def ask(
         self, address: str, request: api.ChangesRequest
     ) -> expression.Result[api.Changes, errors.Failure]:
-        """Requests changes from a VM; see `api.Relays`."""
+        """Requests changes from a VM; see `api.RelayClient`."""
         result = await self._pools.get(address).exchange(
             "POST",
             api.CHANGES_PATH,
--- a/src/azureramp/ports/rollouts/http.py
+++ b/src/azureramp/ports/rollouts/http.py
@@ -19,7 +19,7 @@
 
 
 class HttpDriverClient:
-    """HTTP client of the drivers; see `api.Drivers`."""
+    """HTTP client of the drivers; see `api.DriverClient`."""
 
     __slots__ = ("_pools",)
 
@@ -30,7 +30,7 @@
     async def report(
         self, address: str, report: api.Report
     ) -> expression.Result[api.Grant, errors.Failure]:
-        """Sends a report to a driver; see `api.Drivers`."""
+        """Sends a report to a driver; see `api.DriverClient`."""
         result = await self._pools.get(address).exchange(
             "POST",
             api.REPORTS_PATH,
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -37,8 +37,8 @@
             may_write: See `api.Searchers.call`.
 
         Raises:
-            UnsentError: Nothing was written.
-            BrokenError: The connection failed.
+            NotSentError: Nothing was written.
+            ConnectionBrokenError: The connection failed.
         """
         ...
 
--- a/src/azureramp/ports/searchers/health.py
+++ b/src/azureramp/ports/searchers/health.py
@@ -30,8 +30,8 @@
         """Reads the searcher's health.
 
         Raises:
-            UnsentError: Nothing was written.
-            BrokenError: The connection failed.
+            NotSentError: Nothing was written.
+            ConnectionBrokenError: The connection failed.
         """
         ...
 
--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -21,8 +21,8 @@
     """A connection to an in-memory searcher; see `calls.Link`.
 
     Attributes:
-        proven_s: Event loop time of its opening or last response, in seconds.
-        silent: True if it is half-open: everything sent on it is dropped.
+        last_active_s: Event loop time of its opening or last response, in seconds.
+        half_open: True if everything sent on it is dropped.
     """
 
     __slots__ = ("_lost", "_searcher", "half_open", "last_active_s")
--- a/src/azureramp/ports/web/connection.py
+++ b/src/azureramp/ports/web/connection.py
@@ -170,9 +170,9 @@
             The response. Check `is_reusable` before the next exchange.
 
         Raises:
-            UnsentError: `may_write` returned False, or the connection was
+            NotSentError: `may_write` returned False, or the connection was
                 already closed; nothing was written.
-            BrokenError: The connection failed; bytes may have been written.
+            ConnectionBrokenError: The connection failed; bytes may have been written.
         """
         data = self._encode(method, target, headers, body, host)
         if self._writer.is_closing() or self._reader.at_eof():
--- a/src/azureramp_standins/client.py
+++ b/src/azureramp_standins/client.py
@@ -46,7 +46,7 @@
 
         Raises:
             ConnectionError: No address accepts connections.
-            web_connection.BrokenError: The connection was lost.
+            web_connection.ConnectionBrokenError: The connection was lost.
         """
         data = b"" if body is None else msgspec.json.encode(body)
         for address in self.addresses:
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -203,7 +203,7 @@
             request_id: The request's id; empty to generate one.
 
         Raises:
-            BrokenError: The connection could not be opened, or ended without
+            ConnectionBrokenError: The connection could not be opened, or ended without
                 an answer.
         """
         address = self.get_address(vm)
@@ -278,7 +278,7 @@
     """Returns the opened connection.
 
     Raises:
-        BrokenError: The connection could not be opened.
+        ConnectionBrokenError: The connection could not be opened.
     """
     if opened.is_error():
         raise web_connection.ConnectionBrokenError(opened.error.detail)
--- a/src/azureramp_standins/soak/proxy.py
+++ b/src/azureramp_standins/soak/proxy.py
@@ -52,7 +52,7 @@
         self._server = await asyncio.start_server(self._accept, host, port)
 
     def inject(self, how: str) -> None:
-        """Injects a fault; see `plan.LinkHarmed` for their names."""
+        """Injects a fault; see `plan.LinkFault` for their names."""
         match how:
             case "delay":
                 self._delayed = True
