--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -136,8 +136,8 @@
                 self._members.remove(
                     vm, self._contact.has_been_reachable(LAPSE_GRACE_S)
                 )
-            case catalog.CrashReport() as blamed:
-                self._crashes.adopt(blamed)
+            case catalog.CrashReport() as report:
+                self._crashes.adopt(report)
             case catalog.RolloutOrdered(order=order):
                 self._rollouts.apply_order(order)
             case catalog.RolloutWithdrawn(service=service):
--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -150,9 +150,9 @@
         )
         if result.is_ok():
             match result.ok:
-                case store_api.Conflict(current=present) if present:
+                case store_api.Conflict(current=current) if current:
                     result = await self._store.write(
-                        key, value, present.revision, lease
+                        key, value, current.revision, lease
                     )
         if result.is_error():
             _logger.warning(
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -178,8 +178,8 @@
                 _logger.warning("could not delete this VM's entry: {}", kind)
                 return
             match result.ok:
-                case store_api.Conflict(current=present) if present:
-                    expected = present.revision
+                case store_api.Conflict(current=current) if current:
+                    expected = current.revision
                 case _:
                     _logger.info("deleted this VM's entry")
                     return
@@ -279,5 +279,5 @@
                     self._revision = revision
                     self._written = True
                     return
-                case store_api.Conflict(current=present):
-                    expected = present.revision if present else 0
+                case store_api.Conflict(current=current):
+                    expected = current.revision if current else 0
--- a/src/azureramp/controllers/forwarding/rollout_writer.py
+++ b/src/azureramp/controllers/forwarding/rollout_writer.py
@@ -92,13 +92,13 @@
             match result.ok:
                 case store_api.Written(revision=revision):
                     return revision
-                case store_api.BatchConflict(revisions=present):
-                    if present[key] != expected:
+                case store_api.BatchConflict(revisions=revisions):
+                    if revisions[key] != expected:
                         _logger.info(
                             "another VM has written the record of the "
                             "roll-out of {}",
                             record.order.service,
                         )
                         return None
-                    status_expected = present[status_key]
+                    status_expected = revisions[status_key]
         return None
--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -310,13 +310,13 @@
             case api.Written():
                 return outcome
             case bodies.ConflictBody(items=items):
-                present = dict.fromkeys(keys, api.NO_REVISION)
-                present |= {
+                revisions = dict.fromkeys(keys, api.NO_REVISION)
+                revisions |= {
                     item.key: item.revision
                     for item in items
-                    if item.key in present and not item.removed
+                    if item.key in revisions and not item.removed
                 }
-                return api.BatchConflict(present)
+                return api.BatchConflict(revisions)
 
     return _to_outcome(response).map(convert)
 
--- a/src/azureramp/ports/searchers/memory.py
+++ b/src/azureramp/ports/searchers/memory.py
@@ -21,7 +21,8 @@
     """A connection to an in-memory searcher; see `calls.Link`.
 
     Attributes:
-        last_active_s: Event loop time of its opening or last response, in seconds.
+        last_active_s: Event loop time of its opening or last response, in
+            seconds.
         half_open: True if everything sent on it is dropped.
     """
 
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -95,10 +95,10 @@
         Returns:
             The outcome; None if the lease does not exist.
         """
-        present = self.read(key)
-        if (present.revision if present else api.NO_REVISION) != expected:
-            return api.Conflict(present)
-        if value is None and present is None:
+        current = self.read(key)
+        if (current.revision if current else api.NO_REVISION) != expected:
+            return api.Conflict(current)
+        if value is None and current is None:
             return api.Conflict(None)
         if lease and lease not in self._leases:
             return None
@@ -116,10 +116,10 @@
         Returns:
             The outcome; None if a lease does not exist.
         """
-        present = {change.key: self.read(change.key) for change in changes}
+        current = {change.key: self.read(change.key) for change in changes}
         revisions = {
             key: entry.revision if entry else api.NO_REVISION
-            for key, entry in present.items()
+            for key, entry in current.items()
         }
         if any(
             revisions[each.key] != each.expected_revision for each in changes
@@ -131,7 +131,7 @@
             return None
         before = self.revision
         for change in changes:
-            if change.value is not None or present[change.key] is not None:
+            if change.value is not None or current[change.key] is not None:
                 # All keys of a batch get the same revision.
                 self.revision = before
                 self.write(
--- a/src/azureramp/ports/web/connection.py
+++ b/src/azureramp/ports/web/connection.py
@@ -172,7 +172,8 @@
         Raises:
             NotSentError: `may_write` returned False, or the connection was
                 already closed; nothing was written.
-            ConnectionBrokenError: The connection failed; bytes may have been written.
+            ConnectionBrokenError: The connection failed; bytes may have been
+                written.
         """
         data = self._encode(method, target, headers, body, host)
         if self._writer.is_closing() or self._reader.at_eof():
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -203,8 +203,8 @@
             request_id: The request's id; empty to generate one.
 
         Raises:
-            ConnectionBrokenError: The connection could not be opened, or ended without
-                an answer.
+            ConnectionBrokenError: The connection could not be opened, or ended
+                without an answer.
         """
         address = self.get_address(vm)
         opened = await web_connection.connect(address, 1.0)
--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -79,17 +79,17 @@
             body: The value; encoded as JSON unless it is bytes.
         """
         value = body if isinstance(body, bytes) else msgspec.json.encode(body)
-        present = self.state.read(key)
-        expected = present.revision if present else api.NO_REVISION
+        current = self.state.read(key)
+        expected = current.revision if current else api.NO_REVISION
         written = self.state.write(key, value, expected)
         assert isinstance(written, api.Written)
         return written.revision
 
     def remove(self, key: str) -> None:
         """Deletes an entry, if it exists."""
-        present = self.state.read(key)
-        if present is not None:
-            self.state.write(key, None, present.revision)
+        current = self.state.read(key)
+        if current is not None:
+            self.state.write(key, None, current.revision)
 
     def compact(self) -> None:
         """Discards the history of changes."""
@@ -187,10 +187,10 @@
         match outcome:
             case api.Written(revision=revision):
                 return _make_response(200, {"Revision": revision})
-            case api.BatchConflict(revisions=present):
+            case api.BatchConflict(revisions=revisions):
                 items = [
                     _encode_entry(entry)
-                    for entry in map(self.state.read, present)
+                    for entry in map(self.state.read, revisions)
                     if entry is not None
                 ]
                 return _make_response(412, {"items": items})
