--- a/src/azureramp/policy/relaying.py
+++ b/src/azureramp/policy/relaying.py
@@ -101,7 +101,7 @@
         return True
 
     def get_revision(self, key: str) -> int:
-        """Returns the revision of a key's entry, or `NO_REVISION`."""
+        """Returns the revision of a key's entry; `NO_REVISION` if none."""
         entry = self._entries.get(key)
         return store_api.NO_REVISION if entry is None else entry.revision
 
