--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -89,19 +89,19 @@
         return expression.Ok(api.Listing(tuple(entries), revision or 0, pages))
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes one key by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             return expression.Error(errors.Failure(errors.Kind.TOO_LARGE, key))
         write = _to_write_body(key, value, lease)
-        return await self._change(key, expected, [write], [])
+        return await self._change(key, expected_revision, [write], [])
 
     async def delete(
-        self, key: str, expected: int
+        self, key: str, expected_revision: int
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes one key by compare-and-swap; see `api.Store`."""
-        return await self._change(key, expected, [], [key])
+        return await self._change(key, expected_revision, [], [key])
 
     async def write_batch(
         self, changes: Sequence[api.Change]
@@ -175,12 +175,12 @@
     async def _change(
         self,
         key: str,
-        expected: int,
+        expected_revision: int,
         writes: list[bodies.WriteBody],
         deletes: list[str],
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Changes one key if it has the expected revision."""
-        condition = [bodies.PreconditionBody(key, expected)]
+        condition = [bodies.PreconditionBody(key, expected_revision)]
         body = bodies.TransactionBody(condition, writes, deletes)
         result = await self._send("POST", "/kv-txn", {}, body)
         return result.bind(_to_write)
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -133,14 +133,15 @@
         ...
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
     ) -> expression.Result[WriteOutcome, errors.Failure]:
         """Writes a key if its revision is the expected one.
 
         Args:
             key: The key.
             value: The new value.
-            expected: The current revision of the key, or `NO_REVISION`.
+            expected_revision: The current revision of the key, or
+                `NO_REVISION`.
             lease: The lease whose expiry deletes the key; empty for none.
 
         Returns:
@@ -149,7 +150,7 @@
         ...
 
     async def delete(
-        self, key: str, expected: int
+        self, key: str, expected_revision: int
     ) -> expression.Result[WriteOutcome, errors.Failure]:
         """Deletes a key if its revision is the expected one."""
         ...
--- a/src/azureramp/ports/store/counting.py
+++ b/src/azureramp/ports/store/counting.py
@@ -47,18 +47,20 @@
         return result
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes by compare-and-swap; see `api.Store`."""
         self._metrics.count("store.writes")
-        return self._check(await self._store.write(key, value, expected, lease))
+        return self._check(
+            await self._store.write(key, value, expected_revision, lease)
+        )
 
     async def delete(
-        self, key: str, expected: int
+        self, key: str, expected_revision: int
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
         self._metrics.count("store.writes")
-        return self._check(await self._store.delete(key, expected))
+        return self._check(await self._store.delete(key, expected_revision))
 
     async def watch(
         self, prefix: str, after: int, wait_s: float
--- a/src/azureramp/ports/store/http.py
+++ b/src/azureramp/ports/store/http.py
@@ -53,7 +53,7 @@
         return _decode(result.ok, protocol.ListingBody).map(_to_listing)
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
@@ -63,17 +63,17 @@
             protocol.KEYS,
             value,
             key=key,
-            expected=str(expected),
+            expected=str(expected_revision),
             lease=lease,
         )
         return result.bind(_to_write)
 
     async def delete(
-        self, key: str, expected: int
+        self, key: str, expected_revision: int
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
         result = await self._call(
-            "DELETE", protocol.KEYS, key=key, expected=str(expected)
+            "DELETE", protocol.KEYS, key=key, expected=str(expected_revision)
         )
         return result.bind(_to_write)
 
--- a/src/azureramp/ports/store/memory.py
+++ b/src/azureramp/ports/store/memory.py
@@ -82,19 +82,19 @@
         return expression.Ok(self.state.list(prefix, self._get_read_revision()))
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             failure = errors.Failure(errors.Kind.TOO_LARGE, key)
             return expression.Error(failure)
-        return await self._change(key, value, expected, lease)
+        return await self._change(key, value, expected_revision, lease)
 
     async def delete(
-        self, key: str, expected: int
+        self, key: str, expected_revision: int
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
-        return await self._change(key, None, expected, "")
+        return await self._change(key, None, expected_revision, "")
 
     async def watch(
         self, prefix: str, after: int, wait_s: float
@@ -151,7 +151,7 @@
         return max(self.state.revision - self.faults.past, 0)
 
     async def _change(
-        self, key: str, value: bytes | None, expected: int, lease: str
+        self, key: str, value: bytes | None, expected_revision: int, lease: str
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Makes a change, subject to the injected faults.
 
@@ -163,7 +163,7 @@
             return expression.Error(_fail_down())
         half_s = self.faults.delay_s / 2
         pending: asyncio.Future[Outcome] = asyncio.ensure_future(
-            self._apply(half_s, key, value, expected, lease)
+            self._apply(half_s, key, value, expected_revision, lease)
         )
         outcome = await asyncio.shield(pending)
         await asyncio.sleep(half_s)
@@ -174,7 +174,7 @@
         delay_s: float,
         key: str,
         value: bytes | None,
-        expected: int,
+        expected_revision: int,
         lease: str,
     ) -> Outcome:
         """Makes a change after a delay."""
@@ -184,13 +184,18 @@
         faults = self.faults
         if faults.late_s > 0:
             loop.call_later(
-                faults.late_s, self.state.write, key, value, expected, lease
+                faults.late_s,
+                self.state.write,
+                key,
+                value,
+                expected_revision,
+                lease,
             )
             return expression.Error(_fail_unknown())
         if faults.lost_requests > 0:
             faults.lost_requests -= 1
             return expression.Error(_fail_unknown())
-        written = self.state.write(key, value, expected, lease)
+        written = self.state.write(key, value, expected_revision, lease)
         if faults.lost_replies > 0:
             faults.lost_replies -= 1
             return expression.Error(_fail_unknown())
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -86,7 +86,11 @@
         return api.Listing(tuple(changes), self.revision)
 
     def write(
-        self, key: str, value: bytes | None, expected: int, lease: str = ""
+        self,
+        key: str,
+        value: bytes | None,
+        expected_revision: int,
+        lease: str = "",
     ) -> api.WriteOutcome | None:
         """Writes a key, or deletes it if the value is None.
 
@@ -96,7 +100,9 @@
             The outcome; None if the lease does not exist.
         """
         current = self.read(key)
-        if (current.revision if current else api.NO_REVISION) != expected:
+        if (
+            current.revision if current else api.NO_REVISION
+        ) != expected_revision:
             return api.Conflict(current)
         if value is None and current is None:
             return api.Conflict(None)
--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -228,13 +228,15 @@
 
 
 def _make_change(
-    key: str, write: dict[str, Any] | None, expected: int
+    key: str, write: dict[str, Any] | None, expected_revision: int
 ) -> api.Change:
     """Makes the change of a key: a deletion if `write` is None."""
     if write is None:
-        return api.Change(key, None, expected)
+        return api.Change(key, None, expected_revision)
     lease = f"lease-{write['Lease']}" if write.get("Lease") else ""
-    return api.Change(key, base64.b64decode(write["Value"]), expected, lease)
+    return api.Change(
+        key, base64.b64decode(write["Value"]), expected_revision, lease
+    )
 
 
 def _make_response(status: int, body: Any) -> web_api.Response:
--- a/src/azureramp_standins/matrix/steps.py
+++ b/src/azureramp_standins/matrix/steps.py
@@ -157,10 +157,14 @@
         self.detector = detector
 
     def write(
-        self, key: str, value: bytes | None, expected: int, lease: str = ""
+        self,
+        key: str,
+        value: bytes | None,
+        expected_revision: int,
+        lease: str = "",
     ) -> store_api.WriteOutcome | None:
         """Writes a value, and reports it to the detector if it took effect."""
-        outcome = super().write(key, value, expected, lease)
+        outcome = super().write(key, value, expected_revision, lease)
         if isinstance(outcome, store_api.Written):
             self.detector.observe_write(key)
         return outcome
--- a/src/azureramp_standins/measuring/grouped_trial.py
+++ b/src/azureramp_standins/measuring/grouped_trial.py
@@ -71,7 +71,7 @@
         return await self._store.grant_lease(ttl_s)
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
     ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Appends a change to its log and returns the outcome."""
         number = zlib.crc32(key.encode()) % len(self._buckets)
@@ -79,7 +79,7 @@
         done: asyncio.Future[api.WriteOutcome] = (
             asyncio.get_running_loop().create_future()
         )
-        bucket.pending.append((Change(key, value, expected), done))
+        bucket.pending.append((Change(key, value, expected_revision), done))
         if bucket.flusher is None or bucket.flusher.done():
             bucket.flusher = asyncio.ensure_future(
                 self._flush(number, bucket, lease)
