--- a/src/azureramp/ports/peers/memory.py
+++ b/src/azureramp/ports/peers/memory.py
@@ -101,7 +101,7 @@
             delay_s = faults.delay_s + self._random.random() * faults.jitter_s
             loop.call_later(delay_s, self._deliver, target, data, _now_ms())
 
-    def resume(self, address: str) -> None:
+    def thaw(self, address: str) -> None:
         """Resumes a paused process and delivers its queued envelopes."""
         self.faults.frozen.discard(address)
         for data, sent_ms in self._queued.pop(address, []):
--- a/src/azureramp_standins/matrix/changes.py
+++ b/src/azureramp_standins/matrix/changes.py
@@ -210,7 +210,7 @@
     network = target.deployment.network
     network.faults.cut.clear()
     for address in list(network.faults.frozen):
-        network.resume(address)
+        network.thaw(address)
     await end_store(target)
 
 
--- a/tests/controllers/propagation_machine.py
+++ b/tests/controllers/propagation_machine.py
@@ -149,7 +149,7 @@
     @stateful.rule(number=numbers)
     def thaw(self, number: int) -> None:
         async def end() -> None:
-            self.deployment.network.resume(f"vm-{number}")
+            self.deployment.network.thaw(f"vm-{number}")
 
         self.runner.run(end())
 
@@ -274,7 +274,7 @@
         faults = deployment.network.faults
         faults.jitter_s = faults.loss = faults.doubling = 0.0
         for frozen in list(faults.frozen):
-            deployment.network.resume(frozen)
+            deployment.network.thaw(frozen)
         await self._advance(QUIET_S)
         assert not self.tasks, "an operator has no answer"
         entries = deployment.state.list("/azureramp/resources/").entries
