--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -46,16 +46,16 @@
 
     __slots__ = (
         "_changed",
-        "_history",
         "_lease_numbers",
         "_leases",
+        "_past",
         "revision",
     )
 
     def __init__(self) -> None:
         """Makes an empty store."""
         self.revision = 0
-        self._history: dict[str, list[api.Entry]] = {}
+        self._past: dict[str, list[api.Entry]] = {}
         self._leases: dict[str, Lease] = {}
         self._lease_numbers = itertools.count(1)
         self._changed: asyncio.Future[None] | None = None
@@ -69,7 +69,7 @@
         """Reads the keys that start with a prefix, ascending."""
         found = (
             self.read(key, at)
-            for key in sorted(self._history)
+            for key in sorted(self._past)
             if key.startswith(prefix)
         )
         entries = tuple(entry for entry in found if entry is not None)
@@ -79,7 +79,7 @@
         """Returns the newest change of each key after a revision, in order."""
         changes = [
             entries[-1]
-            for key, entries in self._history.items()
+            for key, entries in self._past.items()
             if key.startswith(prefix) and entries[-1].revision > after
         ]
         changes.sort(key=lambda entry: entry.revision)
@@ -184,7 +184,7 @@
 
     def _get_entry(self, key: str, at: int | None) -> api.Entry | None:
         """Returns the entry of a key at a revision; None if there was none."""
-        for entry in reversed(self._history.get(key, [])):
+        for entry in reversed(self._past.get(key, [])):
             if at is None or entry.revision <= at:
                 return entry
         return None
@@ -192,7 +192,7 @@
     def _append(self, key: str, value: bytes | None) -> int:
         """Records a change and wakes the waiting watches."""
         self.revision += 1
-        history = self._history.setdefault(key, [])
+        history = self._past.setdefault(key, [])
         history.append(api.Entry(key, value, self.revision))
         del history[:-MAX_HISTORY_ENTRIES]
         if self._changed is not None and not self._changed.done():
--- a/tests/controllers/propagation_machine.py
+++ b/tests/controllers/propagation_machine.py
@@ -301,7 +301,7 @@
         for process in self.processes:
             for event, _ in get_accepted(process):
                 key = f"/azureramp/resources/{event.resource_kind}/{event.name}"
-                past = self.deployment.state._history[key]
+                past = self.deployment.state._past[key]
                 assert event.revision in {entry.revision for entry in past}
                 assert newest.get(key, math.inf) >= event.revision
 
@@ -332,7 +332,7 @@
 def find_change_ids(deployment: configured.Deployment) -> set[str]:
     return {
         msgspec.json.decode(entry.value).get("change_id", "")
-        for key, past in deployment.state._history.items()
+        for key, past in deployment.state._past.items()
         if key.startswith("/azureramp/resources/")
         for entry in past
         if entry.value
