--- a/src/azureramp_standins/platform.py
+++ b/src/azureramp_standins/platform.py
@@ -207,8 +207,8 @@
         match outcome:
             case api.Written():
                 return _make_response(200, outcome)
-            case api.Conflict():
-                return _make_response(409, outcome)
+            case api.Conflict(current=current):
+                return _make_response(409, {"present": current})
         return _make_response(404, {"detail": "no such lease"})
 
     async def _watch(self, request: web_api.Request) -> web_api.Response:
--- a/tests/standins/test_searcher.py
+++ b/tests/standins/test_searcher.py
@@ -70,7 +70,7 @@
                 for version in (1, 2)
             ]
             grant = harness.make_call(
-                address, body=b'{"grant":"BF-1"}', repeatable=False
+                address, body=b'{"grant":"BF-1"}', idempotent=False
             )
             await port.call(grant, lambda: True)
             effects = await send_request(address, "GET", "/v1/effects")
