--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -43,12 +43,12 @@
     Attributes:
         entries: The entries, ascending by key (from a watch: by revision).
         revision: The store's revision at the time of reading.
-        call_count: Number of calls to the service that were needed.
+        calls: Number of calls to the service that were needed.
     """
 
     entries: tuple[Entry, ...]
     revision: int
-    call_count: int = 1
+    calls: int = 1
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
--- a/src/azureramp/ports/store/counting.py
+++ b/src/azureramp/ports/store/counting.py
@@ -42,7 +42,7 @@
         """Reads a prefix; see `api.Store`."""
         result = self._check(await self._store.read_prefix(prefix))
         self._metrics.count(
-            "store.reads", result.ok.call_count if result.is_ok() else 1
+            "store.reads", result.ok.calls if result.is_ok() else 1
         )
         return result
 
