--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -59,7 +59,7 @@
     HELD = "held"
     BROKEN = "broken"
     NOT_RUN = "not_run"
-    IMPOSSIBLE_CELLS = "cannot_occur"
+    CANNOT_OCCUR = "cannot_occur"
 
 
 class Result(msgspec.Struct, frozen=True):
@@ -270,7 +270,7 @@
     for name in names:
         if (name, step) in IMPOSSIBLE_CELLS:
             reason = IMPOSSIBLE_CELLS[(name, step)]
-            return Result(joined, step, Verdict.IMPOSSIBLE_CELLS, (reason,))
+            return Result(joined, step, Verdict.CANNOT_OCCUR, (reason,))
     past, recovery_s, reached = virtual.run(Cell(names, step, seed).run())
     if not reached:
         reasons = ("the step was not reached",)
--- a/src/azureramp_standins/matrix/main.py
+++ b/src/azureramp_standins/matrix/main.py
@@ -17,7 +17,7 @@
     cells.Verdict.HELD: "held",
     cells.Verdict.BROKEN: "BROKEN",
     cells.Verdict.NOT_RUN: "not run",
-    cells.Verdict.IMPOSSIBLE_CELLS: "-",
+    cells.Verdict.CANNOT_OCCUR: "-",
 }
 
 
--- a/tests/matrix/test_grid.py
+++ b/tests/matrix/test_grid.py
@@ -15,7 +15,7 @@
     result = cells.run_cell((fault,), step)
 
     if (fault, step) in cells.IMPOSSIBLE_CELLS:
-        assert result.verdict is cells.Verdict.IMPOSSIBLE_CELLS
+        assert result.verdict is cells.Verdict.CANNOT_OCCUR
         return
     assert result.verdict is cells.Verdict.HELD, result.words
 
