--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Weighted:
+class WeightedService:
     """A service and its weight in a route's traffic split.
 
     Attributes:
@@ -29,33 +29,33 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class OneOf:
+class SplitDestination:
     """A destination that sends each request to one searcher of one service.
 
     Attributes:
         choices: The services with their weights, at least one.
     """
 
-    choices: tuple[Weighted, ...]
+    choices: tuple[WeightedService, ...]
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class AllOf:
+class FanoutDestination:
     """A destination that sends each request to one searcher of every shard.
 
     Attributes:
         services: The names of the shards' services, without duplicates.
-        most_records: Maximum number of records in an answer.
-        least_share: Minimum share of the shards that an answer must cover,
+        max_records: Maximum number of records in an answer.
+        min_shard_share: Minimum share of the shards that an answer must cover,
             0 to 1.
     """
 
     services: tuple[str, ...]
-    most_records: int
-    least_share: float
+    max_records: int
+    min_shard_share: float
 
 
-Destination = OneOf | AllOf
+Destination = SplitDestination | FanoutDestination
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -69,9 +69,9 @@
         destination: Where the requests are sent.
         repeatable: True if a request may run more than once.
         timeout_s: Maximum time until the caller gets an answer, in seconds.
-        target_s: The latency target of an answer, in seconds.
-        attempts: Maximum number of searchers (of each shard) that may run one
-            request.
+        target_latency_s: The latency target of an answer, in seconds.
+        max_attempts: Maximum number of searchers (of each shard) that may run
+            one request.
         priority: The priority of its requests; 0 is the highest.
     """
 
@@ -81,8 +81,8 @@
     destination: Destination
     repeatable: bool
     timeout_s: float
-    target_s: float
-    attempts: int
+    target_latency_s: float
+    max_attempts: int
     priority: int
 
 
@@ -93,35 +93,37 @@
     Attributes:
         name: The service's name.
         health_path: The path of its searchers' health check.
-        connections: Maximum number of connections that one of its searchers
+        max_connections: Maximum number of connections that one of its searchers
             accepts from all VMs together.
-        cold_s: How long a searcher is cold after its start, in seconds.
-        cold_per_s: Maximum requests per second to a cold searcher; 0 for no
-            limit.
+        cold_start_s: How long a searcher is cold after its start, in seconds.
+        cold_requests_per_s: Maximum requests per second to a cold searcher; 0
+            for no limit.
     """
 
     name: str
     health_path: str
-    connections: int
-    cold_s: float
-    cold_per_s: float
+    max_connections: int
+    cold_start_s: float
+    cold_requests_per_s: float
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class CallerLimits:
+class RequestLimits:
     """Limits on the size and timing of callers' requests.
 
     Attributes:
-        header_bytes: Maximum size of the request line and headers, in bytes.
-        body_bytes: Maximum size of the body, in bytes.
-        header_s: Timeout for receiving the headers, in seconds.
-        idle_s: Timeout of a connection between two requests, in seconds.
+        max_header_bytes: Maximum size of the request line and headers, in
+            bytes.
+        max_body_bytes: Maximum size of the body, in bytes.
+        header_timeout_s: Timeout for receiving the headers, in seconds.
+        idle_timeout_s: Timeout of a connection between two requests, in
+            seconds.
     """
 
-    header_bytes: int = 16_384
-    body_bytes: int = 1_000_000
-    header_s: float = 10.0
-    idle_s: float = 60.0
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 1_000_000
+    header_timeout_s: float = 10.0
+    idle_timeout_s: float = 60.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -138,7 +140,7 @@
     version: int
     routes: tuple[Route, ...]
     services: Mapping[str, Service]
-    limits: CallerLimits
+    limits: RequestLimits
 
 
 class SearcherState(enum.Enum):
@@ -160,7 +162,7 @@
         zone: Its availability zone.
         slots: How many requests it runs concurrently.
         state: Whether it accepts new requests.
-        cold_s: Remaining time of its cold start when it wrote the
+        cold_remaining_s: Remaining time of its cold start when it wrote the
             announcement, in seconds.
         started_ms: When it started, in milliseconds since 1970; a different
             value under the same id is a different process.
@@ -173,7 +175,7 @@
     zone: str
     slots: int
     state: SearcherState
-    cold_s: float
+    cold_remaining_s: float
     started_ms: int
     version: str = ""
 
@@ -240,21 +242,21 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class SearcherSeen:
+class SearcherAnnounced:
     """A searcher announced itself or updated its announcement."""
 
     searcher: Searcher
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class SearcherGone:
+class SearcherRemoved:
     """A searcher's entry was deleted or is invalid."""
 
     id: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class ZoneEvacuated:
+class ZoneEvacuationChanged:
     """Operators took a zone's searchers out of use, or back into use.
 
     Attributes:
@@ -267,21 +269,21 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class MemberSeen:
+class MemberAnnounced:
     """A VM of this tier announced itself or updated its announcement."""
 
     member: Member
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class MemberGone:
+class MemberRemoved:
     """A VM's entry was deleted."""
 
     vm: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class RequestBlamed:
+class CrashReport:
     """A VM's report that a request crashed searchers.
 
     The attributes are the keys of its encoding in the store.
@@ -298,7 +300,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Unreadable:
+class InvalidEntry:
     """An entry with a known key could not be decoded.
 
     Attributes:
@@ -310,15 +312,15 @@
 
 Update = (
     ConfigurationDeclared
-    | SearcherSeen
-    | SearcherGone
-    | ZoneEvacuated
-    | MemberSeen
-    | MemberGone
-    | RequestBlamed
+    | SearcherAnnounced
+    | SearcherRemoved
+    | ZoneEvacuationChanged
+    | MemberAnnounced
+    | MemberRemoved
+    | CrashReport
     | RolloutOrdered
     | RolloutWithdrawn
     | RolloutRecorded
-    | Unreadable
+    | InvalidEntry
 )
 """An update decoded from one entry of the store."""
--- a/src/azureramp/cli/explain.py
+++ b/src/azureramp/cli/explain.py
@@ -19,7 +19,7 @@
     required=True,
     type=click.Path(exists=True, dir_okay=False, path_type=pathlib.Path),
 )
-def command(request: str, files: tuple[pathlib.Path, ...]) -> exits.Exit:
+def command(request: str, files: tuple[pathlib.Path, ...]) -> exits.ExitCode:
     """Explains why a request failed, from the logs of all VMs.
 
     REQUEST is the request id. FILES are the log files of the VMs, in any
@@ -34,10 +34,10 @@
             " or its line was dropped (counted by azureramp_log_dropped)",
             err=True,
         )
-        return exits.Exit.NOT_FOUND
+        return exits.ExitCode.NOT_FOUND
     for row in format_explanation(explanation):
         click.echo(row)
-    return exits.Exit.OK
+    return exits.ExitCode.OK
 
 
 def format_explanation(explanation: explanations.Explanation) -> Iterator[str]:
@@ -58,19 +58,23 @@
         yield f"  {fields['detail']}"
     yield f"cause: {explanation.cause}"
     yield from _format_lines(
-        "preceding log lines of the VM:", explanation.beliefs, own
+        "preceding log lines of the VM:", explanation.vm_state_lines, own
     )
     yield from _format_lines(
-        "preceding log lines on the called searchers:", explanation.states, own
+        "preceding log lines on the called searchers:",
+        explanation.searcher_lines,
+        own,
     )
-    yield from _format_lines("crashes:", explanation.crashes, own)
+    yield from _format_lines("crashes:", explanation.crash_lines, own)
     if explanation.calls:
         yield "calls, ms after the request's first byte:"
     for call in explanation.calls:
         ended = "" if call.ended_ms is None else f"{call.ended_ms} "
         name = call.searcher or "nobody"
-        yield f"  {call.sent_ms:>6} {call.service} {name}: {ended}{call.end}"
-    for gap in explanation.gaps:
+        yield (
+            f"  {call.sent_ms:>6} {call.service} {name}: {ended}{call.outcome}"
+        )
+    for gap in explanation.missing_lines:
         yield f"missing: {gap}"
 
 
--- a/src/azureramp/cli/losses.py
+++ b/src/azureramp/cli/losses.py
@@ -38,7 +38,7 @@
 )
 def command(
     logs: tuple[pathlib.Path, ...], span_s: float, worst: int | None
-) -> exits.Exit:
+) -> exits.ExitCode:
     """Shows when requests were late, short, refused or failed, and why.
 
     LOGS are the log files of all VMs, in any order. Each row covers a time
@@ -56,11 +56,11 @@
     for span in spans:
         for row in format_losses(span, losses_by_span[span]):
             click.echo(row)
-    return exits.Exit.OK
+    return exits.ExitCode.OK
 
 
 def format_losses(
-    span: losses_module.Span, lost: losses_module.Lost
+    span: losses_module.RouteSpan, lost: losses_module.SpanLosses
 ) -> Iterator[str]:
     """Yields the output lines for the losses of a span."""
     counts = " ".join(f"{lost.counts[loss]:>4}" for loss in losses_module.Loss)
@@ -71,7 +71,7 @@
             f"{cause.value} {count}"
             for cause, count in lost.causes.most_common()
         )
-        yield f"    calls: {causes}; asked once: {lost.single} shards"
+        yield f"    calls: {causes}; asked once: {lost.called_once} shards"
     for title, names in (
         ("shards", lost.shards),
         ("searchers", lost.searchers),
--- a/src/azureramp/cli/output.py
+++ b/src/azureramp/cli/output.py
@@ -25,12 +25,12 @@
     """Prints one line with the code, the subjects and the text of a state.
 
     Args:
-        code: A key of `texts.TOOL`.
+        code: A key of `texts.TOOL_MESSAGES`.
         common: The shared options, which state the language.
         *subjects: Words such as `revision=18`.
         err: Whether to print to stderr.
     """
-    text = select_language(texts.TOOL[code], common)
+    text = select_language(texts.TOOL_MESSAGES[code], common)
     click.echo(" ".join((code, *subjects, "-", text)), err=err)
 
 
@@ -43,7 +43,7 @@
     answer: responses.ErrorAnswer,
     common: options.CommonOptions,
     subject: str = "",
-) -> exits.Exit:
+) -> exits.ExitCode:
     """Prints an error answer to stderr, its code first.
 
     Args:
@@ -69,7 +69,7 @@
         click.echo(line.rstrip(), err=True)
     if answer.present is not None:
         click.echo(format_entry(answer.present), err=True)
-    return exits.get_exit(answer.code)
+    return exits.get_exit_code(answer.code)
 
 
 def format_entry(entry: resources.Versioned) -> str:
--- a/src/azureramp/cli/rollouts.py
+++ b/src/azureramp/cli/rollouts.py
@@ -25,14 +25,14 @@
 @click.option("--service", help="Only roll-outs of this service.")
 @click.option(
     "--watch/--once",
-    "watches",
+    "watch",
     default=False,
     show_default=True,
     help="Keep reading the logs and print new steps.",
 )
 def command(
-    logs: tuple[pathlib.Path, ...], service: str | None, watches: bool
-) -> exits.Exit:
+    logs: tuple[pathlib.Path, ...], service: str | None, watch: bool
+) -> exits.ExitCode:
     """Shows the steps of roll-outs, from the logs of all VMs.
 
     LOGS are the log files of the VMs, in any order. Each step has a row with
@@ -46,13 +46,13 @@
         for row in rows[printed:]:
             click.echo(row)
         printed = len(rows)
-        if not watches:
+        if not watch:
             break
         time.sleep(POLL_INTERVAL_S)
     if not printed:
         click.echo("no roll-out in these logs", err=True)
-        return exits.Exit.NOT_FOUND
-    return exits.Exit.OK
+        return exits.ExitCode.NOT_FOUND
+    return exits.ExitCode.OK
 
 
 def format_steps(
--- a/src/azureramp/controllers/changes.py
+++ b/src/azureramp/controllers/changes.py
@@ -81,7 +81,7 @@
             match result.ok:
                 case store_api.Written(revision):
                     return expression.Ok(revision)
-                case store_api.Conflicted(current):
+                case store_api.Conflict(current):
                     return _resolve_conflict(change, current, uncertain)
         failure = result.error
         if failure.kind is errors.Kind.STORE_OUTCOME_UNKNOWN:
@@ -98,7 +98,7 @@
 
 async def _write_once(
     store: store_api.Store, change: Change
-) -> expression.Result[store_api.Write, errors.Failure]:
+) -> expression.Result[store_api.WriteOutcome, errors.Failure]:
     key = store_link.make_key(change.kind, change.name)
     if change.resource is None:
         return await store.delete(key, change.expected)
--- a/src/azureramp/controllers/forwarding/advertised.py
+++ b/src/azureramp/controllers/forwarding/advertised.py
@@ -57,9 +57,9 @@
     used: set[str] = set()
     for route in configuration.routes if configuration else ():
         match route.destination:
-            case catalog.OneOf(choices=choices):
+            case catalog.SplitDestination(choices=choices):
                 used.update(choice.service for choice in choices)
-            case catalog.AllOf(services=services):
+            case catalog.FanoutDestination(services=services):
                 used.update(services)
     return used
 
@@ -105,7 +105,7 @@
         return 0
     return min(
         (
-            configuration.services[service].connections
+            configuration.services[service].max_connections
             for service in services
             if service in configuration.services
         ),
--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -124,27 +124,27 @@
         match self._decode(entry):
             case catalog.ConfigurationDeclared(configuration=configuration):
                 self._take_configuration(configuration)
-            case catalog.SearcherSeen(searcher=searcher):
+            case catalog.SearcherAnnounced(searcher=searcher):
                 self._searchers.add_or_update(searcher)
-            case catalog.SearcherGone(id=searcher):
+            case catalog.SearcherRemoved(id=searcher):
                 self._handle_missing_searcher(searcher, entry)
-            case catalog.ZoneEvacuated(zone=zone, out=out):
+            case catalog.ZoneEvacuationChanged(zone=zone, out=out):
                 self._apply_evacuation(zone, out)
-            case catalog.MemberSeen(member=member):
+            case catalog.MemberAnnounced(member=member):
                 self._members.update_member(member)
-            case catalog.MemberGone(vm=vm):
+            case catalog.MemberRemoved(vm=vm):
                 self._members.remove(
                     vm, self._contact.has_been_reachable(LAPSE_GRACE_S)
                 )
-            case catalog.RequestBlamed() as blamed:
-                self._crashes.record_remote_crashes(blamed)
+            case catalog.CrashReport() as report:
+                self._crashes.record_remote_crashes(report)
             case catalog.RolloutOrdered(order=order):
                 self._rollouts.apply_order(order)
             case catalog.RolloutWithdrawn(service=service):
                 self._rollouts.withdraw(service)
             case catalog.RolloutRecorded(record=record, revision=revision):
                 self._rollouts.apply_record(record, revision)
-            case catalog.Unreadable(reason=reason):
+            case catalog.InvalidEntry(reason=reason):
                 self._skip(reason)
             case _:
                 pass
--- a/src/azureramp/controllers/forwarding/attempt.py
+++ b/src/azureramp/controllers/forwarding/attempt.py
@@ -67,11 +67,11 @@
     match outcome:
         case api.Reply(misdirected=True):
             return "another searcher answered"
-        case api.Reply(status=status, ran=api.Ran.NO):
+        case api.Reply(status=status, ran=api.Execution.NO):
             return f"{status} not run"
         case api.Reply(status=status, signature=b""):
             return f"{status} unsigned"
         case api.Reply(status=status):
             return str(status)
-        case api.Lost(loss=loss, sent=sent):
+        case api.LostCall(loss=loss, sent=sent):
             return f"{loss.value}{'' if sent else ', not sent'}"
--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -118,7 +118,7 @@
         if request.deadline_s is not None:
             timings.caller_delay.record_timeout(request.deadline_s)
         match route.destination:
-            case catalog.AllOf() as destination:
+            case catalog.FanoutDestination() as destination:
                 return gather.FanOutRequest(
                     self._searchers,
                     self._crash_tracker,
@@ -128,7 +128,7 @@
                     destination,
                     answer_by_s,
                 )
-            case catalog.OneOf(choices=choices):
+            case catalog.SplitDestination(choices=choices):
                 service = self._splitter.choose(route.name, choices)
                 return single.SingleRequest(
                     self._searchers,
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -73,7 +73,7 @@
         timings: pacing.RouteTimings,
         request: requests.IncomingRequest,
         route: catalog.Route,
-        destination: catalog.AllOf,
+        destination: catalog.FanoutDestination,
         answer_by_s: float,
     ) -> None:
         """Creates a request that has sent nothing; see `run`."""
@@ -118,7 +118,7 @@
 
     def _start(self, loop: asyncio.AbstractEventLoop, now_s: float) -> None:
         """Makes each shard's first call and sets the timers."""
-        target_s = self._context.route.target_s
+        target_s = self._context.route.target_latency_s
         self.caller_overhead_s = self._estimate_caller_overhead_s(target_s)
         self._partial_after_s = (
             self._request.began_s
@@ -210,7 +210,7 @@
                 len(self.parts) - len(replies),
                 merging.merge(
                     (reply.body for reply in replies),
-                    self._destination.most_records,
+                    self._destination.max_records,
                 ),
             )
         detail = f"{len(replies)} of {len(self.parts)} shards answered"
@@ -248,12 +248,12 @@
     return max(MIN_PARTIAL_ANSWER_SHARE * target_s, left_s)
 
 
-def compute_min_shards(destination: catalog.AllOf) -> int:
+def compute_min_shards(destination: catalog.FanoutDestination) -> int:
     """Returns the minimum number of shards that an answer must include."""
     shards = len(destination.services)
     # A share such as 0.85 has no exact binary form: without the margin, 17 of
     # 20 would be too few.
-    return max(1, math.ceil(destination.least_share * shards - 1e-9))
+    return max(1, math.ceil(destination.min_shard_share * shards - 1e-9))
 
 
 def _is_answered(each: part.Part) -> bool:
--- a/src/azureramp/controllers/forwarding/learning.py
+++ b/src/azureramp/controllers/forwarding/learning.py
@@ -43,7 +43,7 @@
     if reply.is_success():
         record.record_success()
         record.record_time(timings.record_duration(took_s), now_s)
-    elif reply.ran is api.Ran.NO:
+    elif reply.ran is api.Execution.NO:
         # The searcher is full, not faulty: it is skipped briefly.
         record.reported_load = max(record.reported_load, record.slots)
         record.reported_s = now_s
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -95,7 +95,7 @@
         self._encode = encode
         self._contact = contacts
         self._rng = rng
-        self._revision = store_api.CREATE
+        self._revision = store_api.NO_REVISION
         self._written = False
         self._lapsed: set[str] = set()
 
@@ -178,8 +178,8 @@
                 _logger.warning("could not delete this VM's entry: {}", kind)
                 return
             match result.ok:
-                case store_api.Conflicted(present=present) if present:
-                    expected = present.revision
+                case store_api.Conflict(current=current) if current:
+                    expected = current.revision
                 case _:
                     _logger.info("deleted this VM's entry")
                     return
@@ -215,7 +215,7 @@
             board.lease = ""
             return
         if board.lease:
-            kept = await self._store.keep_lease(board.lease)
+            kept = await self._store.renew_lease(board.lease)
             if kept.is_error():
                 self._contact.record_failure(kept.error)
                 return
@@ -279,5 +279,5 @@
                     self._revision = revision
                     self._written = True
                     return
-                case store_api.Conflicted(present=present):
-                    expected = present.revision if present else 0
+                case store_api.Conflict(current=current):
+                    expected = current.revision if current else 0
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -216,7 +216,7 @@
     def _may_send(self) -> bool:
         """Returns True if the route's limits allow another call."""
         waiting = sum(not attempt.ended for attempt in self._attempts)
-        attempts = self._context.route.attempts
+        attempts = self._context.route.max_attempts
         return (
             self.runs + waiting < attempts
             and len(self._attempts) < attempts + EXTRA_CALLS_AFTER_REJECTION
@@ -332,7 +332,7 @@
         took_s = now_s - attempt.sent_s
         match outcome:
             case api.Reply():
-                if outcome.ran is not api.Ran.NO:
+                if outcome.ran is not api.Execution.NO:
                     answered = outcome.is_success()
                     self._report_end(
                         attempt,
@@ -350,7 +350,7 @@
                 )
                 if not self.done:
                     self._handle_reply(outcome, now_s)
-            case api.Lost():
+            case api.LostCall():
                 if outcome.sent and not self.done:
                     self._report_end(
                         attempt, rollout_view.CallResult.FAILED, now_s
@@ -380,7 +380,7 @@
     def _record_loss(
         self,
         target: board_module.Target,
-        lost: api.Lost,
+        lost: api.LostCall,
         took_s: float,
         now_s: float,
     ) -> None:
@@ -397,7 +397,7 @@
 
     def _handle_reply(self, reply: api.Reply, now_s: float) -> None:
         """Continues after an answer: finishes, or makes another call."""
-        if reply.ran is api.Ran.NO:
+        if reply.ran is api.Execution.NO:
             self.rejections += 1
             self._searchers.metrics.count("call.rejected")
             self._retry_or_finish(now_s)
@@ -413,7 +413,7 @@
             self.failed_reply = reply
             self._retry_or_finish(now_s)
 
-    def _handle_loss(self, lost: api.Lost, now_s: float) -> None:
+    def _handle_loss(self, lost: api.LostCall, now_s: float) -> None:
         """Continues after a call without an answer."""
         if lost.sent:
             self.runs += 1
--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -186,11 +186,11 @@
         )
         vm = self._board.identity.vm
         updates = policy.plan_updates(vm, self._followers, present, revision)
-        for begin in range(0, len(updates), store_api.MAX_BATCH):
+        for begin in range(0, len(updates), store_api.MAX_BATCH_CHANGES):
             lease = self._board.lease
             if not lease or not self._board.reads_from_store:
                 return
-            batch = updates[begin : begin + store_api.MAX_BATCH]
+            batch = updates[begin : begin + store_api.MAX_BATCH_CHANGES]
             if not await self._write_batch(batch, lease):
                 return
 
@@ -215,7 +215,7 @@
             case store_api.Written(revision=revision):
                 self._record_written(batch, revision)
                 return True
-            case store_api.BatchConflicted():
+            case store_api.BatchConflict():
                 # The copy of the store is outdated; the next round plans
                 # with its update.
                 return False
@@ -279,6 +279,6 @@
             if vm not in self._followers and member.keeper != keeper:
                 continue
             revision = self._copy.get_revision(self._make_key(vm))
-            if revision != store_api.CREATE:
+            if revision != store_api.NO_REVISION:
                 present[vm] = policy.StoredEntry(member, revision)
         return present
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -87,7 +87,7 @@
             by_id = self._board.by_service.setdefault(searcher.service, {})
             by_id[searcher.id] = target
         now_s = asyncio.get_running_loop().time()
-        target.cold_until_s = now_s + searcher.cold_s
+        target.cold_until_s = now_s + searcher.cold_remaining_s
         draining = searcher.state is catalog.SearcherState.DRAINING
         self._log_change(
             target,
@@ -272,7 +272,7 @@
         """Creates the state of a newly announced searcher."""
         near = searcher.zone == self._board.identity.zone
         record = selection.SearcherStats(searcher.slots, near)
-        if searcher.cold_s > 0:
+        if searcher.cold_remaining_s > 0:
             record.relative_time = COLD_SLOWNESS
             record.updated_s = asyncio.get_running_loop().time()
 
@@ -298,9 +298,11 @@
     def _get_share(self, name: str) -> int:
         """Returns how many connections this VM may hold to a searcher."""
         service = self._board.get_service(name)
-        connections = service.connections if service else DEFAULT_CONNECTIONS
+        max_connections = (
+            service.max_connections if service else DEFAULT_CONNECTIONS
+        )
         return advertising.get_connections_per_vm(
-            connections, len(self._board.advertised), self._is_advertised()
+            max_connections, len(self._board.advertised), self._is_advertised()
         )
 
 
--- a/src/azureramp/controllers/inbox.py
+++ b/src/azureramp/controllers/inbox.py
@@ -40,7 +40,7 @@
 
     def receive(self, envelope: messages.Envelope) -> None:
         """Dispatches the messages of an envelope, in order."""
-        self._board.timeline.observe_clock(envelope.clock)
+        self._board.timeline.merge_clock(envelope.clock)
         self._receivers.on_envelope(envelope.sender, envelope.incarnation)
         for message in envelope.messages:
             self.receive_message(envelope.sender, message)
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -117,7 +117,9 @@
             owned.place.searcher.connections
         )
         self._port.set_limit(owned.get_address(), share)
-        owned.confirmed_lost = self._port.get_links(owned.get_address()).lost
+        owned.confirmed_lost = self._port.count_connections(
+            owned.get_address()
+        ).lost_count
 
     def _update_place(
         self, owned: OwnedSearcher, place: directory.SearcherLocation
--- a/src/azureramp/controllers/probing.py
+++ b/src/azureramp/controllers/probing.py
@@ -91,8 +91,8 @@
         because one connection is always open. So after any loss nothing is
         sent until the incarnation has been read again.
         """
-        links = self._port.get_links(owned.get_address())
-        return owned.reachable and links.lost == owned.confirmed_lost
+        links = self._port.count_connections(owned.get_address())
+        return owned.reachable and links.lost_count == owned.confirmed_lost
 
     def forget(self, name: str) -> None:
         """Removes the probe state of a searcher that is no longer owned."""
@@ -135,7 +135,7 @@
     async def _probe(self, owned: OwnedSearcher) -> None:
         """Reads a searcher's health and applies the result."""
         address = owned.get_address()
-        before = self._port.get_links(address)
+        before = self._port.count_connections(address)
         began_s = _now_s()
         report = await self._port.read_health(address)
         if self._holdings.owned.get(owned.get_name()) is not owned:
@@ -152,12 +152,12 @@
         self,
         owned: OwnedSearcher,
         health: searchers_api.Health,
-        before: searchers_api.Links,
+        before: searchers_api.ConnectionCounts,
     ) -> None:
         """Applies a searcher's health report."""
         known = owned.health
-        lost_all = before.open == 0 and owned.confirmed_lost not in (
-            before.lost,
+        lost_all = before.open_count == 0 and owned.confirmed_lost not in (
+            before.lost_count,
             owned_searcher.UNCONFIRMED,
         )
         if known is not None and known.incarnation != health.incarnation:
@@ -167,7 +167,7 @@
         owned.health = health
         owned.missed_reads = 0
         owned.reachable = True
-        owned.confirmed_lost = before.lost
+        owned.confirmed_lost = before.lost_count
         self._apply_reported_cold(owned, health.cold)
         if owned.is_cold():
             owned.ramp.set_default_usual_ms(self._get_usual_of_others(owned))
--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -66,7 +66,7 @@
             The outcome; `STORE_UNAVAILABLE` if the claim could not be
             confirmed, so that the request must not be dispatched.
         """
-        expected = api.CREATE
+        expected = api.NO_REVISION
         may_take_effect = False
         until_s = asyncio.get_running_loop().time() + CLAIM_TIMEOUT_S
         data = idempotency.encode_record(claim)
@@ -88,9 +88,9 @@
                 may_take_effect = False
                 if isinstance(result.ok, api.Written):
                     return result.ok.revision
-                current = result.ok.present
+                current = result.ok.current
                 if current is None:
-                    expected = api.CREATE
+                    expected = api.NO_REVISION
                     continue
                 match await self._evaluate_conflict(current, claim):
                     case idempotency.Owned():
--- a/src/azureramp/controllers/record_outcomes.py
+++ b/src/azureramp/controllers/record_outcomes.py
@@ -35,7 +35,7 @@
         claims: Number of claims that name the group.
         open_claims: Number of these that have no final outcome yet.
         outcomes: The outcomes by nonce.
-        revision: The store revision of the value; `api.CREATE` for none.
+        revision: The store revision of the value; `api.NO_REVISION` for none.
         saved: Number of changes of `outcomes` that are in the store.
         changes: Number of changes of `outcomes` in total.
         pending: The number of each unsaved change, with an event that is set
@@ -46,7 +46,7 @@
     claims: int = 0
     open_claims: int = 0
     outcomes: idempotency.Outcomes = dataclasses.field(default_factory=dict)
-    revision: int = api.CREATE
+    revision: int = api.NO_REVISION
     saved: int = 0
     changes: int = 0
     pending: collections.deque[tuple[int, asyncio.Event]] = dataclasses.field(
@@ -183,8 +183,10 @@
                 while group.pending and group.pending[0][0] <= changes:
                     group.pending.popleft()[1].set()
                 self._drop_if_complete(group)
-            case api.Conflicted(present=current):
-                group.revision = current.revision if current else api.CREATE
+            case api.Conflict(current=current):
+                group.revision = (
+                    current.revision if current else api.NO_REVISION
+                )
 
     def _find_changed(self) -> Group | None:
         """Returns the oldest group that has an unsaved change."""
--- a/src/azureramp/controllers/record_writer.py
+++ b/src/azureramp/controllers/record_writer.py
@@ -63,13 +63,13 @@
         data: bytes,
         expected: int,
         attempt_s: float = CALL_TIMEOUT_S,
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes a value if the key has the expected revision.
 
         Args:
             store_key: The key in the store.
             data: The value.
-            expected: The revision to replace, or `api.CREATE`.
+            expected: The revision to replace, or `api.NO_REVISION`.
             attempt_s: Timeout for the reply, in seconds.
 
         Returns:
--- a/src/azureramp/explanations.py
+++ b/src/azureramp/explanations.py
@@ -55,24 +55,24 @@
     Attributes:
         request: The request's own line.
         calls: The calls in the request's line.
-        beliefs: The VM's last line in each channel of `VM_STATE_CHANNELS`
-            before the request.
-        states: The VM's last line about each called searcher.
+        vm_state_lines: The VM's last line in each channel of
+            `VM_STATE_CHANNELS` before the request.
+        searcher_lines: The VM's last line about each called searcher.
         observations: Unsuccessful calls of other requests to each called
             searcher.
-        crashes: Lines about crashes of the called searchers.
+        crash_lines: Lines about crashes of the called searchers.
         cause: The cause in one sentence.
-        gaps: Descriptions of missing log lines.
+        missing_lines: Descriptions of missing log lines.
     """
 
     request: log_lines.Line
     calls: list[log_lines.Call]
-    beliefs: list[log_lines.Line]
-    states: list[log_lines.Line]
+    vm_state_lines: list[log_lines.Line]
+    searcher_lines: list[log_lines.Line]
     observations: dict[str, CallObservations]
-    crashes: list[log_lines.Line]
+    crash_lines: list[log_lines.Line]
     cause: str = ""
-    gaps: list[str] = dataclasses.field(default_factory=list)
+    missing_lines: list[str] = dataclasses.field(default_factory=list)
 
 
 def explain(lines: list[log_lines.Line], request: str) -> Explanation | None:
@@ -99,7 +99,7 @@
         _find_crashes(lines, request_line, searchers),
     )
     explanation.cause = summarize_cause(explanation)
-    explanation.gaps = _find_gaps(lines, request_line)
+    explanation.missing_lines = _find_gaps(lines, request_line)
     return explanation
 
 
@@ -125,7 +125,7 @@
                 "no searcher was usable: each was draining, gone, in an"
                 f" evacuated zone or had just failed ({detail})"
             )
-        case "outcome_unknown" if explanation.crashes:
+        case "outcome_unknown" if explanation.crash_lines:
             return "the searcher crashed while it ran"
         case "outcome_unknown":
             return "the answer was lost: nothing shows a crash of the searcher"
@@ -133,7 +133,7 @@
             descriptions = [
                 _describe_searcher(call.searcher, explanation)
                 for call in explanation.calls
-                if call.end == "no answer yet"
+                if call.outcome == "no answer yet"
             ]
             return "no answer in time: " + "; ".join(descriptions)
         case "caller_gone":
@@ -154,12 +154,12 @@
         by_service.setdefault(call.service, []).append(call)
     shards: list[str] = []
     for service, calls in by_service.items():
-        if any(call.end == "200" for call in calls):
+        if any(call.outcome == "200" for call in calls):
             continue
         descriptions = [
             _describe_searcher(call.searcher, explanation)
             if call.searcher
-            else call.end
+            else call.outcome
             for call in calls
         ]
         if len(calls) == 1 and calls[0].searcher:
@@ -174,13 +174,15 @@
         name, _, state = str(entry).partition(" ")
         if name == searcher:
             return f"{searcher} was {state}"
-    if any(searcher in line.message for line in explanation.crashes):
+    if any(searcher in line.message for line in explanation.crash_lines):
         return f"{searcher} crashed"
     observed = explanation.observations.get(searcher, CallObservations())
     total = sum(observed.ends.values())
     if not total:
         ends = [
-            call.end for call in explanation.calls if call.searcher == searcher
+            call.outcome
+            for call in explanation.calls
+            if call.searcher == searcher
         ]
         return f"{searcher} {', '.join(ends)} (seen by this request only)"
     end, count = observed.ends.most_common(1)[0]
@@ -244,11 +246,11 @@
         ):
             continue
         for call in log_lines.parse_calls(line):
-            if call.searcher in searchers and call.end != "200":
+            if call.searcher in searchers and call.outcome != "200":
                 observed = observations.setdefault(
                     call.searcher, CallObservations()
                 )
-                observed.ends[call.end] += 1
+                observed.ends[call.outcome] += 1
                 observed.vms.add(line.vm)
     return observations
 
--- a/src/azureramp/invariants/answers.py
+++ b/src/azureramp/invariants/answers.py
@@ -28,11 +28,11 @@
                     f"request {answer.request_id} states version "
                     f"{answer.version} and merged version {part.version}",
                 )
-    for got in run_history.received:
+    for got in run_history.outcomes:
         if got.code == "ok" and len(set(got.item_tags)) > 1:
             yield history.Violation(
                 "snapshot",
-                got.got_s,
+                got.ended_s,
                 f"request {got.request_id} has items of "
                 f"{sorted(set(got.item_tags))}",
             )
@@ -66,14 +66,14 @@
             )
 
 
-def check_whole_answer(
+def check_complete_answer(
     run_history: history.History,
 ) -> Iterator[history.Violation]:
     """Checks that each caller receives the full answer to its own request."""
-    for got in run_history.received:
-        if got.code != "ok" or not got.wanted:
+    for got in run_history.outcomes:
+        if got.code != "ok" or not got.expected_query:
             continue
-        name = f"{got.wanted}@{got.version}"
+        name = f"{got.expected_query}@{got.version}"
         expected = {
             key
             for key in run_history.keys_by_tag.get(name, ())
@@ -91,7 +91,7 @@
         else:
             continue
         yield history.Violation(
-            "whole_answer", got.got_s, f"request {got.request_id} {words}"
+            "whole_answer", got.ended_s, f"request {got.request_id} {words}"
         )
 
 
@@ -104,11 +104,11 @@
         if isinstance(record.event, events.PartDispatched)
         and not run_history.arrivals
     }
-    for got in run_history.received:
+    for got in run_history.outcomes:
         if got.ran == "not_run" and got.request_id in arrived | dispatched:
             yield history.Violation(
                 "not_run",
-                got.got_s,
+                got.ended_s,
                 f"request {got.request_id} was refused as not run "
                 f"({got.code}), but ran",
             )
--- a/src/azureramp/invariants/control.py
+++ b/src/azureramp/invariants/control.py
@@ -13,15 +13,15 @@
 ) -> Iterator[history.Violation]:
     """Checks that a planned stop aborts no request."""
     for stop in run_history.stops:
-        if stop.limit_reached:
+        if stop.aborted_requests:
             continue
-        for got in run_history.received:
+        for got in run_history.outcomes:
             if got.vm != stop.vm or got.answered or not got.connected:
                 continue
-            if got.sent_s < stop.ended_s and got.got_s >= stop.began_s:
+            if got.sent_s < stop.ended_s and got.ended_s >= stop.began_s:
                 yield history.Violation(
                     "graceful_stop",
-                    got.got_s,
+                    got.ended_s,
                     f"{stop.vm} aborted a request sent at {got.sent_s:.3f} s "
                     f"while stopping",
                 )
--- a/src/azureramp/invariants/history.py
+++ b/src/azureramp/invariants/history.py
@@ -42,12 +42,12 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Received:
+class RequestOutcome:
     """The outcome of one request as seen by its caller.
 
     Attributes:
         sent_s: The time at which the request was sent, in seconds.
-        got_s: The time at which the answer was complete or the connection
+        ended_s: The time at which the answer was complete or the connection
             ended, in seconds.
         vm: The VM that the request was sent to.
         answered: False if the connection ended before a complete answer.
@@ -60,14 +60,14 @@
         complete: Whether the answer is marked as complete.
         missing: The missing ranges in the answer.
         item_keys: The keys of the items.
-        wanted: The query part of the tag that each item should have.
+        expected_query: The query part of the tag that each item should have.
         item_tags: The tag of each item: query and index version.
         connected: False if no connection could be opened, so that no request
             was aborted.
     """
 
     sent_s: float
-    got_s: float
+    ended_s: float
     vm: str
     answered: bool
     code: str = ""
@@ -79,30 +79,30 @@
     complete: bool = False
     missing: tuple[tuple[int, int], ...] = ()
     item_keys: tuple[int, ...] = ()
-    wanted: str = ""
+    expected_query: str = ""
     item_tags: tuple[str, ...] = ()
     connected: bool = True
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Stop:
+class PlannedStop:
     """A planned stop of a VM.
 
     Attributes:
         vm: The name of the VM.
         began_s: The time of the request to stop, in seconds.
         ended_s: The time at which its process had exited, in seconds.
-        limit_reached: True if the VM reported that it aborted requests.
+        aborted_requests: True if the VM reported that it aborted requests.
     """
 
     vm: str
     began_s: float
     ended_s: float
-    limit_reached: bool = False
+    aborted_requests: bool = False
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Bounds:
+class TimeBounds:
     """Time bounds of the invariants, in seconds.
 
     Attributes:
@@ -126,7 +126,7 @@
         records: The events of all processes, merged.
         arrivals: The requests received by backend servers; empty if not
             recorded.
-        received: The outcomes of the callers' requests; empty if not
+        outcomes: The outcomes of the callers' requests; empty if not
             recorded.
         stops: The planned stops.
         shard_maps: All shard maps that existed during the run, by name.
@@ -137,8 +137,8 @@
 
     records: list[timelines.Record] = dataclasses.field(default_factory=list)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
-    received: list[Received] = dataclasses.field(default_factory=list)
-    stops: list[Stop] = dataclasses.field(default_factory=list)
+    outcomes: list[RequestOutcome] = dataclasses.field(default_factory=list)
+    stops: list[PlannedStop] = dataclasses.field(default_factory=list)
     shard_maps: dict[str, resources.ShardMap] = dataclasses.field(
         default_factory=dict
     )
@@ -146,7 +146,7 @@
         default_factory=dict
     )
     end_s: float = 0.0
-    bounds: Bounds = dataclasses.field(default_factory=Bounds)
+    bounds: TimeBounds = dataclasses.field(default_factory=TimeBounds)
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -156,9 +156,9 @@
     Attributes:
         invariant: The name of the invariant; see `checker.INVARIANTS`.
         at_s: The time of the violation, in seconds.
-        words: A description that names the objects concerned.
+        description: A description that names the objects concerned.
     """
 
     invariant: str
     at_s: float
-    words: str
+    description: str
--- a/src/azureramp/losses.py
+++ b/src/azureramp/losses.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Span:
+class RouteSpan:
     """A span of time on one route.
 
     Attributes:
@@ -67,14 +67,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Lost:
+class SpanLosses:
     """The poorly served requests of a span.
 
     Attributes:
         counts: The requests by loss. One that is late and short counts twice.
         weight: Their total loss, in units of one good answer.
         causes: The calls to the shards that delayed them, by cause.
-        single: How often such a shard was called only once.
+        called_once: How often such a shard was called only once.
         shards: The requests by the service that delayed them.
         searchers: The requests by the searcher that delayed them.
         vms: The requests by the VM that handled them.
@@ -87,7 +87,7 @@
     causes: collections.Counter[loss_causes.Cause] = dataclasses.field(
         default_factory=collections.Counter
     )
-    single: int = 0
+    called_once: int = 0
     shards: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
@@ -99,7 +99,9 @@
     )
 
 
-def collect(lines: list[log_lines.Line], span_s: float) -> dict[Span, Lost]:
+def collect(
+    lines: list[log_lines.Line], span_s: float
+) -> dict[RouteSpan, SpanLosses]:
     """Collects the losses of each span.
 
     Routes on which no logged request was answered are left out: they have no
@@ -115,7 +117,7 @@
     """
     served = find_served_routes(lines)
     call_times = loss_causes.CallTimes(lines)
-    lost_by_span: dict[Span, Lost] = {}
+    lost_by_span: dict[RouteSpan, SpanLosses] = {}
     for line in lines:
         losses = classify(line)
         route = str(line.fields.get("route", ""))
@@ -123,8 +125,13 @@
             continue
         if not line.fields.get("advertised", True):
             continue
-        span = Span(line.at_s // span_s * span_s, route)
-        _add(lost_by_span.setdefault(span, Lost()), line, losses, call_times)
+        span = RouteSpan(line.at_s // span_s * span_s, route)
+        _add(
+            lost_by_span.setdefault(span, SpanLosses()),
+            line,
+            losses,
+            call_times,
+        )
     order = sorted(lost_by_span, key=lambda each: (each.begins_s, each.route))
     return {span: lost_by_span[span] for span in order}
 
@@ -160,7 +167,7 @@
 
 
 def _add(
-    lost: Lost,
+    lost: SpanLosses,
     line: log_lines.Line,
     losses: list[Loss],
     call_times: loss_causes.CallTimes,
@@ -171,7 +178,7 @@
     lost.vms[line.vm] += 1
     for service, calls in find_delaying_services(line).items():
         lost.shards[service] += 1
-        lost.single += len(calls) == 1 and bool(calls[0].searcher)
+        lost.called_once += len(calls) == 1 and bool(calls[0].searcher)
         lost.searchers.update({call.searcher for call in calls} - {""})
         lost.causes.update(
             loss_causes.classify_call(call, line.at_s, call_times)
@@ -211,7 +218,7 @@
 
 def _succeeded_quickly(call: log_lines.Call, took_ms: float) -> bool:
     """Returns True if a call succeeded without delaying its request."""
-    if call.end != "200" or call.ended_ms is None:
+    if call.outcome != "200" or call.ended_ms is None:
         return False
     return call.ended_ms < SLOW_CALL_SHARE * took_ms
 
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -43,7 +43,7 @@
 _configuration_decoder = msgspec.json.Decoder(bodies.ConfigurationBody)
 _searcher_decoder = msgspec.json.Decoder(bodies.SearcherBody)
 _vm_decoder = msgspec.json.Decoder(catalog.Member)
-_crash_report_decoder = msgspec.json.Decoder(catalog.RequestBlamed)
+_crash_report_decoder = msgspec.json.Decoder(catalog.CrashReport)
 _order_decoder = msgspec.json.Decoder(bodies.RolloutOrderBody)
 _record_decoder = msgspec.json.Decoder(rollout_types.Record)
 
@@ -55,7 +55,7 @@
         entry: The entry; its value is None if it was deleted.
 
     Returns:
-        The update; `catalog.Unreadable` if the value can't be decoded, None
+        The update; `catalog.InvalidEntry` if the value can't be decoded, None
         for a key that isn't used here.
     """
     key, value = entry.key, entry.value
@@ -67,11 +67,11 @@
             return _decode_searcher(name, value)
         if key.startswith(EVACUATION_PREFIX):
             zone = key.removeprefix(EVACUATION_PREFIX)
-            return catalog.ZoneEvacuated(zone, out=value is not None)
+            return catalog.ZoneEvacuationChanged(zone, out=value is not None)
         if key.startswith(VM_PREFIX):
             if value is None:
-                return catalog.MemberGone(key.removeprefix(VM_PREFIX))
-            return catalog.MemberSeen(_vm_decoder.decode(value))
+                return catalog.MemberRemoved(key.removeprefix(VM_PREFIX))
+            return catalog.MemberAnnounced(_vm_decoder.decode(value))
         if key.startswith(CRASH_REPORT_PREFIX) and value is not None:
             return _crash_report_decoder.decode(value)
         if key.startswith(ROLLOUT_ORDER_PREFIX):
@@ -81,7 +81,7 @@
                 _record_decoder.decode(value), entry.revision
             )
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
-        return catalog.Unreadable(f"{key}: {error}")
+        return catalog.InvalidEntry(f"{key}: {error}")
     return None
 
 
@@ -91,7 +91,7 @@
 
 
 def encode_crash_report(
-    crash_report: catalog.RequestBlamed,
+    crash_report: catalog.CrashReport,
 ) -> tuple[str, bytes]:
     """Returns the key and value of a crash report on a request."""
     name = f"{crash_report.fingerprint}/{crash_report.vm}"
@@ -118,7 +118,7 @@
         return catalog.RolloutWithdrawn(service)
     body = _order_decoder.decode(entry.value)
     if not body.target_version:
-        return catalog.Unreadable(f"{entry.key}: TargetVersion is empty")
+        return catalog.InvalidEntry(f"{entry.key}: TargetVersion is empty")
     return catalog.RolloutOrdered(
         rollout_types.Order(
             service, body.target_version, body.duration_s, entry.revision
@@ -133,16 +133,16 @@
     entry was valid.
     """
     if value is None or not _HEADER_SAFE.fullmatch(name):
-        return catalog.SearcherGone(name)
+        return catalog.SearcherRemoved(name)
     try:
         body = _searcher_decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return catalog.SearcherGone(name)
+        return catalog.SearcherRemoved(name)
     state = SEARCHER_STATES.get(body.state)
     host, _, port = body.address.rpartition(":")
     if state is None or not host or not port.isdigit() or not body.backend:
-        return catalog.SearcherGone(name)
-    return catalog.SearcherSeen(
+        return catalog.SearcherRemoved(name)
+    return catalog.SearcherAnnounced(
         catalog.Searcher(
             id=name,
             service=body.backend,
@@ -150,7 +150,7 @@
             zone=body.zone,
             slots=max(1, body.slots),
             state=state,
-            cold_s=max(0.0, body.cold_remaining_ms / 1000),
+            cold_remaining_s=max(0.0, body.cold_remaining_ms / 1000),
             started_ms=body.born,
             version=body.version,
         )
@@ -165,17 +165,17 @@
         service.name: catalog.Service(
             name=service.name,
             health_path=service.health_path,
-            connections=service.max_connections,
-            cold_s=service.cold_start_s,
-            cold_per_s=service.cold_per_s,
+            max_connections=service.max_connections,
+            cold_start_s=service.cold_start_s,
+            cold_requests_per_s=service.cold_per_s,
         )
         for service in body.services
     }
-    limits = catalog.CallerLimits(
-        header_bytes=body.limits.max_header_bytes,
-        body_bytes=body.limits.max_body_bytes,
-        header_s=body.limits.header_timeout_ms / 1000,
-        idle_s=body.limits.idle_timeout_ms / 1000,
+    limits = catalog.RequestLimits(
+        max_header_bytes=body.limits.max_header_bytes,
+        max_body_bytes=body.limits.max_body_bytes,
+        header_timeout_s=body.limits.header_timeout_ms / 1000,
+        idle_timeout_s=body.limits.idle_timeout_ms / 1000,
     )
     return catalog.ConfigurationDeclared(
         catalog.Configuration(
@@ -198,8 +198,8 @@
             body.route_type == REPEATABLE or bool(body.fanout_services)
         ),
         timeout_s=body.timeout_ms / 1000,
-        target_s=body.target_latency_ms / 1000,
-        attempts=max(1, body.attempts),
+        target_latency_s=body.target_latency_ms / 1000,
+        max_attempts=max(1, body.attempts),
         priority=body.priority,
     )
 
@@ -211,18 +211,20 @@
         ValueError: The route names no service.
     """
     if body.fanout_services:
-        return catalog.AllOf(
+        return catalog.FanoutDestination(
             services=tuple(dict.fromkeys(body.fanout_services)),
-            most_records=body.top_k,
-            least_share=body.min_shard_share,
+            max_records=body.top_k,
+            min_shard_share=body.min_shard_share,
         )
     if body.traffic_split:
-        return catalog.OneOf(
+        return catalog.SplitDestination(
             tuple(
-                catalog.Weighted(part.backend or part.name, part.weight)
+                catalog.WeightedService(part.backend or part.name, part.weight)
                 for part in body.traffic_split
             )
         )
     if body.backend:
-        return catalog.OneOf((catalog.Weighted(body.backend, 1.0),))
+        return catalog.SplitDestination(
+            (catalog.WeightedService(body.backend, 1.0),)
+        )
     raise ValueError(f"route {body.name} names no service")
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -52,15 +52,15 @@
 
     __slots__ = ()
 
-    def encode_message(self, message: api.Message) -> api.Fields:
+    def encode_message(self, message: api.Message) -> api.Headers:
         """Returns the headers that all calls for a message share."""
-        fields = list(message.fields)
+        fields = list(message.headers)
         if message.body or message.method not in (b"GET", b"HEAD"):
             length = str(len(message.body)).encode("ascii")
             fields.append((b"content-length", length))
         return fields
 
-    def encode_call(self, call: api.Call) -> api.Fields:
+    def encode_call(self, call: api.Call) -> api.Headers:
         """Returns the headers specific to one call; see `api.Codec`."""
         left_ms = max(1, int(call.left_s * 1000))
         return (
@@ -68,7 +68,7 @@
             (TARGET_INSTANCE, call.searcher.encode("latin-1")),
         )
 
-    def read_id(self, fields: api.Fields) -> bytes:
+    def read_id(self, fields: api.Headers) -> bytes:
         """Returns the request id of an answer; see `api.Codec`."""
         for name, value in fields:
             if name == REQUEST_ID:
@@ -76,7 +76,7 @@
         return b""
 
     def decode_reply(
-        self, status: int, fields: api.Fields, body: bytes
+        self, status: int, fields: api.Headers, body: bytes
     ) -> api.Reply:
         """Decodes a searcher's answer; see `api.Codec`."""
         values = dict(fields)
@@ -84,10 +84,10 @@
         not_run = misdirected or NOT_EXECUTED in values
         return api.Reply(
             status=status,
-            fields=fields,
+            headers=fields,
             body=body,
             signature=values.get(SIGNATURE, b""),
-            ran=api.Ran.NO if not_run else api.Ran.YES,
+            ran=api.Execution.NO if not_run else api.Execution.YES,
             misdirected=misdirected,
             load=_parse_load(values.get(SERVER_LOAD)),
             cold_s=_parse_milliseconds(values.get(COLD_REMAINING)),
@@ -108,7 +108,7 @@
     """
     host = request_id = b""
     deadline: bytes | None = None
-    for name, value in request.fields:
+    for name, value in request.raw_headers:
         if name == b"host":
             host = value
         elif name == REQUEST_ID:
@@ -122,20 +122,22 @@
         deadline_s = _parse_milliseconds(deadline)
         if deadline_s is None:
             return requests.MalformedRequest("the deadline is not a number")
-    path = request.target.partition(b"?")[0].decode("latin-1")
+    path = request.raw_target.partition(b"?")[0].decode("latin-1")
     return requests.IncomingRequest(
         id=request_id.decode("latin-1"),
         host=host.decode("latin-1").partition(":")[0].lower(),
         path=path,
         deadline_s=deadline_s,
-        began_s=request.began_s,
+        began_s=request.received_s,
         round_trip_s=request.round_trip_s,
-        connection_setup_s=request.round_trip_s if request.first else 0.0,
+        connection_setup_s=request.round_trip_s
+        if request.is_first_on_connection
+        else 0.0,
         message=api.Message(
             id=request_id,
             method=request.method.encode("ascii"),
-            target=request.target,
-            fields=_filter_end_to_end(request.fields, SET_BY_TIER),
+            target=request.raw_target,
+            headers=_filter_end_to_end(request.raw_headers, SET_BY_TIER),
             body=request.body,
         ),
     )
@@ -149,7 +151,7 @@
                 status=reply.status,
                 body=reply.body,
                 content_type="",
-                headers=_to_text(_filter_end_to_end(reply.fields)),
+                headers=_to_text(_filter_end_to_end(reply.headers)),
             )
         case requests.MergedAnswer():
             signatures = b", ".join(answer.signatures).decode("latin-1")
@@ -175,21 +177,21 @@
                 body=failure.kind.value.encode("ascii"),
                 content_type="text/plain; charset=utf-8",
                 headers=tuple(headers),
-                closes=answer.closes_connection,
+                closes_connection=answer.closes_connection,
             )
 
 
-def apply_limits(limits: catalog.CallerLimits, target: web_api.Limits) -> None:
+def apply_limits(limits: catalog.RequestLimits, target: web_api.Limits) -> None:
     """Applies the limits on callers' requests to a server.
 
     Args:
         limits: The limits of the configuration in force.
         target: The server's limits, changed in place.
     """
-    target.header_bytes = limits.header_bytes
-    target.body_bytes = limits.body_bytes
-    target.header_s = limits.header_s
-    target.idle_s = limits.idle_s
+    target.max_header_bytes = limits.max_header_bytes
+    target.max_body_bytes = limits.max_body_bytes
+    target.header_timeout_s = limits.header_timeout_s
+    target.idle_timeout_s = limits.idle_timeout_s
 
 
 def _filter_end_to_end(
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -129,7 +129,7 @@
         )
         contacts = contact.StoreContactTracker(board)
         log = change_log.ChangeLog()
-        self._drivers = rollouts_http.HttpDrivers()
+        self._drivers = rollouts_http.HttpDriverClient()
         process = rollout_driver.make_process_name(
             process_settings.identity.vm, start
         )
@@ -210,7 +210,7 @@
             self._grants.driven_rollouts,
             self._driver.start_driving,
         )
-        self._relays = relays_http.HttpRelays()
+        self._relays = relays_http.HttpRelayClient()
         self._feed = feed.StoreFeed(
             board,
             self._store,
@@ -228,7 +228,7 @@
             log_writer,
         )
         self._limits = web_api.Limits(
-            connections=max(
+            max_connections=max(
                 100, process_settings.descriptors - RESERVED_DESCRIPTORS
             )
         )
@@ -236,7 +236,7 @@
             process_settings.front_address,
             self._answers.handle_request,
             self._limits,
-            request_reader.keep_request,
+            request_reader.make_raw_request,
         )
         self._servers = self._make_servers(process_settings)
         self._tasks: list[asyncio.Task[None]] = []
@@ -321,11 +321,11 @@
         else:
             for server in self._servers:
                 aborted += await server.stop(LOOKUP_DRAIN_S)
-        await self.kill()
+        await self.abort()
         _logger.info("stopped; {} requests aborted", aborted)
         return aborted
 
-    def list_servers(self) -> tuple[web_server.Server, ...]:
+    def get_servers(self) -> tuple[web_server.Server, ...]:
         """Returns the servers that the process listens with."""
         return self._servers
 
@@ -341,7 +341,7 @@
         drive = self._grants.driven_rollouts.get(service)
         return 0 if drive is None else round(drive.evidence.sum_new().bad)
 
-    async def kill(self) -> None:
+    async def abort(self) -> None:
         """Stops immediately, without waiting for running requests."""
         for task in self._tasks:
             task.cancel()
--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -89,27 +89,27 @@
         return expression.Ok(api.Listing(tuple(entries), revision or 0, pages))
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes one key by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             return expression.Error(errors.Failure(errors.Kind.TOO_LARGE, key))
         write = _to_write_body(key, value, lease)
-        return await self._change(key, expected, [write], [])
+        return await self._change(key, expected_revision, [write], [])
 
     async def delete(
-        self, key: str, expected: int
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, expected_revision: int
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes one key by compare-and-swap; see `api.Store`."""
-        return await self._change(key, expected, [], [key])
+        return await self._change(key, expected_revision, [], [key])
 
     async def write_batch(
         self, changes: Sequence[api.Change]
-    ) -> expression.Result[api.BatchWrite, errors.Failure]:
+    ) -> expression.Result[api.BatchOutcome, errors.Failure]:
         """Changes several keys in one transaction; see `api.BatchStore`."""
         body = bodies.TransactionBody(
             [
-                bodies.PreconditionBody(each.key, each.expected)
+                bodies.PreconditionBody(each.key, each.expected_revision)
                 for each in changes
             ],
             [
@@ -160,7 +160,7 @@
             lambda granted: str(granted.lease)
         )
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; see `api.Store`."""
@@ -175,12 +175,12 @@
     async def _change(
         self,
         key: str,
-        expected: int,
+        expected_revision: int,
         writes: list[bodies.WriteBody],
         deletes: list[str],
-    ) -> expression.Result[api.Write, errors.Failure]:
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Changes one key if it has the expected revision."""
-        condition = [bodies.PreconditionBody(key, expected)]
+        condition = [bodies.PreconditionBody(key, expected_revision)]
         body = bodies.TransactionBody(condition, writes, deletes)
         result = await self._send("POST", "/kv-txn", {}, body)
         return result.bind(_to_write)
@@ -287,36 +287,36 @@
 
 def _to_write(
     response: web_api.Response,
-) -> expression.Result[api.Write, errors.Failure]:
+) -> expression.Result[api.WriteOutcome, errors.Failure]:
     """Converts the answer to a change of one key."""
 
-    def convert(outcome: api.Written | bodies.ConflictBody) -> api.Write:
+    def convert(outcome: api.Written | bodies.ConflictBody) -> api.WriteOutcome:
         match outcome:
             case api.Written():
                 return outcome
             case bodies.ConflictBody():
-                return api.Conflicted(_find_conflicting_entry(outcome))
+                return api.Conflict(_find_conflicting_entry(outcome))
 
     return _to_outcome(response).map(convert)
 
 
 def _to_batch_write(
     response: web_api.Response, keys: Sequence[str]
-) -> expression.Result[api.BatchWrite, errors.Failure]:
+) -> expression.Result[api.BatchOutcome, errors.Failure]:
     """Converts the answer to a batch that changes these keys."""
 
-    def convert(outcome: api.Written | bodies.ConflictBody) -> api.BatchWrite:
+    def convert(outcome: api.Written | bodies.ConflictBody) -> api.BatchOutcome:
         match outcome:
             case api.Written():
                 return outcome
             case bodies.ConflictBody(items=items):
-                present = dict.fromkeys(keys, api.CREATE)
-                present |= {
+                revisions = dict.fromkeys(keys, api.NO_REVISION)
+                revisions |= {
                     item.key: item.revision
                     for item in items
-                    if item.key in present and not item.removed
+                    if item.key in revisions and not item.removed
                 }
-                return api.BatchConflicted(present)
+                return api.BatchConflict(revisions)
 
     return _to_outcome(response).map(convert)
 
--- a/src/azureramp/ports/forwarding/api.py
+++ b/src/azureramp/ports/forwarding/api.py
@@ -9,7 +9,7 @@
 
 import h11
 
-Fields = Sequence[tuple[bytes, bytes]]
+Headers = Sequence[tuple[bytes, bytes]]
 """Headers in the order of a message, with names in lower case."""
 
 
@@ -21,8 +21,8 @@
         id: The id that the caller gave this attempt.
         method: The HTTP method.
         target: The path with its query, as sent.
-        fields: The headers that are forwarded; excludes headers of the caller's
-            own connection and those that the tier sets itself.
+        headers: The headers that are forwarded; excludes headers of the
+            caller's own connection and those that the tier sets itself.
         body: The body.
         head: The request line and headers after h11 validated them; None until
             the first call is encoded.
@@ -31,7 +31,7 @@
     id: bytes
     method: bytes
     target: bytes
-    fields: Fields
+    headers: Headers
     body: bytes
     head: h11.Request | None = dataclasses.field(
         default=None, compare=False, repr=False
@@ -53,7 +53,7 @@
     left_s: float
 
 
-class Ran(enum.Enum):
+class Execution(enum.Enum):
     """Whether the searcher ran a call."""
 
     NO = "no"
@@ -82,7 +82,7 @@
 
     Attributes:
         status: The HTTP status.
-        fields: The headers as received.
+        headers: The headers as received.
         body: The complete body.
         signature: The searcher's signature of the answer; empty if none.
         ran: Whether the searcher states that it ran the call.
@@ -93,10 +93,10 @@
     """
 
     status: int
-    fields: Fields
+    headers: Headers
     body: bytes
     signature: bytes
-    ran: Ran
+    ran: Execution
     misdirected: bool
     load: Load | None
     cold_s: float | None
@@ -106,7 +106,7 @@
         return 200 <= self.status < 300 and bool(self.signature)
 
 
-class Loss(enum.Enum):
+class LossReason(enum.Enum):
     """Why a call has no answer."""
 
     NO_CONNECTION = "no_connection"
@@ -116,7 +116,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Lost:
+class LostCall:
     """A call without an answer.
 
     Attributes:
@@ -124,30 +124,30 @@
         sent: True if any byte of the call may have reached the searcher.
     """
 
-    loss: Loss
+    loss: LossReason
     sent: bool
 
 
-Outcome = Reply | Lost
+Outcome = Reply | LostCall
 Receiver = Callable[[Outcome], None]
 
 
 class Codec(Protocol):
     """Encodes and decodes the headers exchanged with searchers."""
 
-    def encode_message(self, message: Message) -> Fields:
+    def encode_message(self, message: Message) -> Headers:
         """Returns the headers that all calls of a message share."""
         ...
 
-    def encode_call(self, call: Call) -> Fields:
+    def encode_call(self, call: Call) -> Headers:
         """Returns the additional headers of one call."""
         ...
 
-    def read_id(self, fields: Fields) -> bytes:
+    def read_id(self, fields: Headers) -> bytes:
         """Returns the request id in a searcher's answer; empty if none."""
         ...
 
-    def decode_reply(self, status: int, fields: Fields, body: bytes) -> Reply:
+    def decode_reply(self, status: int, fields: Headers, body: bytes) -> Reply:
         """Decodes a searcher's answer."""
         ...
 
--- a/src/azureramp/ports/forwarding/pool.py
+++ b/src/azureramp/ports/forwarding/pool.py
@@ -107,8 +107,8 @@
         self._on_unreachable = on_unreachable
         self._full_backoff_s = 0.0
         self._full_until_s = 0.0
-        self._idle: list[link_module.Link] = []
-        self._links: set[link_module.Link] = set()
+        self._idle: list[link_module.SearcherConnection] = []
+        self._links: set[link_module.SearcherConnection] = set()
         self._opening: set[asyncio.Task[None]] = set()
         self._opening_s = 0.0
         self._waiting: collections.deque[ticket_module.PendingCall] = (
@@ -142,7 +142,7 @@
             self._send(link, pending_call)
         elif len(self._waiting) >= MAX_WAITING:
             loop = asyncio.get_running_loop()
-            lost = api.Lost(api.Loss.NO_ROOM, sent=False)
+            lost = api.LostCall(api.LossReason.NO_ROOM, sent=False)
             loop.call_soon(pending_call.deliver, lost)
         else:
             self._waiting.append(pending_call)
@@ -211,9 +211,9 @@
             link.abort()
         for task in list(self._opening):
             task.cancel()
-        self._fail_waiting(api.Loss.NO_CONNECTION)
+        self._fail_waiting(api.LossReason.NO_CONNECTION)
 
-    def _pop_idle(self) -> link_module.Link | None:
+    def _pop_idle(self) -> link_module.SearcherConnection | None:
         """Removes and returns the usable idle connection that was used last."""
         now_s = asyncio.get_running_loop().time()
         while self._idle:
@@ -224,7 +224,9 @@
         return None
 
     def _send(
-        self, link: link_module.Link, pending_call: ticket_module.PendingCall
+        self,
+        link: link_module.SearcherConnection,
+        pending_call: ticket_module.PendingCall,
     ) -> None:
         """Writes a call and sets the time at which its connection is cut."""
         receiver = pending_call.receiver
@@ -255,7 +257,7 @@
         ):
             self._open()
         if self._waiting and not self.count_open():
-            self._fail_waiting(api.Loss.NO_ROOM)
+            self._fail_waiting(api.LossReason.NO_ROOM)
 
     def _open(self, timeout_s: float = CONNECT_S) -> asyncio.Task[None]:
         """Opens one connection in the background.
@@ -292,9 +294,9 @@
         self._links.add(link)
         self._idle.append(link)
 
-    def _make_link(self) -> link_module.Link:
+    def _make_link(self) -> link_module.SearcherConnection:
         """Creates the protocol of a new connection."""
-        return link_module.Link(
+        return link_module.SearcherConnection(
             self._codec, self._handle_idle, self._handle_closed
         )
 
@@ -311,7 +313,7 @@
         if failure is not None and not self._links:
             self._on_unreachable()
         if failed and not self._links and not self._opening:
-            self._fail_waiting(api.Loss.NO_CONNECTION)
+            self._fail_waiting(api.LossReason.NO_CONNECTION)
         elif not failed:
             self._serve_waiting()
 
@@ -332,7 +334,7 @@
         """Returns True while the backoff for a full searcher lasts."""
         return asyncio.get_running_loop().time() < self._full_until_s
 
-    def _handle_idle(self, link: link_module.Link) -> None:
+    def _handle_idle(self, link: link_module.SearcherConnection) -> None:
         """Reuses a connection whose call has ended."""
         self._full_backoff_s = self._full_until_s = 0.0
         if self.unavailable:
@@ -344,7 +346,9 @@
         self._idle.append(link)
         self._serve_waiting()
 
-    def _handle_closed(self, link: link_module.Link, refused: bool) -> None:
+    def _handle_closed(
+        self, link: link_module.SearcherConnection, refused: bool
+    ) -> None:
         """Removes a connection that has closed."""
         if refused:
             backoff_s = max(MIN_FULL_BACKOFF_S, 2 * self._full_backoff_s)
@@ -360,10 +364,10 @@
         if self._waiting:
             self._open_more()
 
-    def _fail_waiting(self, loss: api.Loss) -> None:
+    def _fail_waiting(self, loss: api.LossReason) -> None:
         """Fails the waiting calls, of which no byte was sent."""
         waiting = list(self._waiting)
         self._waiting.clear()
         loop = asyncio.get_running_loop()
         for pending_call in waiting:
-            loop.call_soon(pending_call.deliver, api.Lost(loss, sent=False))
+            loop.call_soon(pending_call.deliver, api.LostCall(loss, sent=False))
--- a/src/azureramp/ports/relays/http.py
+++ b/src/azureramp/ports/relays/http.py
@@ -19,8 +19,8 @@
 and tries others when it fails."""
 
 
-class HttpRelays:
-    """HTTP client of the other VMs; see `api.Relays`."""
+class HttpRelayClient:
+    """HTTP client of the other VMs; see `api.RelayClient`."""
 
     __slots__ = ("_pools",)
 
@@ -31,7 +31,7 @@
     async def ask(
         self, address: str, request: api.ChangesRequest
     ) -> expression.Result[api.Changes, errors.Failure]:
-        """Requests changes from a VM; see `api.Relays`."""
+        """Requests changes from a VM; see `api.RelayClient`."""
         result = await self._pools.get(address).exchange(
             "POST",
             api.CHANGES_PATH,
--- a/src/azureramp/ports/searchers/api.py
+++ b/src/azureramp/ports/searchers/api.py
@@ -26,10 +26,10 @@
         high: The first key after the shard (exclusive).
         deadline_ms: Remaining time, in milliseconds; sent to the searcher.
         body: The query as JSON.
-        repeatable: False if the call has side effects and must not be repeated.
-        overdue_ms: Time without a reply, in milliseconds, after which the
+        idempotent: False if the call has side effects and must not be repeated.
+        suspect_after_ms: Time without a reply, in milliseconds, after which the
             connection is suspected to be half-open; 0 for never.
-        give_up_ms: Time without a reply, in milliseconds, after which a
+        abort_after_ms: Time without a reply, in milliseconds, after which a
             repeatable call on a suspected connection is aborted; 0 for never.
     """
 
@@ -42,9 +42,9 @@
     high: int
     deadline_ms: float
     body: bytes
-    repeatable: bool = True
-    overdue_ms: float = 0.0
-    give_up_ms: float = 0.0
+    idempotent: bool = True
+    suspect_after_ms: float = 0.0
+    abort_after_ms: float = 0.0
 
 
 class Reply(msgspec.Struct, frozen=True):
@@ -95,17 +95,17 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Links:
+class ConnectionCounts:
     """Connection counts for one searcher.
 
     Attributes:
-        open: Number of open connections.
-        lost: Number of connections lost since the start: closed by the
+        open_count: Number of open connections.
+        lost_count: Number of connections lost since the start: closed by the
             searcher or broken, not closed by this side.
     """
 
-    open: int
-    lost: int
+    open_count: int
+    lost_count: int
 
 
 class Searchers(Protocol):
@@ -122,7 +122,7 @@
         """
         ...
 
-    def get_links(self, address: str) -> Links:
+    def count_connections(self, address: str) -> ConnectionCounts:
         """Returns the current connection counts for an address."""
         ...
 
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -20,7 +20,7 @@
 MAX_ENCODE_S = 0.05
 """Maximum time between computing a deadline and writing it, in seconds."""
 
-Outcome = expression.Result[api.Reply, errors.Failure]
+CallResult = expression.Result[api.Reply, errors.Failure]
 
 
 class Link(health.HealthLink, Protocol):
@@ -28,7 +28,7 @@
 
     async def call(
         self, call: api.Call, remaining_ms: float, may_write: Callable[[], bool]
-    ) -> Outcome:
+    ) -> CallResult:
         """Makes a call.
 
         Args:
@@ -37,8 +37,8 @@
             may_write: See `api.Searchers.call`.
 
         Raises:
-            UnsentError: Nothing was written.
-            BrokenError: The connection failed.
+            NotSentError: Nothing was written.
+            ConnectionBrokenError: The connection failed.
         """
         ...
 
@@ -100,13 +100,14 @@
         self._health.set_limit(address, for_health)
         self._pools.get(address).set_limit(for_calls)
 
-    def get_links(self, address: str) -> api.Links:
+    def count_connections(self, address: str) -> api.ConnectionCounts:
         """Returns the connection counts; see `api.Searchers`."""
         pooled = self._pools.get(address)
         pooled.prune()
-        health_links = self._health.get_links(address)
-        return api.Links(
-            pooled.opened + health_links.open, pooled.lost + health_links.lost
+        health_links = self._health.count_connections(address)
+        return api.ConnectionCounts(
+            pooled.open_count + health_links.open_count,
+            pooled.lost + health_links.lost_count,
         )
 
     async def call(
@@ -132,7 +133,7 @@
 
     async def read_health(
         self, address: str, fresh: bool = False
-    ) -> health.Report:
+    ) -> health.HealthResult:
         """Reads a searcher's health report; see `api.Searchers`."""
         return await self._health.read(address, fresh)
 
@@ -145,7 +146,7 @@
 
     async def _call(
         self, call: api.Call, permission: WritePermission, deadline_s: float
-    ) -> Outcome:
+    ) -> CallResult:
         """Makes a call, trying other connections while nothing was written."""
         pooled = self._pools.get(call.address)
         while True:
@@ -166,7 +167,7 @@
         call: api.Call,
         permission: WritePermission,
         deadline_s: float,
-    ) -> Outcome | None:
+    ) -> CallResult | None:
         """Makes a call on one connection.
 
         Returns:
@@ -176,9 +177,9 @@
         permission.computed_s = loop.time()
         remaining_ms = (deadline_s - permission.computed_s) * 1000
         timer = None
-        if call.overdue_ms:
+        if call.suspect_after_ms:
             timer = loop.call_later(
-                call.overdue_ms / 1000,
+                call.suspect_after_ms / 1000,
                 self._start_overdue_check,
                 pooled,
                 link,
@@ -190,7 +191,7 @@
             return check_reply(
                 call, await link.call(call, remaining_ms, permission.ask), link
             )
-        except web_connection.UnsentError:
+        except web_connection.NotSentError:
             # The searcher closed an idle connection, or this process was
             # paused. No byte was written, so another connection may be used
             # unless `may_write` returned False.
@@ -200,7 +201,7 @@
             return expression.Error(
                 errors.Failure(errors.Kind.NOT_OWNER, "may not write")
             )
-        except web_connection.BrokenError as error:
+        except web_connection.ConnectionBrokenError as error:
             broke = True
             return expression.Error(
                 errors.Failure(errors.Kind.CONNECTION_LOST, str(error))
@@ -242,26 +243,28 @@
         retry elsewhere before its deadline. It is aborted immediately if the
         searcher reports fewer calls in flight than this side has sent, since
         it has then never received this call; otherwise, as reports may be
-        wrong, after `give_up_ms`.
+        wrong, after `abort_after_ms`.
         """
         report = await self.read_health(call.address, fresh=True)
         match report:
             case expression.Result(tag="ok", ok=reported):
-                pooled.suspect(started_s)
+                pooled.close_idle_before(started_s)
             case _:
                 return
-        if not call.repeatable:
+        if not call.idempotent:
             return
         if reported.in_flight >= pooled.count_in_use():
-            if not call.give_up_ms:
+            if not call.abort_after_ms:
                 return
             now_s = asyncio.get_running_loop().time()
-            await asyncio.sleep(started_s + call.give_up_ms / 1000 - now_s)
-        if link.proven_s <= started_s:
+            await asyncio.sleep(started_s + call.abort_after_ms / 1000 - now_s)
+        if link.last_active_s <= started_s:
             link.abort()
 
 
-def check_reply(call: api.Call, outcome: Outcome, link: pool.Pooled) -> Outcome:
+def check_reply(
+    call: api.Call, outcome: CallResult, link: pool.Pooled
+) -> CallResult:
     """Rejects a reply that belongs to another call.
 
     A searcher or proxy that confuses replies would expose one caller's data
--- a/src/azureramp/ports/searchers/http.py
+++ b/src/azureramp/ports/searchers/http.py
@@ -68,7 +68,7 @@
         self._connection = connection
 
     @property
-    def proven_s(self) -> float:
+    def last_active_s(self) -> float:
         """Event loop time of its opening or last response, in seconds."""
         return self._connection.used_s
 
@@ -82,7 +82,7 @@
 
     async def call(
         self, call: api.Call, remaining_ms: float, may_write: Callable[[], bool]
-    ) -> calls.Outcome:
+    ) -> calls.CallResult:
         """Makes a call; see `calls.Link`."""
         body = SearchBody(
             call.call_id,
@@ -91,7 +91,7 @@
             call.shard,
             call.low,
             call.high,
-            call.repeatable,
+            call.idempotent,
             msgspec.Raw(call.body),
         )
         headers = (
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -22,7 +22,7 @@
 SLOW_FACTOR = 3.0
 """A reply is slow if it takes this many times the median service time."""
 
-Search = Callable[[api.Call], bytes]
+SearchFunction = Callable[[api.Call], bytes]
 """Returns the items of a call as a JSON array."""
 
 
@@ -34,9 +34,9 @@
 class Link(Protocol):
     """The connection interface that a searcher requires."""
 
-    silent: bool
+    half_open: bool
 
-    def lose(self) -> None:
+    def break_connection(self) -> None:
         """Breaks the connection from the searcher's side."""
         ...
 
@@ -58,23 +58,23 @@
         warm_after: Number of calls after which it is warm.
         cold_factor: Factor on the service time in cold start.
         service_ms: Median service time, in milliseconds.
-        spread: Sigma of the service time's log-normal distribution.
+        service_time_sigma: Sigma of the service time's log-normal distribution.
         connect_ms: Time to open a connection, in milliseconds.
         siblings: The searchers that crash with it, including itself.
         served: Number of calls completed since it started or turned cold.
         running: Number of calls running or queued.
         calls: Total number of calls received.
         crashes: Total number of crashes.
-        most_cold: Maximum number of concurrent calls in cold start.
-        most_running: Maximum number of concurrent calls.
-        most_links: Maximum number of concurrent connections.
-        effects: The bodies of the calls with side effects that it ran.
+        max_cold_running: Maximum number of concurrent calls in cold start.
+        max_running: Maximum number of concurrent calls.
+        max_links: Maximum number of concurrent connections.
+        effect_bodies: The bodies of the calls with side effects that it ran.
         links: The open connections.
         last_call_s: Event loop time of the last received call, in seconds; -1
             if there was none.
         on_arrival: Called for each call that it accepts; None for no callback.
-        cold_shown: True if its cold start can be detected from outside: its
-            connections broke, or `MIN_SLOW_REPLIES` slow replies were
+        cold_detectable: True if its cold start can be detected from outside:
+            its connections broke, or `MIN_SLOW_REPLIES` slow replies were
             received.
         slow_replies: Number of slow replies received since it turned cold.
         health_reads: Total number of health reads.
@@ -85,29 +85,29 @@
         "_slots",
         "address",
         "calls",
+        "cold_detectable",
         "cold_factor",
         "cold_limit",
-        "cold_shown",
         "connect_ms",
         "crashes",
-        "effects",
+        "effect_bodies",
         "faults",
         "health_reads",
         "incarnation",
         "last_call_s",
         "links",
-        "most_cold",
-        "most_links",
-        "most_running",
+        "max_cold_running",
+        "max_links",
+        "max_running",
         "on_arrival",
         "running",
         "search",
         "served",
         "service_ms",
+        "service_time_sigma",
         "siblings",
         "slots",
         "slow_replies",
-        "spread",
         "versions",
         "warm_after",
     )
@@ -119,7 +119,7 @@
         slots: int = 2,
         cold_limit: int = 1,
         service_ms: float = 10.0,
-        spread: float = 0.2,
+        service_time_sigma: float = 0.2,
         connect_ms: float = 6.0,
         versions: tuple[str, ...] = (),
         seed: int = 0,
@@ -130,28 +130,28 @@
         self.cold_limit = cold_limit
         self.versions = versions
         self.faults = Faults()
-        self.search: Search = return_no_items
+        self.search: SearchFunction = return_no_items
         self.incarnation = 1
         self.warm_after = 0
         self.cold_factor = 5.0
         self.service_ms = service_ms
-        self.spread = spread
+        self.service_time_sigma = service_time_sigma
         self.connect_ms = connect_ms
         self.siblings: list[Searcher] = [self]
         self.served = 0
         self.running = 0
         self.calls = 0
         self.crashes = 0
-        self.most_cold = 0
-        self.most_running = 0
-        self.most_links = 0
-        self.effects: list[bytes] = []
+        self.max_cold_running = 0
+        self.max_running = 0
+        self.max_links = 0
+        self.effect_bodies: list[bytes] = []
         self.links: dict[Link, None] = {}
         self.last_call_s = -1.0
         self.health_reads = 0
         self.slow_replies = 0
         self.on_arrival: Callable[[api.Call], None] | None = None
-        self.cold_shown = True
+        self.cold_detectable = True
         self._random = random.Random(f"{address}/{seed}")
         self._slots = asyncio.Semaphore(slots)
 
@@ -167,21 +167,21 @@
         """
         self.incarnation += 1
         self.served = 0
-        self.cold_shown = True
+        self.cold_detectable = True
         self.warm_after = warm_after
         for link in list(self.links):
-            link.lose()
+            link.break_connection()
 
-    def silence(self) -> None:
+    def make_half_open(self) -> None:
         """Makes all open connections half-open, as a failing middlebox does."""
         for link in self.links:
-            link.silent = True
+            link.half_open = True
 
-    def turn_cold(self, warm_after: int) -> None:
+    def reset_to_cold(self, warm_after: int) -> None:
         """Returns to cold start without a restart or any other visible sign."""
         self.served = 0
         self.slow_replies = 0
-        self.cold_shown = False
+        self.cold_detectable = False
         self.warm_after = warm_after
 
     def record_reply(self, duration_s: float) -> None:
@@ -193,14 +193,14 @@
         if duration_s * 1000 >= self.service_ms * SLOW_FACTOR:
             self.slow_replies += 1
         if self.slow_replies >= MIN_SLOW_REPLIES:
-            self.cold_shown = True
+            self.cold_detectable = True
 
     def crash(self) -> None:
         """Crashes; restarts after `faults.restart_s`."""
         self.crashes += 1
         self.faults.down = True
         for link in list(self.links):
-            link.lose()
+            link.break_connection()
         asyncio.get_running_loop().call_later(
             self.faults.restart_s, self._recover
         )
@@ -210,7 +210,7 @@
         self.faults.down = False
         self.restart(self.warm_after)
 
-    async def serve(self, call: api.Call) -> calls.Outcome:
+    async def serve(self, call: api.Call) -> calls.CallResult:
         """Runs a call, waiting for a slot if necessary."""
         self.calls += 1
         self.last_call_s = asyncio.get_running_loop().time()
@@ -219,9 +219,9 @@
         if self._random.random() < self.faults.sheds:
             return _refuse(errors.Kind.SHED)
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         if self.is_cold():
-            self.most_cold = max(self.most_cold, self.running)
+            self.max_cold_running = max(self.max_cold_running, self.running)
         if self.on_arrival is not None:
             self.on_arrival(call)
         try:
@@ -230,7 +230,7 @@
         finally:
             self.running -= 1
 
-    async def _run(self, call: api.Call) -> calls.Outcome:
+    async def _run(self, call: api.Call) -> calls.CallResult:
         """Runs a call in a slot."""
         faults = self.faults
         if faults.hangs:
@@ -244,11 +244,13 @@
         self.served += 1
         if self._random.random() < faults.fails:
             return _refuse(errors.Kind.BACKEND_FAILED)
-        if not call.repeatable:
-            self.effects.append(call.body)
+        if not call.idempotent:
+            self.effect_bodies.append(call.body)
         if faults.truncated:
             faults.truncated -= 1
-            raise web_connection.BrokenError("the reply was truncated")
+            raise web_connection.ConnectionBrokenError(
+                "the reply was truncated"
+            )
         call_id = call.call_id
         if faults.crossed:
             faults.crossed -= 1
@@ -266,7 +268,7 @@
     def _draw_ms(self) -> float:
         """Returns a random service time, in milliseconds."""
         duration_ms = self.service_ms * self._random.lognormvariate(
-            0, self.spread
+            0, self.service_time_sigma
         )
         if self._random.random() < self.faults.straggles:
             duration_ms *= self.faults.straggler_factor
@@ -275,6 +277,6 @@
         return duration_ms
 
 
-def _refuse(kind: errors.Kind) -> calls.Outcome:
+def _refuse(kind: errors.Kind) -> calls.CallResult:
     """Makes the result of a rejected call."""
     return expression.Error(errors.Failure(kind, "the searcher refused"))
--- a/src/azureramp/ports/store/api.py
+++ b/src/azureramp/ports/store/api.py
@@ -17,7 +17,7 @@
 
 MAX_VALUE_BYTES = 1_000_000
 
-CREATE = 0
+NO_REVISION = 0
 """The expected revision of a key that must not exist yet."""
 
 
@@ -63,17 +63,17 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Conflicted:
+class Conflict:
     """A write was rejected since the key has a different revision.
 
     Attributes:
-        present: The current entry; None if there is none.
+        current: The current entry; None if there is none.
     """
 
-    present: Entry | None
+    current: Entry | None
 
 
-Write = Written | Conflicted
+WriteOutcome = Written | Conflict
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -83,31 +83,31 @@
     Attributes:
         key: The key.
         value: The new value; None deletes the key.
-        expected: The current revision of the key, or `CREATE`.
+        expected_revision: The current revision of the key, or `NO_REVISION`.
         lease: The lease whose expiry deletes the key; empty for none.
     """
 
     key: str
     value: bytes | None
-    expected: int
+    expected_revision: int
     lease: str = ""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class BatchConflicted:
+class BatchConflict:
     """A batch was rejected since a key has a different revision.
 
     Attributes:
-        present: The current revision of each key in the batch; `CREATE` for a
-            key that does not exist.
+        revisions: The current revision of each key in the batch; `NO_REVISION`
+            for a key that does not exist.
     """
 
-    present: Mapping[str, int]
+    revisions: Mapping[str, int]
 
 
-BatchWrite = Written | BatchConflicted
+BatchOutcome = Written | BatchConflict
 
-MAX_BATCH = 16
+MAX_BATCH_CHANGES = 16
 """Maximum number of changes in a batch."""
 
 
@@ -133,14 +133,15 @@
         ...
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[Write, errors.Failure]:
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
+    ) -> expression.Result[WriteOutcome, errors.Failure]:
         """Writes a key if its revision is the expected one.
 
         Args:
             key: The key.
             value: The new value.
-            expected: The current revision of the key, or `CREATE`.
+            expected_revision: The current revision of the key, or
+                `NO_REVISION`.
             lease: The lease whose expiry deletes the key; empty for none.
 
         Returns:
@@ -149,8 +150,8 @@
         ...
 
     async def delete(
-        self, key: str, expected: int
-    ) -> expression.Result[Write, errors.Failure]:
+        self, key: str, expected_revision: int
+    ) -> expression.Result[WriteOutcome, errors.Failure]:
         """Deletes a key if its revision is the expected one."""
         ...
 
@@ -183,7 +184,7 @@
         """
         ...
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; returns False if it has already expired."""
@@ -199,11 +200,11 @@
 
     async def write_batch(
         self, changes: Sequence[Change]
-    ) -> expression.Result[BatchWrite, errors.Failure]:
+    ) -> expression.Result[BatchOutcome, errors.Failure]:
         """Makes all changes, or none if any revision is not the expected one.
 
         Args:
-            changes: At most `MAX_BATCH` changes to different keys.
+            changes: At most `MAX_BATCH_CHANGES` changes to different keys.
 
         Returns:
             The outcome, with the revision of all written keys; `NOT_FOUND` if
--- a/src/azureramp/ports/store/counting.py
+++ b/src/azureramp/ports/store/counting.py
@@ -47,18 +47,20 @@
         return result
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes by compare-and-swap; see `api.Store`."""
         self._metrics.count("store.writes")
-        return self._check(await self._store.write(key, value, expected, lease))
+        return self._check(
+            await self._store.write(key, value, expected_revision, lease)
+        )
 
     async def delete(
-        self, key: str, expected: int
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, expected_revision: int
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
         self._metrics.count("store.writes")
-        return self._check(await self._store.delete(key, expected))
+        return self._check(await self._store.delete(key, expected_revision))
 
     async def watch(
         self, prefix: str, after: int, wait_s: float
@@ -74,12 +76,12 @@
         self._metrics.count("store.leases")
         return self._check(await self._store.grant_lease(ttl_s))
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; see `api.Store`."""
         self._metrics.count("store.renewals")
-        return self._check(await self._store.keep_lease(lease))
+        return self._check(await self._store.renew_lease(lease))
 
     async def close(self) -> None:
         """Closes the store."""
@@ -108,7 +110,7 @@
 
     async def write_batch(
         self, changes: Sequence[api.Change]
-    ) -> expression.Result[api.BatchWrite, errors.Failure]:
+    ) -> expression.Result[api.BatchOutcome, errors.Failure]:
         """Writes a batch; see `api.BatchStore`."""
         self._metrics.count("store.writes")
         return self._check(await self._batches.write_batch(changes))
--- a/src/azureramp/ports/store/http.py
+++ b/src/azureramp/ports/store/http.py
@@ -53,8 +53,8 @@
         return _decode(result.ok, protocol.ListingBody).map(_to_listing)
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             return expression.Error(errors.Failure(errors.Kind.TOO_LARGE, key))
@@ -63,17 +63,17 @@
             protocol.KEYS,
             value,
             key=key,
-            expected=str(expected),
+            expected=str(expected_revision),
             lease=lease,
         )
         return result.bind(_to_write)
 
     async def delete(
-        self, key: str, expected: int
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, expected_revision: int
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
         result = await self._call(
-            "DELETE", protocol.KEYS, key=key, expected=str(expected)
+            "DELETE", protocol.KEYS, key=key, expected=str(expected_revision)
         )
         return result.bind(_to_write)
 
@@ -106,7 +106,7 @@
             lambda body: body.lease
         )
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; see `api.Store`."""
@@ -179,7 +179,7 @@
 
 def _to_write(
     response: web_api.Response,
-) -> expression.Result[api.Write, errors.Failure]:
+) -> expression.Result[api.WriteOutcome, errors.Failure]:
     """Converts the response to a write.
 
     If the response can't be decoded, the outcome of the write is unknown.
@@ -196,7 +196,7 @@
             )
             present = conflict.present
             return expression.Ok(
-                api.Conflicted(None if present is None else _to_entry(present))
+                api.Conflict(None if present is None else _to_entry(present))
             )
     except msgspec.DecodeError as error:
         kind = errors.Kind.STORE_OUTCOME_UNKNOWN
--- a/src/azureramp/ports/store/memory.py
+++ b/src/azureramp/ports/store/memory.py
@@ -15,7 +15,7 @@
 from azureramp.ports.store import api
 from azureramp.ports.store import state as store_state
 
-Outcome = expression.Result[api.Write, errors.Failure]
+Outcome = expression.Result[api.WriteOutcome, errors.Failure]
 """The result of a write."""
 
 
@@ -82,19 +82,19 @@
         return expression.Ok(self.state.list(prefix, self._get_read_revision()))
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Writes by compare-and-swap; see `api.Store`."""
         if len(value) > api.MAX_VALUE_BYTES:
             failure = errors.Failure(errors.Kind.TOO_LARGE, key)
             return expression.Error(failure)
-        return await self._change(key, value, expected, lease)
+        return await self._change(key, value, expected_revision, lease)
 
     async def delete(
-        self, key: str, expected: int
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, expected_revision: int
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Deletes by compare-and-swap; see `api.Store`."""
-        return await self._change(key, None, expected, "")
+        return await self._change(key, None, expected_revision, "")
 
     async def watch(
         self, prefix: str, after: int, wait_s: float
@@ -112,7 +112,7 @@
                 return expression.Error(_fail_down())
             if listing.entries or remaining_s <= 0:
                 return expression.Ok(listing)
-            expiry_s = self.state.get_next_expiry_s()
+            expiry_s = self.state.get_next_lease_expiry_s()
             if expiry_s is not None:
                 remaining_s = min(remaining_s, expiry_s - loop.time())
             await self.state.wait_for_change(remaining_s)
@@ -126,14 +126,14 @@
         now_s = asyncio.get_running_loop().time()
         return expression.Ok(self.state.grant_lease(ttl_s, now_s))
 
-    async def keep_lease(
+    async def renew_lease(
         self, lease: str
     ) -> expression.Result[bool, errors.Failure]:
         """Renews a lease; see `api.Store`."""
         if not await self._begin_call():
             return expression.Error(_fail_down())
         now_s = asyncio.get_running_loop().time()
-        return expression.Ok(self.state.keep_lease(lease, now_s))
+        return expression.Ok(self.state.renew_lease(lease, now_s))
 
     async def close(self) -> None:
         """Does nothing, since there are no connections."""
@@ -151,8 +151,8 @@
         return max(self.state.revision - self.faults.past, 0)
 
     async def _change(
-        self, key: str, value: bytes | None, expected: int, lease: str
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, value: bytes | None, expected_revision: int, lease: str
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Makes a change, subject to the injected faults.
 
         The change takes effect after half of the call duration, even if the
@@ -163,7 +163,7 @@
             return expression.Error(_fail_down())
         half_s = self.faults.delay_s / 2
         pending: asyncio.Future[Outcome] = asyncio.ensure_future(
-            self._apply(half_s, key, value, expected, lease)
+            self._apply(half_s, key, value, expected_revision, lease)
         )
         outcome = await asyncio.shield(pending)
         await asyncio.sleep(half_s)
@@ -174,7 +174,7 @@
         delay_s: float,
         key: str,
         value: bytes | None,
-        expected: int,
+        expected_revision: int,
         lease: str,
     ) -> Outcome:
         """Makes a change after a delay."""
@@ -184,13 +184,18 @@
         faults = self.faults
         if faults.late_s > 0:
             loop.call_later(
-                faults.late_s, self.state.write, key, value, expected, lease
+                faults.late_s,
+                self.state.write,
+                key,
+                value,
+                expected_revision,
+                lease,
             )
             return expression.Error(_fail_unknown())
         if faults.lost_requests > 0:
             faults.lost_requests -= 1
             return expression.Error(_fail_unknown())
-        written = self.state.write(key, value, expected, lease)
+        written = self.state.write(key, value, expected_revision, lease)
         if faults.lost_replies > 0:
             faults.lost_replies -= 1
             return expression.Error(_fail_unknown())
--- a/src/azureramp/ports/store/state.py
+++ b/src/azureramp/ports/store/state.py
@@ -86,8 +86,12 @@
         return api.Listing(tuple(changes), self.revision)
 
     def write(
-        self, key: str, value: bytes | None, expected: int, lease: str = ""
-    ) -> api.Write | None:
+        self,
+        key: str,
+        value: bytes | None,
+        expected_revision: int,
+        lease: str = "",
+    ) -> api.WriteOutcome | None:
         """Writes a key, or deletes it if the value is None.
 
         The write is a compare-and-swap on the revision of the key.
@@ -95,11 +99,13 @@
         Returns:
             The outcome; None if the lease does not exist.
         """
-        present = self.read(key)
-        if (present.revision if present else api.CREATE) != expected:
-            return api.Conflicted(present)
-        if value is None and present is None:
-            return api.Conflicted(None)
+        current = self.read(key)
+        if (
+            current.revision if current else api.NO_REVISION
+        ) != expected_revision:
+            return api.Conflict(current)
+        if value is None and current is None:
+            return api.Conflict(None)
         if lease and lease not in self._leases:
             return None
         for other in self._leases.values():
@@ -108,30 +114,37 @@
             self._leases[lease].keys.add(key)
         return api.Written(self._append(key, value))
 
-    def write_all(self, changes: Sequence[api.Change]) -> api.BatchWrite | None:
+    def write_batch(
+        self, changes: Sequence[api.Change]
+    ) -> api.BatchOutcome | None:
         """Makes all changes, or none if any revision is not the expected one.
 
         Returns:
             The outcome; None if a lease does not exist.
         """
-        present = {change.key: self.read(change.key) for change in changes}
+        current = {change.key: self.read(change.key) for change in changes}
         revisions = {
-            key: entry.revision if entry else api.CREATE
-            for key, entry in present.items()
+            key: entry.revision if entry else api.NO_REVISION
+            for key, entry in current.items()
         }
-        if any(revisions[each.key] != each.expected for each in changes):
-            return api.BatchConflicted(revisions)
+        if any(
+            revisions[each.key] != each.expected_revision for each in changes
+        ):
+            return api.BatchConflict(revisions)
         if any(
             each.lease and each.lease not in self._leases for each in changes
         ):
             return None
         before = self.revision
         for change in changes:
-            if change.value is not None or present[change.key] is not None:
+            if change.value is not None or current[change.key] is not None:
                 # All keys of a batch get the same revision.
                 self.revision = before
                 self.write(
-                    change.key, change.value, change.expected, change.lease
+                    change.key,
+                    change.value,
+                    change.expected_revision,
+                    change.lease,
                 )
         return api.Written(self.revision)
 
@@ -141,7 +154,7 @@
         self._leases[lease] = Lease(ttl_s, now_s + ttl_s)
         return lease
 
-    def keep_lease(self, lease: str, now_s: float) -> bool:
+    def renew_lease(self, lease: str, now_s: float) -> bool:
         """Renews a lease; returns False if it does not exist."""
         record = self._leases.get(lease)
         if record is None:
@@ -157,7 +170,7 @@
                 for key in sorted(record.keys):
                     self._append(key, None)
 
-    def get_next_expiry_s(self) -> float | None:
+    def get_next_lease_expiry_s(self) -> float | None:
         """Returns when the next lease expires; None if there is no lease."""
         times = [record.expires_s for record in self._leases.values()]
         return min(times, default=None)
--- a/src/azureramp/ports/web/api.py
+++ b/src/azureramp/ports/web/api.py
@@ -22,12 +22,14 @@
         headers: The headers by lower-case name; the last value of a repeated
             name wins.
         body: The body.
-        target: The raw request target (path and query).
-        fields: The raw headers, in order, names in lower case.
-        began_s: Event loop time at which its first byte was read, in seconds.
+        raw_target: The raw request target (path and query).
+        raw_headers: The raw headers, in order, names in lower case.
+        received_s: Event loop time at which its first byte was read, in
+            seconds.
         round_trip_s: The kernel's round-trip time estimate for the
             connection, in seconds; 0 if there is none.
-        first: True if this is the first request on its connection.
+        is_first_on_connection: True if this is the first request on its
+            connection.
     """
 
     method: str
@@ -35,11 +37,11 @@
     query: Mapping[str, str]
     headers: Mapping[str, str]
     body: bytes = b""
-    target: bytes = b""
-    fields: tuple[tuple[bytes, bytes], ...] = ()
-    began_s: float = 0.0
+    raw_target: bytes = b""
+    raw_headers: tuple[tuple[bytes, bytes], ...] = ()
+    received_s: float = 0.0
     round_trip_s: float = 0.0
-    first: bool = False
+    is_first_on_connection: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -47,21 +49,24 @@
     """Limits that a server applies to its clients; mutable at any time.
 
     Attributes:
-        header_bytes: Maximum size of the request line and headers, in bytes.
-        body_bytes: Maximum size of a request body, in bytes.
-        header_s: Maximum time to receive the request headers, in seconds.
-        request_s: Maximum time from the end of the headers to the end of the
-            body, in seconds.
-        idle_s: Maximum time between two requests on a connection, in seconds.
-        connections: Maximum number of concurrent connections.
+        max_header_bytes: Maximum size of the request line and headers, in
+            bytes.
+        max_body_bytes: Maximum size of a request body, in bytes.
+        header_timeout_s: Maximum time to receive the request headers, in
+            seconds.
+        request_timeout_s: Maximum time from the end of the headers to the end
+            of the body, in seconds.
+        idle_timeout_s: Maximum time between two requests on a connection, in
+            seconds.
+        max_connections: Maximum number of concurrent connections.
     """
 
-    header_bytes: int = 16_384
-    body_bytes: int = 1_000_000
-    header_s: float = 10.0
-    request_s: float = 10.0
-    idle_s: float = 60.0
-    connections: int = 2000
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 1_000_000
+    header_timeout_s: float = 10.0
+    request_timeout_s: float = 10.0
+    idle_timeout_s: float = 60.0
+    max_connections: int = 2000
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -74,14 +79,15 @@
         content_type: The media type of the body; empty if `headers` contain
             it.
         headers: Additional headers.
-        closes: True if the connection must be closed after this response.
+        closes_connection: True if the connection must be closed after this
+            response.
     """
 
     status: int
     body: bytes = b""
     content_type: str = "application/json; charset=utf-8"
     headers: tuple[tuple[str, str], ...] = ()
-    closes: bool = False
+    closes_connection: bool = False
 
 
 Handler = Callable[[Request], Awaitable[Response]]
--- a/src/azureramp/ports/web/connection.py
+++ b/src/azureramp/ports/web/connection.py
@@ -36,11 +36,11 @@
 """Byte offset of `tcpi_rtt` in Linux's `struct tcp_info`."""
 
 
-class UnsentError(Exception):
+class NotSentError(Exception):
     """The exchange failed before any byte was written."""
 
 
-class BrokenError(Exception):
+class ConnectionBrokenError(Exception):
     """The connection failed after bytes may have been written."""
 
 
@@ -170,24 +170,27 @@
             The response. Check `is_reusable` before the next exchange.
 
         Raises:
-            UnsentError: `may_write` returned False, or the connection was
+            NotSentError: `may_write` returned False, or the connection was
                 already closed; nothing was written.
-            BrokenError: The connection failed; bytes may have been written.
+            ConnectionBrokenError: The connection failed; bytes may have been
+                written.
         """
         data = self._encode(method, target, headers, body, host)
         if self._writer.is_closing() or self._reader.at_eof():
-            raise UnsentError("closed")
+            raise NotSentError("closed")
         if may_write is not None and not may_write():
             # Nothing was written, so the connection can be reused as if new.
             self._http = h11.Connection(h11.CLIENT)
-            raise UnsentError("not allowed")
+            raise NotSentError("not allowed")
         try:
             self._writer.write(data)
             await self._writer.drain()
             response = await self._read_response()
         except (OSError, h11.ProtocolError, EOFError) as error:
             self.abort()
-            raise BrokenError(str(error) or type(error).__name__) from error
+            raise ConnectionBrokenError(
+                str(error) or type(error).__name__
+            ) from error
         except asyncio.CancelledError:
             self.abort()
             raise
--- a/src/azureramp/ports/web/pool.py
+++ b/src/azureramp/ports/web/pool.py
@@ -73,10 +73,10 @@
                     response = await connection.exchange(
                         method, target, headers, body
                     )
-            except web_connection.UnsentError:
+            except web_connection.NotSentError:
                 connection.abort()
                 continue
-            except web_connection.BrokenError as error:
+            except web_connection.ConnectionBrokenError as error:
                 return _fail(errors.Kind.STORE_OUTCOME_UNKNOWN, str(error))
             except TimeoutError:
                 self.close()
--- a/src/azureramp/ports/web/request_reader.py
+++ b/src/azureramp/ports/web/request_reader.py
@@ -36,7 +36,7 @@
 
 UNKNOWN_ARRIVAL = Arrival()
 
-Parse = Callable[[h11.Request, bytes, Arrival], api.Request]
+RequestParser = Callable[[h11.Request, bytes, Arrival], api.Request]
 """Makes a request from its h11 head, its body and its arrival data."""
 
 
@@ -78,7 +78,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         limits: api.Limits,
-        parse: Parse,
+        parse: RequestParser,
     ) -> None:
         """Makes a reader for one connection."""
         self._http = http
@@ -120,7 +120,7 @@
         loop = asyncio.get_running_loop()
         self._started = False
         self._deadline_s = loop.time() + (
-            LINGER_S if self._stopping else self._limits.idle_s
+            LINGER_S if self._stopping else self._limits.idle_timeout_s
         )
         head: h11.Request | None = None
         body = bytearray()
@@ -132,10 +132,12 @@
                     head = event
                     check_framing(head)
                     self._record_start()
-                    self._deadline_s = loop.time() + self._limits.request_s
+                    self._deadline_s = (
+                        loop.time() + self._limits.request_timeout_s
+                    )
                 case h11.Data() as event:
                     body += event.data
-                    if len(body) > self._limits.body_bytes:
+                    if len(body) > self._limits.max_body_bytes:
                         raise BadRequestError(
                             413, "the request body is too large"
                         )
@@ -174,7 +176,7 @@
         if not self._started:
             self._started = True
             self._started_s = asyncio.get_running_loop().time()
-            self._deadline_s = self._started_s + self._limits.header_s
+            self._deadline_s = self._started_s + self._limits.header_timeout_s
 
 
 def check_framing(head: h11.Request) -> None:
@@ -194,7 +196,7 @@
         )
 
 
-def keep_request(
+def make_raw_request(
     head: h11.Request, body: bytes, arrival: Arrival
 ) -> api.Request:
     """Converts an h11 request that is to be forwarded unchanged.
@@ -208,11 +210,11 @@
         query={},
         headers={},
         body=body,
-        target=head.target,
-        fields=tuple(head.headers),
-        began_s=arrival.began_s,
+        raw_target=head.target,
+        raw_headers=tuple(head.headers),
+        received_s=arrival.began_s,
         round_trip_s=arrival.round_trip_s,
-        first=arrival.first,
+        is_first_on_connection=arrival.first,
     )
 
 
@@ -243,7 +245,7 @@
         dict(pairs),
         headers,
         body,
-        began_s=arrival.began_s,
+        received_s=arrival.began_s,
         round_trip_s=arrival.round_trip_s,
-        first=arrival.first,
+        is_first_on_connection=arrival.first,
     )
--- a/src/azureramp/ports/web/server.py
+++ b/src/azureramp/ports/web/server.py
@@ -28,9 +28,9 @@
 
     Attributes:
         address: `IP:port` that it listens on.
-        running: Number of requests in progress.
-        closing: True if each response closes its connection; new connections
-            are still accepted.
+        running_requests: Number of requests in progress.
+        closes_connections: True if each response closes its connection; new
+            connections are still accepted.
     """
 
     __slots__ = (
@@ -41,8 +41,8 @@
         "_server",
         "_stopping",
         "address",
-        "closing",
-        "running",
+        "closes_connections",
+        "running_requests",
     )
 
     def __init__(
@@ -50,7 +50,7 @@
         address: str,
         handler: api.Handler,
         limits: api.Limits | None = None,
-        parse: request_reader.Parse = request_reader.parse_request,
+        parse: request_reader.RequestParser = request_reader.parse_request,
     ) -> None:
         """Makes a server that is not listening yet.
 
@@ -63,8 +63,8 @@
             parse: Makes the requests that are passed to the handler.
         """
         self.address = address
-        self.running = 0
-        self.closing = False
+        self.running_requests = 0
+        self.closes_connections = False
         self._handler = handler
         self._limits = limits or api.Limits()
         self._parse = parse
@@ -111,7 +111,7 @@
         while self._connections and loop.time() < deadline_s:
             remaining_s = deadline_s - loop.time()
             await asyncio.wait(self._connections, timeout=remaining_s)
-        aborted = self.running
+        aborted = self.running_requests
         for task in list(self._connections):
             task.cancel()
         if self._connections:
@@ -120,14 +120,14 @@
 
     async def _handle(self, request: api.Request) -> api.Response:
         """Runs the handler and counts the requests in progress."""
-        self.running += 1
+        self.running_requests += 1
         try:
             response = await self._handler(request)
-            if self.closing:
-                return dataclasses.replace(response, closes=True)
+            if self.closes_connections:
+                return dataclasses.replace(response, closes_connection=True)
             return response
         finally:
-            self.running -= 1
+            self.running_requests -= 1
 
     def _make_protocol(self) -> server_connection.ClientProtocol:
         """Makes the protocol instance for an accepted connection."""
@@ -151,7 +151,10 @@
     ) -> None:
         """Serves one connection until it is closed."""
         task = asyncio.current_task()
-        if task is None or len(self._connections) >= self._limits.connections:
+        if (
+            task is None
+            or len(self._connections) >= self._limits.max_connections
+        ):
             writer.transport.abort()
             return
         connection = server_connection.ServerConnection(
--- a/src/azureramp/ports/web/server_connection.py
+++ b/src/azureramp/ports/web/server_connection.py
@@ -69,7 +69,7 @@
         writer: asyncio.StreamWriter,
         protocol: ClientProtocol,
         limits: api.Limits,
-        parse: request_reader.Parse,
+        parse: request_reader.RequestParser,
     ) -> None:
         """Makes the server side of a connection."""
         self._handler = handler
@@ -77,7 +77,7 @@
         self._protocol = protocol
         self._stopping = False
         self._http = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=limits.header_bytes
+            h11.SERVER, max_incomplete_event_size=limits.max_header_bytes
         )
         self._requests = request_reader.RequestReader(
             self._http, reader, writer, limits, parse
@@ -108,7 +108,7 @@
         response = await self._handle(request)
         if response is None:
             return False
-        closes = response.closes or self._stopping
+        closes = response.closes_connection or self._stopping
         await self._write(response, closes)
         return not closes and self._http.our_state is not h11.MUST_CLOSE
 
--- a/src/azureramp/texts.py
+++ b/src/azureramp/texts.py
@@ -25,7 +25,7 @@
     hu: str
 
 
-KINDS: dict[errors.Kind, Text] = {
+ERROR_TEXTS: dict[errors.Kind, Text] = {
     errors.Kind.BAD_REQUEST: Text(
         "The request can't be read.", "A kérés nem értelmezhető."
     ),
@@ -218,7 +218,7 @@
 }
 
 
-TOOL: dict[str, Text] = {
+TOOL_MESSAGES: dict[str, Text] = {
     "unchanged": Text("It is already so.", "Már így van."),
     "valid": Text(
         "It is valid; nothing was changed.",
--- a/src/azureramp/timelines.py
+++ b/src/azureramp/timelines.py
@@ -76,26 +76,27 @@
     def __init__(
         self,
         vm: str,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         capacity: int = CAPACITY,
     ) -> None:
         """Creates an empty timeline.
 
         Args:
             vm: The VM's name.
-            wall: Returns the time of the wall clock, in seconds since 1970.
+            wall_clock: Returns the time of the wall clock, in seconds since
+                1970.
             capacity: Maximum number of events to keep.
         """
         self.vm = vm
         self.dropped = 0
         self.observer: Callable[[Record], None] | None = None
-        self._read_wall_clock = wall
+        self._read_wall_clock = wall_clock
         self._clock = 0
         self._records: collections.deque[Record] = collections.deque(
             maxlen=capacity
         )
 
-    def read_clock(self) -> int:
+    def advance_clock(self) -> int:
         """Advances the clock for a local event or a message to be sent.
 
         Returns:
@@ -105,7 +106,7 @@
         self._clock = max(self._clock + 1, physical)
         return self._clock
 
-    def observe_clock(self, received: int) -> None:
+    def merge_clock(self, received: int) -> None:
         """Advances the clock past the clock value of a received message."""
         self._clock = max(self._clock, received) + 1
 
@@ -119,7 +120,7 @@
         if len(self._records) == self._records.maxlen:
             self.dropped += 1
         record = Record(
-            clock=self.read_clock(),
+            clock=self.advance_clock(),
             vm=self.vm,
             at_s=self._read_wall_clock(),
             monotonic_s=monotonic_s,
--- a/src/azureramp_standins/client.py
+++ b/src/azureramp_standins/client.py
@@ -26,7 +26,7 @@
         self._token = token
         self.addresses = addresses
 
-    async def ask(
+    async def send_request(
         self,
         method: str,
         path: str,
@@ -46,7 +46,7 @@
 
         Raises:
             ConnectionError: No address accepts connections.
-            web_connection.BrokenError: The connection was lost.
+            web_connection.ConnectionBrokenError: The connection was lost.
         """
         data = b"" if body is None else msgspec.json.encode(body)
         for address in self.addresses:
@@ -62,13 +62,13 @@
                 opened.ok.abort()
         raise ConnectionError("no entry VM accepts connections")
 
-    async def refresh(self) -> int:
+    async def refresh_addresses(self) -> int:
         """Replaces the addresses with those that an entry VM advertises.
 
         Returns:
             Time for which the addresses may be cached, in milliseconds.
         """
-        response = await self.ask("GET", "/v1/addresses")
+        response = await self.send_request("GET", "/v1/addresses")
         answer = msgspec.json.decode(response.body)
         self.addresses = tuple(answer["addresses"])
         return int(answer["lifetime_ms"])
--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -62,20 +62,20 @@
     """One VM and the parts of its process.
 
     Attributes:
-        entry: Its entry in the VM list.
+        list_entry: Its entry in the VM list.
         daemon: Its daemon; None while no process runs.
         server: Its HTTP server; None while no process runs.
         store: Its latest client of the key-value service.
-        starts: Number of starts, which is also the incarnation.
+        incarnation: Number of starts, which is also the incarnation.
         stopping: True during a graceful stop.
         started: Set while the daemon runs and has finished its start.
     """
 
-    entry: vmlist_api.Vm
+    list_entry: vmlist_api.Vm
     daemon: wiring.Daemon | None = None
     server: web_server.Server | None = None
     store: store_memory.MemoryStore | None = None
-    starts: int = 0
+    incarnation: int = 0
     stopping: bool = False
     started: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
@@ -88,27 +88,27 @@
         network: The network that carries the peer messages.
         state: State of the key-value service.
         vmlist: The VM list.
-        fleet: The searchers.
+        searcher_fleet: The searchers.
         vms: The VMs by name.
-        past: Recorded history, the input of the invariant checker.
+        history: Recorded history, the input of the invariant checker.
         overrides: Settings that differ from the defaults.
-        observer: Called with each timeline record of any VM.
-        isolated: True if the VM list that a VM reads contains only that VM,
-            so that each VM is the owner of every searcher.
+        on_record: Called with each timeline record of any VM.
+        vm_lists_isolated: True if the VM list that a VM reads contains only
+            that VM, so that each VM is the owner of every searcher.
     """
 
     __slots__ = (
         "_ended_timelines",
         "_random",
         "_searcher_names",
-        "fleet",
-        "isolated",
+        "history",
         "layout",
         "network",
-        "observer",
+        "on_record",
         "overrides",
-        "past",
+        "searcher_fleet",
         "state",
+        "vm_lists_isolated",
         "vmlist",
         "vms",
     )
@@ -125,10 +125,10 @@
         self.network = peers_memory.Network(seed)
         self.network.faults.delay_s = layout.one_way_delay_ms / 1000
         self.state = store_state.State()
-        self.past = history.History()
+        self.history = history.History()
         self.overrides = overrides
-        self.isolated = False
-        self.observer: Callable[[timelines.Record], None] | None = None
+        self.vm_lists_isolated = False
+        self.on_record: Callable[[timelines.Record], None] | None = None
         self._random = random.Random(seed)
         self._ended_timelines: list[list[timelines.Record]] = []
         self._searcher_names: dict[str, tuple[str, str, str]] = {}
@@ -137,9 +137,9 @@
             for vm in (_make_vm(layout, n) for n in range(layout.vms))
         }
         self.vmlist = vmlist_memory.MemoryVmList(
-            *(vm.entry for vm in self.vms.values())
+            *(vm.list_entry for vm in self.vms.values())
         )
-        self.fleet = searchers_memory.Fleet(
+        self.searcher_fleet = searchers_memory.Fleet(
             self._make_searchers(seed, service_ms)
         )
 
@@ -177,13 +177,13 @@
     ) -> None:
         """Records the arrival of a call at a searcher."""
         name, server, zone = self._searcher_names[searcher.address]
-        cold = searcher.is_cold() and searcher.cold_shown
+        cold = searcher.is_cold() and searcher.cold_detectable
         key = ""
-        if not call.repeatable:
+        if not call.idempotent:
             key = str(
                 msgspec.json.decode(call.body).get(OPERATION_KEY_FIELD, "")
             )
-        self.past.arrivals.append(
+        self.history.arrivals.append(
             history.Arrival(
                 at_s=asyncio.get_running_loop().time(),
                 request_id=call.call_id.partition("/")[0],
@@ -200,12 +200,12 @@
     async def start(self) -> None:
         """Declares the resources, starts all VMs and awaits readiness."""
         for resource in layouts.make_resources(self.layout):
-            self.declare(resource)
+            self.write_resource(resource)
         for name in self.vms:
             await self.start_vm(name)
         await self.wait_until_ready()
 
-    def declare(self, resource: resources.AnyResource) -> int:
+    def write_resource(self, resource: resources.AnyResource) -> int:
         """Writes a resource directly into the store, without a daemon.
 
         Returns:
@@ -217,7 +217,7 @@
         expected = current.revision if current else 0
         self.state.write(key, msgspec.json.encode(resource), expected)
         if isinstance(resource, resources.ShardMap):
-            self.past.shard_maps[resource.name] = resource
+            self.history.shard_maps[resource.name] = resource
         return self.state.revision
 
     async def wait_until_ready(self) -> None:
@@ -243,31 +243,35 @@
     async def start_vm(self, name: str) -> None:
         """Starts a VM's daemon."""
         vm = self.vms[name]
-        vm.starts += 1
+        vm.incarnation += 1
         # The clocks can't order events of two processes of one VM that are
         # less than a millisecond apart. Real processes take longer to start.
         await asyncio.sleep(MIN_RESTART_S)
         vm.store = store_memory.MemoryStore(self.state)
         loop = asyncio.get_running_loop()
-        timeline = timelines.Timeline(name, wall=loop.time)
-        timeline.observer = self.observer
+        timeline = timelines.Timeline(name, wall_clock=loop.time)
+        timeline.observer = self.on_record
         counters = metrics.Metrics()
-        entry = vm.entry
+        entry = vm.list_entry
         peers = peers_memory.MemoryPeers(
-            self.network, name, entry.peer_address, vm.starts, timeline
+            self.network, name, entry.peer_address, vm.incarnation, timeline
         )
         ports = wiring.Ports(
             store=store_counting.CountingStore(vm.store, counters),
             vmlist=(
                 vmlist_memory.MemoryVmList(entry)
-                if self.isolated
+                if self.vm_lists_isolated
                 else self.vmlist
             ),
             peers=peers,
-            searchers=searchers_memory.make(self.fleet),
+            searchers=searchers_memory.make(self.searcher_fleet),
         )
         vm.daemon = wiring.make(
-            self._make_settings(entry), vm.starts, timeline, counters, ports
+            self._make_settings(entry),
+            vm.incarnation,
+            timeline,
+            counters,
+            ports,
         )
         vm.server = web_server.Server(entry.http_address, vm.daemon.handle)
         await vm.daemon.start(vm.server)
@@ -301,8 +305,10 @@
         daemon = vm.daemon
         aborted = await daemon.stop(asyncio.Event())
         vm.stopping = False
-        self.past.stops.append(
-            history.Stop(name, start_s, loop.time(), limit_reached=aborted > 0)
+        self.history.stops.append(
+            history.PlannedStop(
+                name, start_s, loop.time(), aborted_requests=aborted > 0
+            )
         )
         if vm.daemon is daemon:
             self._discard_daemon(vm)
@@ -316,9 +322,9 @@
         assert vm.server is not None
         daemon, server = vm.daemon, vm.server
         self._discard_daemon(vm)
-        self.network.detach(vm.entry.peer_address)
+        self.network.detach(vm.list_entry.peer_address)
         await server.stop(0.0)
-        await daemon.kill()
+        await daemon.abort()
 
     def _discard_daemon(self, vm: Vm) -> None:
         """Saves the timeline of a VM's ended daemon, and drops the daemon."""
@@ -337,11 +343,11 @@
         for name, vm in self.vms.items():
             if vm.daemon is not None:
                 await self.kill_vm(name)
-        self.past.records = timelines.merge(self._ended_timelines)
-        self.past.end_s = asyncio.get_running_loop().time()
-        return self.past
+        self.history.records = timelines.merge(self._ended_timelines)
+        self.history.end_s = asyncio.get_running_loop().time()
+        return self.history
 
-    async def change(
+    async def put_resource(
         self, vm: str, resource: resources.AnyResource
     ) -> web_api.Response:
         """Puts a resource through the operators' HTTP interface.
@@ -357,12 +363,14 @@
             The first other response, or that of the last attempt.
         """
         if isinstance(resource, resources.ShardMap):
-            self.past.shard_maps[resource.name] = resource
+            self.history.shard_maps[resource.name] = resource
         candidates = [vm, *(name for name in self.vms if name != vm)]
         response = web_api.Response(status=0)
         for _ in range(MAX_CHANGE_ATTEMPTS):
             for name in candidates:
-                response = await self.ask(name, self._make_change(resource))
+                response = await self.send_request(
+                    name, self._make_change(resource)
+                )
                 if response.status not in (0, 503):
                     return response
             await asyncio.sleep(CHANGE_RETRY_DELAY_S)
@@ -382,7 +390,9 @@
             msgspec.json.encode(resource),
         )
 
-    async def ask(self, vm: str, request: web_api.Request) -> web_api.Response:
+    async def send_request(
+        self, vm: str, request: web_api.Request
+    ) -> web_api.Response:
         """Calls a VM's request handler, without the HTTP transport.
 
         Returns:
--- a/src/azureramp_standins/demo.py
+++ b/src/azureramp_standins/demo.py
@@ -20,7 +20,7 @@
 """Time for which queries continue after the zone was drained, in seconds."""
 
 DRAINED_ZONE = "edinburgh-b"
-READY_S = 15.0
+READY_TIMEOUT_S = 15.0
 
 
 def print_lines(words: str) -> None:
@@ -42,11 +42,13 @@
     """Waits until a query is answered completely.
 
     Raises:
-        TimeoutError: None is within `READY_S`.
+        TimeoutError: None is within `READY_TIMEOUT_S`.
     """
-    async with asyncio.timeout(READY_S):
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
-            response = await caller.ask("POST", "/v1/query", make_query("x"))
+            response = await caller.send_request(
+                "POST", "/v1/query", make_query("x")
+            )
             answer = msgspec.json.decode(response.body)
             if answer.get("complete"):
                 return
@@ -60,7 +62,9 @@
         True if the answer is complete.
     """
     start_s = time.monotonic()
-    response = await caller.ask("POST", "/v1/query", make_query("MacAoidh"))
+    response = await caller.send_request(
+        "POST", "/v1/query", make_query("MacAoidh")
+    )
     took_ms = (time.monotonic() - start_s) * 1000
     answer = msgspec.json.decode(response.body)
     print_lines(f"\nA caller searches for 'MacAoidh': HTTP {response.status}")
@@ -92,25 +96,25 @@
     async def send_queries() -> None:
         while not stopping.is_set():
             try:
-                response = await caller.ask(
+                response = await caller.send_request(
                     "POST", "/v1/query", make_query("Müller")
                 )
                 answer = msgspec.json.decode(response.body)
                 code = answer.get("code", "complete")
                 if response.status != 200 or not answer["complete"]:
                     code = answer.get("code", "short")
-            except (OSError, web_connection.BrokenError) as error:
+            except (OSError, web_connection.ConnectionBrokenError) as error:
                 code = type(error).__name__
             codes[code] = codes.get(code, 0) + 1
             await asyncio.sleep(0.005)
             if sum(codes.values()) % 100 == 0:
-                await caller.refresh()
+                await caller.refresh_addresses()
 
     print_lines(f"\nZone {DRAINED_ZONE} is drained while queries run:")
     querying = asyncio.create_task(send_queries())
     await asyncio.sleep(1.0)
     printed = await asyncio.to_thread(
-        running.run_tool, "drain-zone", DRAINED_ZONE
+        running.run_cli, "drain-zone", DRAINED_ZONE
     )
     print_lines("  " + printed.strip().replace("\n", "\n  "))
     await asyncio.sleep(QUERIES_AFTER_DRAIN_S)
@@ -135,7 +139,7 @@
 
     The time is in seconds since the zone's change was accepted.
     """
-    printed = running.run_tool("timeline", "--format", "json")
+    printed = running.run_cli("timeline", "--format", "json")
     accepted_s: list[float] = []
     worked_s: list[float] = []
     for line in map(msgspec.json.decode, printed.splitlines()):
@@ -167,7 +171,9 @@
     }
     headers = (("Idempotency-Key", "grant-2026-0001"),)
     for _ in range(2):
-        response = await caller.ask("POST", "/v1/execute", body, headers)
+        response = await caller.send_request(
+            "POST", "/v1/execute", body, headers
+        )
         answer = msgspec.json.decode(response.body)
         print_lines(
             f"  HTTP {response.status}, replayed {answer.get('replayed')}, "
@@ -177,7 +183,7 @@
     effects = 0
     for searcher in running.searchers.values():
         searcher_client = client.Client("", (searcher.address,))
-        response = await searcher_client.ask("GET", "/v1/effects")
+        response = await searcher_client.send_request("GET", "/v1/effects")
         effects += len(msgspec.json.decode(response.body))
     print_lines(f"  the backend servers ran it {effects} time(s)")
     return effects == 1
@@ -192,13 +198,13 @@
     path = running.write_resources()
     print_lines("\nThe operator applies the resources:")
     printed = await asyncio.to_thread(
-        running.run_tool, "apply", "--file", str(path)
+        running.run_cli, "apply", "--file", str(path)
     )
     print_lines("  " + "\n  ".join(printed.strip().splitlines()[-4:]))
     first = running.daemons["entry-1"].address
     caller = client.Client(deployment.CALLER_TOKEN, (first,))
     await wait_until_answered(caller)
-    lifetime_ms = await caller.refresh()
+    lifetime_ms = await caller.refresh_addresses()
     print_lines(
         f"\nThe caller fetches the addresses to use: "
         f"{', '.join(caller.addresses)}, valid for {lifetime_ms} ms"
@@ -214,7 +220,7 @@
     """Runs the demo; the exit code is 0 if all steps succeeded."""
     start_s = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
-        running = deployment.make(pathlib.Path(folder))
+        running = deployment.prepare(pathlib.Path(folder))
         try:
             deployment.start(running)
         except processes.StartError:
--- a/src/azureramp_standins/deployment.py
+++ b/src/azureramp_standins/deployment.py
@@ -49,7 +49,7 @@
     servers: list[resources.BackendServer]
     vms: list[vmlist_api.Vm]
 
-    def run_tool(self, *arguments: str) -> str:
+    def run_cli(self, *arguments: str) -> str:
         """Runs the `azureramp` command-line tool.
 
         Args:
@@ -166,7 +166,7 @@
     )
 
 
-def make(folder: pathlib.Path) -> Deployment:
+def prepare(folder: pathlib.Path) -> Deployment:
     """Starts a platform and prepares the other parts of a deployment.
 
     Args:
@@ -229,7 +229,7 @@
         vm: The VM's entry.
     """
     platform_client = client.Client("", (platform,))
-    await platform_client.ask("PUT", f"/vms/{vm.name}", vm)
+    await platform_client.send_request("PUT", f"/vms/{vm.name}", vm)
 
 
 def _make_server(number: int, address: str) -> resources.BackendServer:
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -30,9 +30,9 @@
     Attributes:
         store: The test double of the platform's store.
         searchers: The searchers by id.
-        programs: The daemons by the VM's name.
-        configuration: The operators' configuration, as `declare` writes it to
-            the store.
+        daemons: The daemons by the VM's name.
+        configuration: The operators' configuration, as `write_configuration`
+            writes it to the store.
     """
 
     def __init__(self, seed: int = 0) -> None:
@@ -44,7 +44,7 @@
         self._seed = seed
         self.store = store.Store(STORE_ADDRESS)
         self.searchers: dict[str, searcher.Searcher] = {}
-        self.programs: dict[str, program.Program] = {}
+        self.daemons: dict[str, program.Program] = {}
         self.configuration: dict[str, Any] = {
             "Version": 1,
             "Routes": [],
@@ -94,7 +94,7 @@
         started = searcher.Searcher(name, service, address, zone, version)
         await started.start()
         self.searchers[name] = started
-        self.store.put(f"servers/{name}", started.describe())
+        self.store.put(f"servers/{name}", started.make_entry())
         return started
 
     def order_rollout(
@@ -119,7 +119,7 @@
             },
         )
 
-    def read_rollout(self, service: str) -> str:
+    def read_rollout_state(self, service: str) -> str:
         """Returns a roll-out's state from the operators' status entry.
 
         Empty if there is no entry.
@@ -151,7 +151,7 @@
             | fields
         )
 
-    def declare(self) -> None:
+    def write_configuration(self) -> None:
         """Writes the configuration to the store under a new version."""
         self.configuration["Version"] += 3
         self.store.put("op/config", self.configuration)
@@ -160,28 +160,30 @@
         self,
         vm: str,
         zone: str = "zone-0",
-        base: int = 0,
-        first: bool = True,
+        first_port: int = 0,
+        first_start: bool = True,
     ) -> program.Program:
         """Starts a daemon.
 
         Args:
             vm: The VM's name.
             zone: Its availability zone.
-            base: The first of its ports; 0 for ports by its number.
-            first: True if the whole tier starts for the first time.
+            first_port: The first of its ports; 0 for ports by its number.
+            first_start: True if the whole tier starts for the first time.
         """
-        base = base or 30000 + 10 * len(self.programs)
-        daemon_settings = make_settings(vm, zone, base, first)
+        first_port = first_port or 30000 + 10 * len(self.daemons)
+        daemon_settings = make_settings(vm, zone, first_port, first_start)
         # A restarted process makes other random draws than its predecessor.
-        seed = self._seed + next(self._starts) if not first else self._seed
+        seed = (
+            self._seed + next(self._starts) if not first_start else self._seed
+        )
         clock = asyncio.get_running_loop().time
         started = program.Program(daemon_settings, seed=seed, clock=clock)
         await started.start()
-        self.programs[vm] = started
+        self.daemons[vm] = started
         return started
 
-    async def ask(
+    async def send_request(
         self,
         vm: str,
         target: str,
@@ -201,8 +203,8 @@
             request_id: The request's id; empty to generate one.
 
         Raises:
-            BrokenError: The connection could not be opened, or ended without
-                an answer.
+            ConnectionBrokenError: The connection could not be opened, or ended
+                without an answer.
         """
         address = self.get_address(vm)
         opened = await web_connection.connect(address, 1.0)
@@ -220,12 +222,12 @@
 
     def get_address(self, vm: str) -> str:
         """Returns the `IP:port` where a VM accepts callers' requests."""
-        return self.programs[vm].board.identity.caller_address
+        return self.daemons[vm].board.identity.caller_address
 
     async def kill(self) -> None:
         """Stops all daemons, the searchers and the store at once."""
-        for each in self.programs.values():
-            await each.kill()
+        for each in self.daemons.values():
+            await each.abort()
         for other in self.searchers.values():
             other.crash()
         await self.store.server.stop(0.0)
@@ -234,24 +236,24 @@
 
 
 def make_settings(
-    vm: str, zone: str, base: int, first: bool = True
+    vm: str, zone: str, first_port: int, first_start: bool = True
 ) -> settings.Settings:
     """Makes a daemon's settings.
 
     Args:
         vm: The VM's name.
         zone: Its availability zone.
-        base: The first of its four ports.
-        first: True if the whole tier starts for the first time.
+        first_port: The first of its four ports.
+        first_start: True if the whole tier starts for the first time.
     """
     return settings.Settings(
         identity=board.Identity(
             vm=vm,
             zone=zone,
-            caller_address=f"127.0.0.1:{base}",
-            peer_address=f"127.0.0.1:{base + 3}",
+            caller_address=f"127.0.0.1:{first_port}",
+            peer_address=f"127.0.0.1:{first_port + 3}",
             cores=1.0,
-            first_start=first,
+            first_start=first_start,
         ),
         bounds=board.Bounds(
             extra=allowances.Limit(ratio=0.2, window_s=10.0, fixed=56.0),
@@ -261,9 +263,9 @@
             address_lifetime_s=5.0,
             exposure=exposure.ExposureLimit(share=0.1, fixed=50.0, stop_s=5.0),
         ),
-        front_address=f"127.0.0.1:{base}",
-        ready_address=f"127.0.0.1:{base + 1}",
-        directory_address=f"127.0.0.1:{base + 2}",
+        front_address=f"127.0.0.1:{first_port}",
+        ready_address=f"127.0.0.1:{first_port + 1}",
+        directory_address=f"127.0.0.1:{first_port + 2}",
         store_address=STORE_ADDRESS,
         seeds=tuple(f"127.0.0.1:{30003 + 10 * index}" for index in range(3)),
         descriptors=4000,
@@ -276,14 +278,14 @@
     """Returns the opened connection.
 
     Raises:
-        BrokenError: The connection could not be opened.
+        ConnectionBrokenError: The connection could not be opened.
     """
     if opened.is_error():
-        raise web_connection.BrokenError(opened.error.detail)
+        raise web_connection.ConnectionBrokenError(opened.error.detail)
     return opened.ok
 
 
-async def settle(seconds: float = 1.0) -> None:
+async def wait_for_updates(seconds: float = 1.0) -> None:
     """Waits for the daemons to receive earlier writes to the store.
 
     Args:
--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Seen:
+class ReceivedRequest:
     """A request that reached the searcher.
 
     Attributes:
@@ -36,44 +36,44 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Act:
+class Reaction:
     """A searcher's response to a request.
 
     Attributes:
-        after_s: Delay before the answer, in seconds.
+        delay_s: Delay before the answer, in seconds.
         status: The answer's status.
         body: The answer's body.
         signed: True if the answer has the server's stamp.
         not_run: True if the answer states that the request was not run.
-        id: The request id in the answer; None for the request's own.
+        request_id: The request id in the answer; None for the request's own.
         raw: Bytes to send instead of an answer.
         extra: Bytes to send after the answer.
-        extra_after_s: Delay before the extra bytes, in seconds.
+        extra_delay_s: Delay before the extra bytes, in seconds.
         framed: False for an answer without a length, ended by closing the
             connection.
-        then: What happens to the connection afterwards: `keep`, `close`,
-            `reset` or `hang`. `hang` sends no answer, and `reset` sends only
-            `raw`, if given.
+        connection_action: What happens to the connection afterwards: `keep`,
+            `close`, `reset` or `hang`. `hang` sends no answer, and `reset`
+            sends only `raw`, if given.
     """
 
-    after_s: float = 0.005
+    delay_s: float = 0.005
     status: int = 200
     body: bytes = b""
     signed: bool = True
     not_run: bool = False
-    id: str | None = None
+    request_id: str | None = None
     raw: bytes | None = None
     extra: bytes = b""
-    extra_after_s: float = 0.0
+    extra_delay_s: float = 0.0
     framed: bool = True
-    then: str = "keep"
+    connection_action: str = "keep"
 
-    def do(self, _: Seen) -> Act:
+    def always(self, _: ReceivedRequest) -> Reaction:
         """Returns this response for every request; usable as a `Script`."""
         return self
 
 
-Script = Callable[[Seen], Act]
+Script = Callable[[ReceivedRequest], Reaction]
 """Chooses the response to a request."""
 
 
@@ -87,13 +87,13 @@
         zone: Its availability zone.
         version: The version of its software.
         script: Chooses the response to each request.
-        seen: The requests that reached it.
-        connections: The number of connections that clients opened.
-        open: The number of open connections.
-        running: The number of requests in progress.
-        most_open: The limit of open connections; further ones are reset.
-        cancelled: The number of requests whose client disconnected before the
-            answer, by request id.
+        requests: The requests that reached it.
+        accepted_connections: The number of connections that clients opened.
+        open_connections: The number of open connections.
+        running_requests: The number of requests in progress.
+        max_connections: The limit of open connections; further ones are reset.
+        cancelled_requests: The number of requests whose client disconnected
+            before the answer, by request id.
     """
 
     def __init__(
@@ -110,13 +110,15 @@
         self.service = service
         self.address = address
         self.zone = zone
-        self.script: Script = lambda request: Act()
-        self.seen: list[Seen] = []
-        self.connections = 0
-        self.open = 0
-        self.running = 0
-        self.most_open = 1_000_000
-        self.cancelled: collections.Counter[str] = collections.Counter()
+        self.script: Script = lambda request: Reaction()
+        self.requests: list[ReceivedRequest] = []
+        self.accepted_connections = 0
+        self.open_connections = 0
+        self.running_requests = 0
+        self.max_connections = 1_000_000
+        self.cancelled_requests: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -137,7 +139,7 @@
         """Returns True if the searcher accepts connections."""
         return self._server is not None
 
-    def describe(self, **changes: object) -> dict[str, object]:
+    def make_entry(self, **changes: object) -> dict[str, object]:
         """Returns the searcher's entry for the store.
 
         Args:
@@ -159,11 +161,11 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Serves one connection."""
-        self.connections += 1
-        if self.open >= self.most_open:
+        self.accepted_connections += 1
+        if self.open_connections >= self.max_connections:
             writer.transport.abort()
             return
-        self.open += 1
+        self.open_connections += 1
         self._writers.add(writer)
         http = h11.Connection(h11.SERVER)
         try:
@@ -172,7 +174,7 @@
         except (OSError, h11.ProtocolError, EOFError):
             writer.transport.abort()
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             self._writers.discard(writer)
             writer.close()
 
@@ -186,44 +188,46 @@
         request = await self._read_request(http, reader)
         if request is None:
             return False
-        self.seen.append(request)
-        signature = f"{self.id}.{request.id}.{len(self.seen)}"
+        self.requests.append(request)
+        signature = f"{self.id}.{request.id}.{len(self.requests)}"
         target_id = request.headers.get("azureramp-target-instance", self.id)
         act = self.script(request)
         if target_id != self.id:
-            act = Act(status=421, signed=False)
-        work = asyncio.ensure_future(asyncio.sleep(act.after_s))
+            act = Reaction(status=421, signed=False)
+        work = asyncio.ensure_future(asyncio.sleep(act.delay_s))
         disconnected = asyncio.ensure_future(reader.read(1))
-        self.running += 1
+        self.running_requests += 1
         await asyncio.wait(
             {work, disconnected}, return_when=asyncio.FIRST_COMPLETED
         )
-        self.running -= 1
+        self.running_requests -= 1
         if not work.done():
             work.cancel()
-            self.cancelled[request.id] += 1
+            self.cancelled_requests[request.id] += 1
             return False
-        if act.then == "hang":
+        if act.connection_action == "hang":
             await disconnected
             return False
         disconnected.cancel()
         await asyncio.wait({disconnected})
-        if act.then == "reset" and act.raw is None:
+        if act.connection_action == "reset" and act.raw is None:
             writer.transport.abort()
             return False
         writer.write(self._encode_response(http, request, act, signature))
-        if act.extra_after_s:
+        if act.extra_delay_s:
             asyncio.get_running_loop().call_later(
-                act.extra_after_s, writer.write, act.extra
+                act.extra_delay_s, writer.write, act.extra
             )
         await writer.drain()
-        if act.then == "reset":
+        if act.connection_action == "reset":
             writer.transport.abort()
-        return act.then == "keep" and act.framed and act.raw is None
+        return (
+            act.connection_action == "keep" and act.framed and act.raw is None
+        )
 
     async def _read_request(
         self, http: h11.Connection, reader: asyncio.StreamReader
-    ) -> Seen | None:
+    ) -> ReceivedRequest | None:
         """Reads one request; returns None at the end of the stream."""
         request_head: h11.Request | None = None
         body = bytearray()
@@ -243,7 +247,7 @@
             name.decode("latin-1"): value.decode("latin-1")
             for name, value in request_head.headers
         }
-        return Seen(
+        return ReceivedRequest(
             asyncio.get_running_loop().time(),
             headers.get("azureramp-request-id", ""),
             request_head.method.decode("ascii"),
@@ -253,12 +257,16 @@
         )
 
     def _encode_response(
-        self, http: h11.Connection, request: Seen, act: Act, signature: str
+        self,
+        http: h11.Connection,
+        request: ReceivedRequest,
+        act: Reaction,
+        signature: str,
     ) -> bytes:
         """Encodes the response to a request."""
         if act.raw is not None:
             return act.raw
-        name = request.id if act.id is None else act.id
+        name = request.id if act.request_id is None else act.request_id
         headers = [("Azureramp-Request-Id", name)]
         if act.signed:
             headers.append(("Azureramp-Server-Stamp", signature))
@@ -274,5 +282,5 @@
             lines += [f"{field}: {value}" for field, value in headers]
             return "\r\n".join([*lines, "", ""]).encode() + act.body
         events = (response_head, h11.Data(data=act.body), h11.EndOfMessage())
-        extra = b"" if act.extra_after_s else act.extra
+        extra = b"" if act.extra_delay_s else act.extra
         return b"".join(http.send(event) or b"" for event in events) + extra
--- a/src/azureramp_standins/fleet/store.py
+++ b/src/azureramp_standins/fleet/store.py
@@ -46,18 +46,24 @@
     Attributes:
         faults: The injected faults.
         compacted_revision: Watches from before this revision get 410.
-        calls: The number of calls by path.
+        call_counts: The number of calls by path.
         server: The HTTP server.
         state: The keys, revisions and leases.
     """
 
-    __slots__ = ("calls", "compacted_revision", "faults", "server", "state")
+    __slots__ = (
+        "call_counts",
+        "compacted_revision",
+        "faults",
+        "server",
+        "state",
+    )
 
     def __init__(self, address: str) -> None:
         """Makes an empty store; see `start`."""
         self.faults = Faults()
         self.compacted_revision = 0
-        self.calls: collections.Counter[str] = collections.Counter()
+        self.call_counts: collections.Counter[str] = collections.Counter()
         self.state = store_state.State()
         self.server = web_server.Server(address, self._handle)
 
@@ -73,17 +79,17 @@
             body: The value; encoded as JSON unless it is bytes.
         """
         value = body if isinstance(body, bytes) else msgspec.json.encode(body)
-        present = self.state.read(key)
-        expected = present.revision if present else api.CREATE
+        current = self.state.read(key)
+        expected = current.revision if current else api.NO_REVISION
         written = self.state.write(key, value, expected)
         assert isinstance(written, api.Written)
         return written.revision
 
     def remove(self, key: str) -> None:
         """Deletes an entry, if it exists."""
-        present = self.state.read(key)
-        if present is not None:
-            self.state.write(key, None, present.revision)
+        current = self.state.read(key)
+        if current is not None:
+            self.state.write(key, None, current.revision)
 
     def compact(self) -> None:
         """Discards the history of changes."""
@@ -92,7 +98,7 @@
     async def _handle(self, request: web_api.Request) -> web_api.Response:
         """Answers one call, subject to the injected faults."""
         path = request.path.rpartition("/")[0] or request.path
-        self.calls[path] += 1
+        self.call_counts[path] += 1
         if self.faults.silent:
             await asyncio.sleep(3600)
         if self.faults.slow_s:
@@ -149,7 +155,7 @@
                 events = [_encode_entry(entry) for entry in changes.entries]
                 body = {"events": events, "AsOf": changes.revision}
                 return _make_response(200, body)
-            expiry_s = self.state.get_next_expiry_s()
+            expiry_s = self.state.get_next_lease_expiry_s()
             if expiry_s is not None:
                 remaining_s = min(
                     remaining_s, max(0.0, expiry_s - loop.time()) + 0.001
@@ -169,7 +175,7 @@
             > MAX_TRANSACTION_ROWS
         ):
             return _make_response(413, {})
-        outcome = self.state.write_all(
+        outcome = self.state.write_batch(
             [
                 _make_change(key, written.get(key), revision)
                 for key, revision in expected.items()
@@ -181,10 +187,10 @@
         match outcome:
             case api.Written(revision=revision):
                 return _make_response(200, {"Revision": revision})
-            case api.BatchConflicted(present=present):
+            case api.BatchConflict(revisions=revisions):
                 items = [
                     _encode_entry(entry)
-                    for entry in map(self.state.read, present)
+                    for entry in map(self.state.read, revisions)
                     if entry is not None
                 ]
                 return _make_response(412, {"items": items})
@@ -199,7 +205,7 @@
             number = int(lease.removeprefix("lease-"))
             return _make_response(200, {"Lease": number, "TtlMs": ttl_ms})
         number = int(request.path.rpartition("/")[2])
-        if self.state.keep_lease(f"lease-{number}", now_s):
+        if self.state.renew_lease(f"lease-{number}", now_s):
             return _make_response(200, {"TtlMs": 0})
         return _make_response(404, {})
 
@@ -222,13 +228,15 @@
 
 
 def _make_change(
-    key: str, write: dict[str, Any] | None, expected: int
+    key: str, write: dict[str, Any] | None, expected_revision: int
 ) -> api.Change:
     """Makes the change of a key: a deletion if `write` is None."""
     if write is None:
-        return api.Change(key, None, expected)
+        return api.Change(key, None, expected_revision)
     lease = f"lease-{write['Lease']}" if write.get("Lease") else ""
-    return api.Change(key, base64.b64decode(write["Value"]), expected, lease)
+    return api.Change(
+        key, base64.b64decode(write["Value"]), expected_revision, lease
+    )
 
 
 def _make_response(status: int, body: Any) -> web_api.Response:
--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -47,7 +47,7 @@
 
 NO_AWAIT = "no await between admission and pinning"
 
-CANNOT_OCCUR: dict[tuple[str, str], str] = {
+IMPOSSIBLE_CELLS: dict[tuple[str, str], str] = {
     (fault, "query.pin"): NO_AWAIT for fault in faults.FAULTS
 }
 """Reasons why cells cannot occur, by fault and step."""
@@ -106,7 +106,7 @@
         network = steps.ObservedNetwork(seed, self._detector)
         self._deployment.state = state
         self._deployment.network = network
-        self._deployment.observer = self._detector.observe_event
+        self._deployment.on_record = self._detector.observe_event
         self._faults = [faults.FAULTS[name] for name in names]
         self._step = step
         self._random = random.Random(seed)
@@ -165,7 +165,7 @@
 
     async def _change_policy(self) -> None:
         """Changes a resource that has no effect on answers."""
-        await self._deployment.change(
+        await self._deployment.put_resource(
             self._choose_vm(),
             resources.Policy(name="default", queue_ms=900),
         )
@@ -215,7 +215,7 @@
 
     async def _send_queries(self, stopping: asyncio.Event) -> None:
         """Sends queries until `stopping` is set, every second one over HTTP."""
-        sending: list[asyncio.Task[history.Received]] = []
+        sending: list[asyncio.Task[history.RequestOutcome]] = []
         number = 0
         while not stopping.is_set():
             number += 1
@@ -234,7 +234,7 @@
 
     async def _send_grants(self, stopping: asyncio.Event) -> None:
         """Sends each grant twice, through VMs chosen at random."""
-        sending: list[asyncio.Task[history.Received]] = []
+        sending: list[asyncio.Task[history.RequestOutcome]] = []
         number = 0
         while not stopping.is_set():
             number += 1
@@ -255,7 +255,7 @@
         await asyncio.gather(*sending)
 
 
-def run(names: tuple[str, ...], step: str, seed: int = 1) -> Result:
+def run_cell(names: tuple[str, ...], step: str, seed: int = 1) -> Result:
     """Runs one cell in virtual time.
 
     Args:
@@ -268,17 +268,19 @@
     """
     joined = "+".join(names)
     for name in names:
-        if (name, step) in CANNOT_OCCUR:
-            reason = CANNOT_OCCUR[(name, step)]
+        if (name, step) in IMPOSSIBLE_CELLS:
+            reason = IMPOSSIBLE_CELLS[(name, step)]
             return Result(joined, step, Verdict.CANNOT_OCCUR, (reason,))
     past, recovery_s, reached = virtual.run(Cell(names, step, seed).run())
     if not reached:
         reasons = ("the step was not reached",)
         return Result(joined, step, Verdict.NOT_RUN, reasons)
-    violations = [f"{v.invariant}: {v.words}" for v in checker.check(past)]
+    violations = [
+        f"{v.invariant}: {v.description}" for v in checker.check(past)
+    ]
     if recovery_s is None:
         violations.append(f"recovery: not within {MAX_RECOVERY_S} s")
-    queries = [got for got in past.received if not got.idempotency_key]
+    queries = [got for got in past.outcomes if not got.idempotency_key]
     answered = sum(got.complete for got in queries) / max(1, len(queries))
     return Result(
         joined,
--- a/src/azureramp_standins/matrix/changes.py
+++ b/src/azureramp_standins/matrix/changes.py
@@ -46,7 +46,7 @@
 
     def get_searcher(self) -> searchers_memory.Searcher:
         """Returns the step's searcher if it has one, otherwise the first."""
-        fleet = self.deployment.fleet.searchers
+        fleet = self.deployment.searcher_fleet.searchers
         for server in layouts.make_servers(self.deployment.layout):
             for declared in server.searchers:
                 if declared.name == self.reached_step.searcher:
@@ -65,7 +65,7 @@
 
 async def end_straggler(target: FaultTarget) -> None:
     """Restores the normal speed of all searchers."""
-    for searcher in target.deployment.fleet.searchers.values():
+    for searcher in target.deployment.searcher_fleet.searchers.values():
         searcher.faults.straggles = 0.0
 
 
@@ -74,12 +74,12 @@
     for searcher in target.get_searcher().siblings:
         searcher.faults.down = True
         for link in list(searcher.links):
-            link.lose()
+            link.break_connection()
 
 
 async def end_replica_lost(target: FaultTarget) -> None:
     """Restarts every backend server that is down, in cold start."""
-    for searcher in target.deployment.fleet.searchers.values():
+    for searcher in target.deployment.searcher_fleet.searchers.values():
         if searcher.faults.down:
             searcher.faults.down = False
             searcher.restart(COLD_CALLS)
@@ -89,10 +89,10 @@
     """Replaces the index version with one with another number of shards."""
     deployment = target.deployment
     service = deployment.layout.services[0]
-    for searcher in deployment.fleet.searchers.values():
+    for searcher in deployment.searcher_fleet.searchers.values():
         searcher.versions = (f"{service.name}.2",)
     shard_map = layouts.make_shard_map(service, 2, service.shards + 1)
-    await deployment.change(target.get_vm(), shard_map)
+    await deployment.put_resource(target.get_vm(), shard_map)
 
 
 async def end_repartition(target: FaultTarget) -> None:
@@ -100,13 +100,13 @@
     deployment = target.deployment
     service = deployment.layout.services[0]
     shard_map = layouts.make_shard_map(service, 2, service.shards + 1)
-    await deployment.change(target.get_vm(), shard_map)
+    await deployment.put_resource(target.get_vm(), shard_map)
 
 
 async def begin_cold(target: FaultTarget) -> None:
     """Puts a backend server into cold start without a restart or a notice."""
     for searcher in target.get_searcher().siblings:
-        searcher.turn_cold(COLD_CALLS)
+        searcher.reset_to_cold(COLD_CALLS)
 
 
 async def begin_store_down(target: FaultTarget) -> None:
@@ -167,7 +167,7 @@
     )
     await asyncio.gather(
         *(
-            deployment.change(vm, change)
+            deployment.put_resource(vm, change)
             for vm, change in zip(running, changes, strict=False)
         )
     )
@@ -176,7 +176,7 @@
 async def begin_poison(target: FaultTarget) -> None:
     """Sends a query that crashes each searcher that runs it."""
     deployment = target.deployment
-    for searcher in deployment.fleet.searchers.values():
+    for searcher in deployment.searcher_fleet.searchers.values():
         searcher.faults.crashes_on = POISON_TEXT.encode()
     for _ in range(3):
         await traffic.query(deployment, target.get_vm(), POISON_TEXT)
@@ -185,22 +185,22 @@
 async def begin_half_open(target: FaultTarget) -> None:
     """Makes the open connections to a searcher silent permanently."""
     for link in list(target.get_searcher().links):
-        link.silent = True
+        link.half_open = True
 
 
 async def begin_peer_cut(target: FaultTarget) -> None:
     """Drops all messages between a VM and the others."""
     deployment = target.deployment
-    own = deployment.vms[target.get_vm()].entry.peer_address
+    own = deployment.vms[target.get_vm()].list_entry.peer_address
     for vm in deployment.vms.values():
-        other = vm.entry.peer_address
+        other = vm.list_entry.peer_address
         deployment.network.faults.cut |= {(own, other), (other, own)}
 
 
 async def begin_vm_frozen(target: FaultTarget) -> None:
     """Holds all messages to a VM and delays its calls to the store."""
     vm = target.deployment.vms[target.get_vm()]
-    target.deployment.network.faults.frozen.add(vm.entry.peer_address)
+    target.deployment.network.faults.frozen.add(vm.list_entry.peer_address)
     if vm.store is not None:
         vm.store.faults.delay_s = STORE_DELAY_S
 
@@ -218,12 +218,12 @@
     """Puts a backend server into cold start and makes it report being warm."""
     for searcher in target.get_searcher().siblings:
         searcher.faults.reports_cold = False
-        searcher.turn_cold(COLD_CALLS)
+        searcher.reset_to_cold(COLD_CALLS)
 
 
 async def end_lying_reports(target: FaultTarget) -> None:
     """Makes all searchers report their actual state."""
-    for searcher in target.deployment.fleet.searchers.values():
+    for searcher in target.deployment.searcher_fleet.searchers.values():
         searcher.faults.reports_cold = None
 
 
@@ -255,13 +255,15 @@
     """Drains a zone."""
     zone = target.deployment.layout.zones[-1]
     out = resources.Zone(name=zone, state=resources.ZoneState.OUT)
-    await target.deployment.change(target.get_vm(), out)
+    await target.deployment.put_resource(target.get_vm(), out)
 
 
 async def end_zone_out(target: FaultTarget) -> None:
     """Restores the zone."""
     zone = target.deployment.layout.zones[-1]
-    await target.deployment.change(target.get_vm(), resources.Zone(name=zone))
+    await target.deployment.put_resource(
+        target.get_vm(), resources.Zone(name=zone)
+    )
 
 
 async def begin_planned_stop(target: FaultTarget) -> None:
--- a/src/azureramp_standins/matrix/steps.py
+++ b/src/azureramp_standins/matrix/steps.py
@@ -157,10 +157,14 @@
         self.detector = detector
 
     def write(
-        self, key: str, value: bytes | None, expected: int, lease: str = ""
-    ) -> store_api.Write | None:
+        self,
+        key: str,
+        value: bytes | None,
+        expected_revision: int,
+        lease: str = "",
+    ) -> store_api.WriteOutcome | None:
         """Writes a value, and reports it to the detector if it took effect."""
-        outcome = super().write(key, value, expected, lease)
+        outcome = super().write(key, value, expected_revision, lease)
         if isinstance(outcome, store_api.Written):
             self.detector.observe_write(key)
         return outcome
@@ -177,8 +181,8 @@
         self.detector = detector
         self._decoder = msgspec.msgpack.Decoder(messages.Envelope)
 
-    def carry(self, source: str, target: str, data: bytes) -> None:
+    def send(self, source: str, target: str, data: bytes) -> None:
         """Carries an envelope, and reports its messages to the detector."""
-        super().carry(source, target, data)
+        super().send(source, target, data)
         for message in self._decoder.decode(data).messages:
             self.detector.observe_message(message)
--- a/src/azureramp_standins/measuring/grouped_trial.py
+++ b/src/azureramp_standins/measuring/grouped_trial.py
@@ -44,8 +44,8 @@
     tail: int = 1
     revision: int = 0
     entries: dict[str, api.Entry] = dataclasses.field(default_factory=dict)
-    pending: list[tuple[Change, asyncio.Future[api.Write]]] = dataclasses.field(
-        default_factory=list
+    pending: list[tuple[Change, asyncio.Future[api.WriteOutcome]]] = (
+        dataclasses.field(default_factory=list)
     )
     flusher: asyncio.Task[None] | None = None
 
@@ -71,15 +71,15 @@
         return await self._store.grant_lease(ttl_s)
 
     async def write(
-        self, key: str, value: bytes, expected: int, lease: str = ""
-    ) -> expression.Result[api.Write, errors.Failure]:
+        self, key: str, value: bytes, expected_revision: int, lease: str = ""
+    ) -> expression.Result[api.WriteOutcome, errors.Failure]:
         """Appends a change to its log and returns the outcome."""
         number = zlib.crc32(key.encode()) % len(self._buckets)
         bucket = self._buckets[number]
-        done: asyncio.Future[api.Write] = (
+        done: asyncio.Future[api.WriteOutcome] = (
             asyncio.get_running_loop().create_future()
         )
-        bucket.pending.append((Change(key, value, expected), done))
+        bucket.pending.append((Change(key, value, expected_revision), done))
         if bucket.flusher is None or bucket.flusher.done():
             bucket.flusher = asyncio.ensure_future(
                 self._flush(number, bucket, lease)
@@ -117,7 +117,10 @@
                 bucket.revision = listing.revision
                 written = (
                     await self._store.write(
-                        f"{prefix}{bucket.tail:012d}", data, api.CREATE, lease
+                        f"{prefix}{bucket.tail:012d}",
+                        data,
+                        api.NO_REVISION,
+                        lease,
                     )
                 ).ok
                 if isinstance(written, api.Written):
@@ -130,15 +133,15 @@
                 if not done.done():
                     done.set_result(outcome)
 
-    def _apply(self, bucket: Bucket, data: bytes) -> list[api.Write]:
+    def _apply(self, bucket: Bucket, data: bytes) -> list[api.WriteOutcome]:
         """Applies the changes of the segment at the tail, in order."""
         segment = msgspec.msgpack.decode(data, type=Segment)
-        outcomes: list[api.Write] = []
+        outcomes: list[api.WriteOutcome] = []
         for position, change in enumerate(segment.changes):
             current = bucket.entries.get(change.key)
-            version = current.revision if current else api.CREATE
+            version = current.revision if current else api.NO_REVISION
             if version != change.expected:
-                outcomes.append(api.Conflicted(current))
+                outcomes.append(api.Conflict(current))
                 continue
             version = bucket.tail << 16 | position
             bucket.entries[change.key] = api.Entry(
--- a/src/azureramp_standins/measuring/platform_calls.py
+++ b/src/azureramp_standins/measuring/platform_calls.py
@@ -125,7 +125,7 @@
         self.waiting += 1
         for _ in range(MAX_ATTEMPTS):
             vm = vms[self.rng.randrange(len(vms))]
-            response = await self.deployment.ask(vm, request)
+            response = await self.deployment.send_request(vm, request)
             if response.status == 200:
                 self.served += 1
                 self.waiting -= 1
@@ -252,7 +252,7 @@
         await asyncio.sleep(CHANGE_INTERVAL_S)
         number += 1
         policy = resources.Policy(name="default", queue_ms=1000 + number)
-        await deployment.change("vm-0", policy)
+        await deployment.put_resource("vm-0", policy)
 
 
 def _set_faults(
--- a/src/azureramp_standins/measuring/propagation.py
+++ b/src/azureramp_standins/measuring/propagation.py
@@ -82,10 +82,10 @@
 
 def _disconnect(deployment: cluster.Cluster, cut_vm: str) -> None:
     """Disconnects a VM from all other VMs and from the store."""
-    address = deployment.vms[cut_vm].entry.peer_address
+    address = deployment.vms[cut_vm].list_entry.peer_address
     for name, vm in deployment.vms.items():
         if name != cut_vm:
-            pair = (address, vm.entry.peer_address)
+            pair = (address, vm.list_entry.peer_address)
             deployment.network.faults.cut |= {pair, pair[::-1]}
     store = deployment.vms[cut_vm].store
     assert store is not None
@@ -110,7 +110,7 @@
     """Makes one change and records when each step is reached."""
     loop = asyncio.get_running_loop()
     start_s = loop.time()
-    response = await deployment.change(asked_vm, zone)
+    response = await deployment.put_resource(asked_vm, zone)
     assert response.status == 200, response.body
     times.answered.append(loop.time() - start_s)
     answer = msgspec.json.decode(
@@ -164,7 +164,7 @@
     """Returns True if a VM reports that a revision is in force."""
     token = {"authorization": f"Bearer {cluster.OPERATOR_TOKEN}"}
     query = {"revision": str(revision)}
-    response = await deployment.ask(
+    response = await deployment.send_request(
         vm, web_api.Request("GET", "/v1/status", query, token)
     )
     status = msgspec.json.decode(
--- a/src/azureramp_standins/measuring/running.py
+++ b/src/azureramp_standins/measuring/running.py
@@ -73,7 +73,7 @@
     """The result of one request and its caller."""
 
     caller: str
-    received: history.Received
+    received: history.RequestOutcome
 
 
 def run(scenario: scenarios.Scenario) -> Row:
@@ -95,7 +95,7 @@
     variants.configure(deployment, scenario.variant)
     await deployment.start()
     if scenario.stragglers:
-        for searcher in deployment.fleet.searchers.values():
+        for searcher in deployment.searcher_fleet.searchers.values():
             searcher.faults.straggles = scenarios.STRAGGLER_SHARE
             searcher.faults.straggler_factor = scenarios.STRAGGLER_FACTOR
     samples: list[Sample] = []
@@ -174,11 +174,11 @@
             return
         case scenarios.Incident.ZONE_CYCLE:
             drained = resources.Zone(name=zone, state=resources.ZoneState.OUT)
-            await deployment.change(vm, drained)
+            await deployment.put_resource(vm, drained)
             await asyncio.sleep(scenario.seconds / 4)
             _make_cold(deployment, zone, restart=True)
             await asyncio.sleep(scenario.seconds / 8)
-            await deployment.change(vm, resources.Zone(name=zone))
+            await deployment.put_resource(vm, resources.Zone(name=zone))
         case scenarios.Incident.COLD_ZONE:
             _make_cold(deployment, zone, restart=False)
 
@@ -197,11 +197,11 @@
         if server.zone != zone:
             continue
         for declared in server.searchers:
-            searcher = deployment.fleet.searchers[declared.address]
+            searcher = deployment.searcher_fleet.searchers[declared.address]
             if restart:
                 searcher.restart(scenarios.COLD_CALLS)
             else:
-                searcher.turn_cold(scenarios.COLD_CALLS)
+                searcher.reset_to_cold(scenarios.COLD_CALLS)
 
 
 def _summarize(
@@ -260,7 +260,7 @@
 def _get_quantile(samples: list[Sample], share: float) -> float:
     """Returns a quantile of the response times, in milliseconds."""
     times = sorted(
-        (s.received.got_s - s.received.sent_s) * 1000 for s in samples
+        (s.received.ended_s - s.received.sent_s) * 1000 for s in samples
     )
     if not times:
         return math.nan
--- a/src/azureramp_standins/processes.py
+++ b/src/azureramp_standins/processes.py
@@ -15,10 +15,10 @@
 import sys
 import time
 
-START_S = 15.0
+MAX_START_S = 15.0
 """Maximum wait for a process to listen, in seconds."""
 
-STOP_S = 40.0
+MAX_STOP_S = 40.0
 """Maximum wait for a process to exit, in seconds."""
 
 FIRST_PORT = 10_000
@@ -50,13 +50,13 @@
             self.popen.send_signal(signal.SIGTERM)
 
     def wait(self) -> int:
-        """Waits until the process exits; kills it after `STOP_S`.
+        """Waits until the process exits; kills it after `MAX_STOP_S`.
 
         Returns:
             The exit code.
         """
         try:
-            return self.popen.wait(STOP_S)
+            return self.popen.wait(MAX_STOP_S)
         except subprocess.TimeoutExpired:
             self.popen.kill()
             return self.popen.wait()
@@ -122,10 +122,10 @@
     """Waits until a process accepts connections.
 
     Raises:
-        StartError: The process exited or did not listen within `START_S`.
+        StartError: The process exited or did not listen within `MAX_START_S`.
     """
     host, _, port = process.address.rpartition(":")
-    deadline_s = time.monotonic() + START_S
+    deadline_s = time.monotonic() + MAX_START_S
     while time.monotonic() < deadline_s:
         if process.popen.poll() is not None:
             code = process.popen.returncode
--- a/src/azureramp_standins/reference.py
+++ b/src/azureramp_standins/reference.py
@@ -35,8 +35,8 @@
         make_table(
             ["code", "name", "meaning"],
             (
-                [str(code.value), code.name.lower(), exits.MEANINGS[code]]
-                for code in exits.Exit
+                [str(code.value), code.name.lower(), exits.DESCRIPTIONS[code]]
+                for code in exits.ExitCode
             ),
         ),
     ]
@@ -46,7 +46,10 @@
         "## Messages of the commands\n",
         make_table(
             ["code", "English", "magyar"],
-            ([f"`{code}`", t.en, t.hu] for code, t in texts.TOOL.items()),
+            (
+                [f"`{code}`", t.en, t.hu]
+                for code, t in texts.TOOL_MESSAGES.items()
+            ),
         ),
     ]
     return "\n".join(parts)
@@ -105,7 +108,7 @@
         [
             f"`{option.flag}`",
             f"`{option.variable}`",
-            describe_form(option.form),
+            describe_form(option.value_type),
             "required" if option.default is None else option.default,
             option.help,
         ]
@@ -126,10 +129,10 @@
     )
 
 
-def describe_form(form: settings.Form) -> str:
+def describe_form(form: settings.ValueType) -> str:
     """Describes the allowed values of a setting."""
     match form:
-        case settings.Word(may_be_empty):
+        case settings.String(may_be_empty):
             return "any text" if may_be_empty else "a word"
         case settings.Address(may_be_empty):
             return "IP:port or empty" if may_be_empty else "IP:port"
@@ -143,7 +146,7 @@
     """Makes the page of the error kinds and of the resources' rules."""
     kinds = []
     for kind in errors.Kind:
-        answer, text = errors.ANSWERS[kind], texts.KINDS[kind]
+        answer, text = errors.ANSWERS[kind], texts.ERROR_TEXTS[kind]
         kinds.append(
             [
                 f"`{kind.value}`",
--- a/src/azureramp_standins/rollouts/main.py
+++ b/src/azureramp_standins/rollouts/main.py
@@ -64,7 +64,7 @@
     chosen = [versions.Kind(each) for each in kinds] or list(versions.Kind)
     chosen_faults = list_faults(faults)
     plans = [
-        play.Plan(
+        play.Parameters(
             vms,
             number,
             chosen[number % len(chosen)],
@@ -74,9 +74,9 @@
         for number in range(seed, seed + count)
     ]
     click.echo(HEADER)
-    outcomes: list[tuple[play.Plan, play.Outcome]] = []
+    outcomes: list[tuple[play.Parameters, play.Outcome]] = []
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        results = pool.map(play.play, plans)
+        results = pool.map(play.simulate, plans)
         for plan, outcome in zip(plans, results, strict=True):
             outcomes.append((plan, outcome))
             click.echo(describe(plan, outcome))
@@ -87,7 +87,7 @@
     )
     if count_delays_s:
         click.echo(describe_delays(count_delays_s))
-    broken = sum(len(outcome.broken) for _, outcome in outcomes)
+    broken = sum(len(outcome.violations) for _, outcome in outcomes)
     click.echo(f"rules broken: {broken}")
     raise SystemExit(1 if broken else 0)
 
@@ -99,16 +99,21 @@
     return [play.Fault(name) for name in names]
 
 
-def describe(plan: play.Plan, outcome: play.Outcome) -> str:
+def describe(plan: play.Parameters, outcome: play.Outcome) -> str:
     """Formats a roll-out as a line of the output."""
     stopped = "-"
     if outcome.stop_delay_s is not None:
         stopped = f"{outcome.stop_delay_s:.2f}"
-    broken = f"; BROKEN: {', '.join(outcome.broken)}" if outcome.broken else ""
+    broken = (
+        f"; BROKEN: {', '.join(outcome.violations)}"
+        if outcome.violations
+        else ""
+    )
     return (
         f"{plan.vms} {plan.seed} {plan.kind.value} {plan.fault.value}:"
         f" {outcome.state}, {outcome.ended_s:.1f}, {outcome.share:.3f},"
-        f" {outcome.calls_to_new}, {stopped}, {outcome.served:.3f}{broken}"
+        f" {outcome.calls_to_new}, {stopped},"
+        f" {outcome.success_share:.3f}{broken}"
     )
 
 
@@ -126,7 +131,7 @@
 
 
 def summarize(
-    outcomes: list[tuple[play.Plan, play.Outcome]],
+    outcomes: list[tuple[play.Parameters, play.Outcome]],
 ) -> Iterator[str]:
     """Yields a line for each kind: how many roll-outs ended as expected."""
     for kind in versions.Kind:
@@ -138,7 +143,7 @@
             each.state == wanted and each.ended_s <= play.DURATION_S
             for each in of_kind
         )
-        served = sum(each.served for each in of_kind) / len(of_kind)
+        served = sum(each.success_share for each in of_kind) / len(of_kind)
         share = max(each.share for each in of_kind)
         yield (
             f"{kind.value}: {wanted} in time {in_time} of {len(of_kind)},"
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -52,18 +52,18 @@
 
     NONE = "none"
     DRIVER_KILLED = "driver-killed"
-    DRIVER_STILL = "driver-still"
+    DRIVER_UNREACHABLE = "driver-still"
     ALL_KILLED = "all-killed"
     STORE_DOWN = "store-down"
     STORE_SLOW = "store-slow"
     ANSWERS_LOST = "answers-lost"
-    HISTORY_GONE = "history-gone"
+    HISTORY_COMPACTED = "history-gone"
     OLD_SLOW = "old-slow"
     NEW_CRASHES = "new-crashes"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Plan:
+class Parameters:
     """The parameters of a simulated roll-out.
 
     Attributes:
@@ -93,11 +93,13 @@
         calls_to_new: The number of calls to the new version until the deadline.
         stop_delay_s: Time from the 50th bad answer to the last call to the new
             version, in seconds; None if there were fewer bad answers.
-        cut: The number of calls running on old searchers at their removal.
-        served: The share of the callers' requests that were answered with 200.
+        aborted_calls: The number of calls running on old searchers at their
+            removal.
+        success_share: The share of the callers' requests that were answered
+            with 200.
         count_delays_s: The delays between each bad answer and its counting by
             the driver, in seconds.
-        broken: The rules that were broken.
+        violations: The rules that were broken.
     """
 
     state: str = ""
@@ -105,21 +107,21 @@
     share: float = 0.0
     calls_to_new: int = 0
     stop_delay_s: float | None = None
-    cut: int = 0
-    served: float = 0.0
+    aborted_calls: int = 0
+    success_share: float = 0.0
     count_delays_s: tuple[float, ...] = ()
-    broken: tuple[str, ...] = ()
+    violations: tuple[str, ...] = ()
 
 
-def play(plan: Plan) -> Outcome:
+def simulate(plan: Parameters) -> Outcome:
     """Simulates a roll-out and returns its result."""
-    return virtual.run(Play(plan).run())
+    return virtual.run(Simulation(plan).run())
 
 
-class Play:
+class Simulation:
     """The state of a simulated roll-out."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: Parameters) -> None:
         """Makes a roll-out that does not begin before `run`."""
         self._plan = plan
         self._rng = random.Random(
@@ -144,10 +146,10 @@
             each.script = versions.Behaviour(good, self._rng).act
         for prefix in ROUTES:
             fleet.add_route(prefix, Backend=SERVICE)
-        fleet.declare()
+        fleet.write_configuration()
         for number in range(plan.vms):
             await fleet.add_vm(f"vm-{number}", f"zone-{number % 2}")
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         traffic = asyncio.create_task(self._send_traffic())
         await asyncio.sleep(TRAFFIC_LEAD_S)
         loop = asyncio.get_running_loop()
@@ -187,11 +189,11 @@
             vm = (
                 f"vm-{self._rng.randrange(min(MAX_TARGET_VMS, self._plan.vms))}"
             )
-            if vm not in self._fleet.programs:
+            if vm not in self._fleet.daemons:
                 continue
             try:
-                answer = await self._fleet.ask(vm, target)
-            except (web_connection.BrokenError, OSError):
+                answer = await self._fleet.send_request(vm, target)
+            except (web_connection.ConnectionBrokenError, OSError):
                 continue
             if answer.status == 200:
                 self._succeeded.append(True)
@@ -220,15 +222,15 @@
             behaviour = versions.Behaviour(version, self._rng)
             self._new_behaviours.append(behaviour)
             started.script = behaviour.act
-        while fleet.read_rollout(SERVICE) not in FINAL_STATES:
+        while fleet.read_rollout_state(SERVICE) not in FINAL_STATES:
             await fleet.store.state.wait_for_change(1.0)
         self._ended_s = loop.time()
-        if fleet.read_rollout(SERVICE) == "rolled_back":
+        if fleet.read_rollout_state(SERVICE) == "rolled_back":
             await asyncio.sleep(ROLLBACK_DRAIN_S)
             self._remove(NEW_VERSION)
             return
         for each in self._list_searchers(OLD_VERSION):
-            self._aborted_calls += each.running
+            self._aborted_calls += each.running_requests
             each.crash()
         self._remove(OLD_VERSION)
 
@@ -255,14 +257,14 @@
                 return
             case Fault.DRIVER_KILLED:
                 await self._restart([self._find_driver()])
-            case Fault.DRIVER_STILL:
+            case Fault.DRIVER_UNREACHABLE:
                 # The driver stops listening. It continues to grant calls, but
                 # its writes have no effect.
-                driver = fleet.programs[self._find_driver()]
-                for server in driver.list_servers():
+                driver = fleet.daemons[self._find_driver()]
+                for server in driver.get_servers():
                     await server.stop(0.0)
             case Fault.ALL_KILLED:
-                await self._restart(list(fleet.programs))
+                await self._restart(list(fleet.daemons))
             case Fault.STORE_DOWN:
                 faults.busy = True
                 await asyncio.sleep(3.0)
@@ -276,7 +278,7 @@
                     faults.lost = 1
                     await asyncio.sleep(0.5)
                 faults.lost = 0
-            case Fault.HISTORY_GONE:
+            case Fault.HISTORY_COMPACTED:
                 fleet.store.compact()
             case Fault.OLD_SLOW:
                 await self._slow_down(self._list_searchers(OLD_VERSION)[0])
@@ -292,7 +294,7 @@
         while True:
             await asyncio.sleep(POLL_S)
             now_s = asyncio.get_running_loop().time()
-            for program in self._fleet.programs.values():
+            for program in self._fleet.daemons.values():
                 counted = program.count_bad_answers(SERVICE)
                 while len(self._counted_s) < counted:
                     self._counted_s.append(now_s)
@@ -301,7 +303,7 @@
         """Slows a searcher down by a factor of 5 for 5 seconds."""
         script = slow.script
         slow.script = lambda request: dataclasses.replace(
-            script(request), after_s=script(request).after_s * 5
+            script(request), delay_s=script(request).delay_s * 5
         )
         await asyncio.sleep(5.0)
         slow.script = script
@@ -309,21 +311,21 @@
     async def _restart(self, vms: list[str]) -> None:
         """Kills VMs and restarts them after 0.5 seconds."""
         for vm in vms:
-            await self._fleet.programs.pop(vm).kill()
+            await self._fleet.daemons.pop(vm).abort()
         await asyncio.sleep(0.5)
         for vm in vms:
             number = int(vm.removeprefix("vm-"))
             await self._fleet.add_vm(
-                vm, f"zone-{number % 2}", 30000 + 10 * number, first=False
+                vm, f"zone-{number % 2}", 30000 + 10 * number, first_start=False
             )
 
     def _find_driver(self) -> str:
         """Returns the VM that drives the roll-out; vm-0 if there is none."""
-        for program in self._fleet.programs.values():
+        for program in self._fleet.daemons.values():
             record = program.rollouts.get_record(SERVICE)
             if record is not None:
                 vm = record.driver.rpartition("#")[0]
-                if vm in self._fleet.programs:
+                if vm in self._fleet.daemons:
                     return vm
         return "vm-0"
 
@@ -333,12 +335,12 @@
         calls_to_new = sorted(
             request.at_s
             for each in self._list_searchers(NEW_VERSION)
-            for request in each.seen
+            for request in each.requests
         )
         calls_to_old = [
             request.at_s
             for each in self._list_searchers(OLD_VERSION)
-            for request in each.seen
+            for request in each.requests
             if request.at_s >= self._ordered_s
         ]
         new_in_time = sum(at_s <= deadline_s for at_s in calls_to_new)
@@ -351,12 +353,12 @@
             for at_s in each.bad_answer_times
         )
         outcome = Outcome(
-            state=self._fleet.read_rollout(SERVICE),
+            state=self._fleet.read_rollout_state(SERVICE),
             ended_s=self._ended_s - self._ordered_s if self._ended_s else 0.0,
             share=new_in_time / max(1, all_in_time),
             calls_to_new=new_in_time,
-            cut=self._aborted_calls,
-            served=sum(self._succeeded) / max(1, len(self._succeeded)),
+            aborted_calls=self._aborted_calls,
+            success_share=sum(self._succeeded) / max(1, len(self._succeeded)),
         )
         outcome.count_delays_s = tuple(
             counted_s - bad_s
@@ -364,14 +366,14 @@
         )
         if len(bad) >= MAX_BAD_ANSWERS:
             outcome.stop_delay_s = calls_to_new[-1] - bad[MAX_BAD_ANSWERS - 1]
-        outcome.broken = tuple(self._list_violations(outcome, all_in_time))
+        outcome.violations = tuple(self._list_violations(outcome, all_in_time))
         return outcome
 
     def _list_violations(self, outcome: Outcome, all_in_time: int) -> list[str]:
         """Returns the names of the rules that were broken."""
         broken: list[str] = []
         if self._plan.kind is versions.Kind.GOOD:
-            if outcome.cut:
+            if outcome.aborted_calls:
                 broken.append("a call was at an old searcher at its end")
             return broken
         if outcome.calls_to_new > EXPOSURE_SHARE * all_in_time + EXPOSURE_SLACK:
--- a/src/azureramp_standins/soak/bounds.py
+++ b/src/azureramp_standins/soak/bounds.py
@@ -40,7 +40,7 @@
             arrived_ids.add(arrival.id)
         sent_times_s = sorted(
             request.sent_s
-            for request in index.history.tries
+            for request in index.history.requests
             if _may_reach(request.path, service, index)
         )
         for number, at_s in enumerate(extra_times_s):
@@ -72,7 +72,7 @@
 ) -> Iterator[indexed_history.Violation]:
     """Checks that a cold searcher's request rate stays within its limit."""
     bound = declared.COLD_PER_S * declared.COLD_OVERAGE + declared.COLD_SLACK
-    for span in index.history.spans:
+    for span in index.history.fault_spans:
         if span.how != "cold":
             continue
         times = [
@@ -93,7 +93,7 @@
     index: indexed_history.IndexedHistory,
 ) -> Iterator[indexed_history.Violation]:
     """Checks that draining searchers and evacuated zones get no new calls."""
-    for span in index.history.spans:
+    for span in index.history.fault_spans:
         if span.how not in ("drain", "evacuate"):
             continue
         drained = span.how == "drain"
@@ -192,7 +192,7 @@
     """Checks that nearly all requests succeed long after the last fault."""
     last = [
         each
-        for each in index.history.tries
+        for each in index.history.requests
         if each.sent_s > index.history.ended_s - FINAL_WINDOW_S
         and each.ended_s > 0
     ]
