--- a/src/azureramp_standins/soak/callers.py
+++ b/src/azureramp_standins/soak/callers.py
@@ -85,7 +85,7 @@
         request = history.CallerRequest(
             name, path, self._vm, loop.time(), DEADLINE_S
         )
-        self._history.tries.append(request)
+        self._history.requests.append(request)
         headers = (
             ("Azureramp-Request-Id", name),
             ("Azureramp-Deadline-Ms", str(int(DEADLINE_S * 1000))),
@@ -100,7 +100,10 @@
         except TimeoutError:
             request.status = -1
             self.close()
-        except (web_connection.BrokenError, web_connection.UnsentError):
+        except (
+            web_connection.ConnectionBrokenError,
+            web_connection.NotSentError,
+        ):
             self.close()
         else:
             request.status = answer.status
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -46,7 +46,7 @@
         store_address = next(self._addresses)
         self._store = store.Store(store_address)
         self._searchers: list[searcher.Searcher] = []
-        self._acts: dict[str, searcher.Act] = {}
+        self._acts: dict[str, searcher.Reaction] = {}
         self._entries: dict[str, dict[str, Any]] = {}
         self._links: dict[tuple[str, int], proxy.Proxy] = {}
         for service in declared.SERVICES:
@@ -103,25 +103,25 @@
         now_s = asyncio.get_running_loop().time()
         self.history.versions.append((service, now_s))
 
-    async def inject(self, planned: plan.Planned) -> None:
+    async def inject(self, planned: plan.ScheduledFault) -> None:
         """Injects a fault, clears it after its duration and records it."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         fault = planned.fault
         match fault:
-            case plan.Signalled(vm=vm, how=how):
+            case plan.DaemonSignal(vm=vm, how=how):
                 kind, name = "vm", self.daemons[vm].name
                 await self._signal(self.daemons[vm], how, planned.for_s)
-            case plan.LinkHarmed(link=link, number=number, how=how):
+            case plan.LinkFault(link=link, number=number, how=how):
                 kind, name = "link", f"{link}-{number}"
                 target = self._links[link, number]
                 target.inject(how)
                 await asyncio.sleep(planned.for_s)
                 target.clear()
-            case plan.StoreHarmed(how=how):
+            case plan.StoreFault(how=how):
                 kind, name = "store", "store"
                 await self._inject_store_fault(how, planned.for_s)
-            case plan.SearcherHarmed(number=number, how=how):
+            case plan.SearcherFault(number=number, how=how):
                 target_searcher = self._searchers[number]
                 kind, name = "searcher", target_searcher.id
                 if how == "drain" and name in self._draining:
@@ -129,16 +129,16 @@
                 await self._inject_searcher_fault(
                     target_searcher, how, planned.for_s
                 )
-            case plan.Operated(how="configure" as how):
+            case plan.OperatorAction(how="configure" as how):
                 kind, name = "operator", "configure"
                 self.configure()
-            case plan.Operated(how=how):
+            case plan.OperatorAction(how=how):
                 kind, name = "operator", "zone-0"
                 await self._evacuate(
                     declared.EVACUATION_BOUND_S + planned.for_s
                 )
         span = history.FaultSpan(kind, name, how, began_s, loop.time())
-        self.history.spans.append(span)
+        self.history.fault_spans.append(span)
 
     async def _evacuate(self, for_s: float) -> None:
         """Evacuates a zone; the last of several overlapping calls ends it."""
@@ -216,7 +216,7 @@
             target, ColdRemainingMs=int(declared.COLD_START_S * 1000)
         )
         now_s = asyncio.get_running_loop().time()
-        self.history.spans.append(
+        self.history.fault_spans.append(
             history.FaultSpan(
                 "searcher",
                 target.id,
@@ -244,13 +244,13 @@
         number = len(self._searchers)
         self._links["searcher", number] = proxy.Proxy(advertised, own)
         self._searchers.append(target)
-        self._entries[name] = target.describe(Address=advertised)
+        self._entries[name] = target.make_entry(Address=advertised)
 
     def _act(
-        self, target: searcher.Searcher, request: searcher.Seen
-    ) -> searcher.Act:
+        self, target: searcher.Searcher, request: searcher.ReceivedRequest
+    ) -> searcher.Reaction:
         """Chooses a searcher's response to a request and records the call."""
-        act = self._acts.get(target.id, searcher.Act(after_s=0.01))
+        act = self._acts.get(target.id, searcher.Reaction(delay_s=0.01))
         if target.service in declared.SHARDS:
             body = declared.make_records(target.service, request.id)
         else:
@@ -268,7 +268,7 @@
                 not act.not_run and target_id == target.id,
                 float(request.headers.get("azureramp-deadline-ms", "1e9"))
                 / 1000,
-                f"{target.id}.{request.id}.{len(target.seen)}",
+                f"{target.id}.{request.id}.{len(target.requests)}",
                 body,
             )
         )
--- a/src/azureramp_standins/soak/history.py
+++ b/src/azureramp_standins/soak/history.py
@@ -83,9 +83,9 @@
     """The history of a whole run; times are on the loop's clock.
 
     Attributes:
-        tries: The callers' requests.
+        requests: The callers' requests.
         arrivals: The calls that reached searchers.
-        spans: The injected faults.
+        fault_spans: The injected faults.
         versions: For each configuration version, the target service of its
             `/move/` route and when it was written to the store.
         start_times: When the processes started, by VM.
@@ -96,9 +96,9 @@
         ended_s: When the run ended.
     """
 
-    tries: list[CallerRequest] = dataclasses.field(default_factory=list)
+    requests: list[CallerRequest] = dataclasses.field(default_factory=list)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
-    spans: list[FaultSpan] = dataclasses.field(default_factory=list)
+    fault_spans: list[FaultSpan] = dataclasses.field(default_factory=list)
     versions: list[tuple[str, float]] = dataclasses.field(default_factory=list)
     start_times: dict[str, list[float]] = dataclasses.field(
         default_factory=dict
--- a/src/azureramp_standins/soak/indexed_history.py
+++ b/src/azureramp_standins/soak/indexed_history.py
@@ -47,7 +47,7 @@
     def __init__(self, run_history: history.History) -> None:
         """Builds the indexes of a history."""
         self.history = run_history
-        self.requests_by_id = {each.id: each for each in run_history.tries}
+        self.requests_by_id = {each.id: each for each in run_history.requests}
         self.arrivals_by_id: dict[str, list[history.Arrival]] = (
             collections.defaultdict(list)
         )
@@ -73,5 +73,5 @@
             and span.ended_s >= from_s - UNDISTURBED_S
             and span.how != "reload"
             and (span.kind == "store" or span.name in (vm, link))
-            for span in self.history.spans
+            for span in self.history.fault_spans
         )
--- a/src/azureramp_standins/soak/plan.py
+++ b/src/azureramp_standins/soak/plan.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Signalled:
+class DaemonSignal:
     """A signal to a daemon.
 
     Attributes:
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class LinkHarmed:
+class LinkFault:
     """A fault of a daemon's link to the store or of the link to a searcher.
 
     Attributes:
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class StoreHarmed:
+class StoreFault:
     """A fault of the store.
 
     Attributes:
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class SearcherHarmed:
+class SearcherFault:
     """A fault of a searcher.
 
     Attributes:
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Operated:
+class OperatorAction:
     """An operator's action.
 
     Attributes:
@@ -84,11 +84,11 @@
     how: str
 
 
-Fault = Signalled | LinkHarmed | StoreHarmed | SearcherHarmed | Operated
+Fault = DaemonSignal | LinkFault | StoreFault | SearcherFault | OperatorAction
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Planned:
+class ScheduledFault:
     """A fault with its start and duration.
 
     Attributes:
@@ -123,9 +123,9 @@
 )
 
 
-def draw(
+def draw_faults(
     seed: int, seconds: float, vms: int, searchers: int
-) -> tuple[Planned, ...]:
+) -> tuple[ScheduledFault, ...]:
     """Draws the faults of a run.
 
     Args:
@@ -136,13 +136,13 @@
     """
     rng = random.Random(seed)
     groups = [name for name in GROUPS if rng.random() < GROUP_CHANCE]
-    planned: list[Planned] = []
+    planned: list[ScheduledFault] = []
     at_s = FIRST_FAULT_S
     while at_s < seconds:
         for_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
         group = rng.choice(groups or GROUPS)
         fault = _draw_one(rng, group, vms, searchers)
-        planned.append(Planned(at_s, for_s, fault))
+        planned.append(ScheduledFault(at_s, for_s, fault))
         at_s += rng.expovariate(1 / MEAN_GAP_S)
     return tuple(planned)
 
@@ -155,13 +155,13 @@
     searcher = rng.randrange(searchers)
     match group:
         case "signal":
-            return Signalled(vm, rng.choice(DAEMON_FAULTS))
+            return DaemonSignal(vm, rng.choice(DAEMON_FAULTS))
         case "link":
             link = rng.choice(("store", "searcher"))
             number = vm if link == "store" else searcher
-            return LinkHarmed(link, number, rng.choice(LINK_FAULTS))
+            return LinkFault(link, number, rng.choice(LINK_FAULTS))
         case "store":
-            return StoreHarmed(rng.choice(STORE_FAULTS))
+            return StoreFault(rng.choice(STORE_FAULTS))
         case "searcher":
-            return SearcherHarmed(searcher, rng.choice(SEARCHER_FAULTS))
-    return Operated(rng.choice(("configure", "evacuate")))
+            return SearcherFault(searcher, rng.choice(SEARCHER_FAULTS))
+    return OperatorAction(rng.choice(("configure", "evacuate")))
--- a/src/azureramp_standins/soak/program.py
+++ b/src/azureramp_standins/soak/program.py
@@ -68,7 +68,9 @@
         await asyncio.sleep(START_S)
         began_s = loop.time()
         tasks = [asyncio.ensure_future(each.run()) for each in clients]
-        faults = plan.draw(seed, seconds, vms, run_harness.count_searchers())
+        faults = plan.draw_faults(
+            seed, seconds, vms, run_harness.count_searchers()
+        )
         await asyncio.gather(
             *(_inject_later(run_harness, each, began_s) for each in faults)
         )
@@ -91,7 +93,7 @@
 
 
 async def _inject_later(
-    run_harness: harness.Harness, planned: plan.Planned, began_s: float
+    run_harness: harness.Harness, planned: plan.ScheduledFault, began_s: float
 ) -> None:
     """Injects a fault at its time."""
     now_s = asyncio.get_running_loop().time()
@@ -105,14 +107,14 @@
     broken: list[indexed_history.Violation],
 ) -> None:
     """Writes the timeline of a run's faults and violations."""
-    begin_s = min((each.sent_s for each in run_history.tries), default=0.0)
+    begin_s = min((each.sent_s for each in run_history.requests), default=0.0)
     lines = [
         (
             span.began_s,
             f"{span.kind} {span.name} {span.how}, until "
             f"{span.ended_s - begin_s:.2f}",
         )
-        for span in run_history.spans
+        for span in run_history.fault_spans
     ]
     lines += [
         (each.at_s, f"BROKEN {each.guarantee}: {each.detail}")
@@ -131,14 +133,14 @@
     broken: list[indexed_history.Violation],
 ) -> dict[str, object]:
     """Returns a run's row for the file of results."""
-    good = sum(each.status == 200 for each in run_history.tries)
+    good = sum(each.status == 200 for each in run_history.requests)
     return {
         "seed": seed,
         "seconds": seconds,
         "vms": vms,
-        "faults": len(run_history.spans),
-        "tries": len(run_history.tries),
-        "answered": round(good / max(1, len(run_history.tries)), 3),
+        "faults": len(run_history.fault_spans),
+        "tries": len(run_history.requests),
+        "answered": round(good / max(1, len(run_history.requests)), 3),
         "broken": sorted({each.guarantee for each in broken}),
     }
 
--- a/src/azureramp_standins/traffic.py
+++ b/src/azureramp_standins/traffic.py
@@ -24,7 +24,7 @@
     deadline_ms: int = 1000,
     minimum_coverage: float = 0.0,
     over_http: bool = False,
-) -> history.Received:
+) -> history.RequestOutcome:
     """Sends a query and records its result.
 
     Args:
@@ -54,7 +54,7 @@
     if received.version:
         tag = f"{text}@{received.version}"
         keys = range(0, target.count_keys(), cluster.KEYS_PER_ITEM)
-        deployment.past.keys_by_tag[tag] = tuple(keys)
+        deployment.history.keys_by_tag[tag] = tuple(keys)
     return received
 
 
@@ -68,7 +68,7 @@
     service: str = "",
     deadline_ms: int = 1000,
     over_http: bool = False,
-) -> history.Received:
+) -> history.RequestOutcome:
     """Sends a request that must not run more than once.
 
     Args:
@@ -111,18 +111,18 @@
     over_http: bool,
     wanted: str = "",
     idempotency_key: str = "",
-) -> history.Received:
+) -> history.RequestOutcome:
     """Sends a request and records the answer, or that there is none."""
     loop = asyncio.get_running_loop()
     sent_s = loop.time()
     if over_http:
         response = await _send_over_http(deployment, vm, request)
     else:
-        response = await deployment.ask(vm, request)
+        response = await deployment.send_request(vm, request)
     received = _read_answer(
         response, vm, sent_s, loop.time(), wanted, idempotency_key
     )
-    deployment.past.received.append(received)
+    deployment.history.outcomes.append(received)
     return received
 
 
@@ -137,7 +137,7 @@
     deployment: cluster.Cluster, vm: str, request: web_api.Request
 ) -> web_api.Response:
     """Sends a request to a VM over a new HTTP connection."""
-    address = deployment.vms[vm].entry.http_address
+    address = deployment.vms[vm].list_entry.http_address
     opened = await web_connection.connect(address, 1.0)
     if opened.is_error():
         return web_api.Response(status=0, headers=(("refused", "1"),))
@@ -149,7 +149,7 @@
             list(request.headers.items()),
             request.body,
         )
-    except (web_connection.BrokenError, web_connection.UnsentError):
+    except (web_connection.ConnectionBrokenError, web_connection.NotSentError):
         return web_api.Response(status=0)
     finally:
         connection.abort()
@@ -178,11 +178,11 @@
     received_s: float,
     wanted: str,
     idempotency_key: str,
-) -> history.Received:
+) -> history.RequestOutcome:
     """Converts a response to the record of what the caller received."""
     if response.status == 0:
         refused = bool(response.headers)
-        return history.Received(
+        return history.RequestOutcome(
             sent_s,
             received_s,
             vm,
@@ -193,7 +193,7 @@
     body = msgspec.json.decode(response.body)
     ok = response.status == 200
     items = body.get("items", [])
-    return history.Received(
+    return history.RequestOutcome(
         sent_s,
         received_s,
         vm,
@@ -207,6 +207,6 @@
         complete=body.get("complete", False),
         missing=tuple((low, high) for low, high in body.get("missing", [])),
         item_keys=tuple(item["key"] for item in items),
-        wanted=wanted if ok else "",
+        expected_query=wanted if ok else "",
         item_tags=tuple(item["tag"] for item in items),
     )
--- a/tests/cluster/callers.py
+++ b/tests/cluster/callers.py
@@ -92,9 +92,9 @@
         headers = [("Authorization", f"Bearer {self.token}")]
         try:
             return await connection.exchange(method, path, headers, body)
-        except web_connection.UnsentError:
+        except web_connection.NotSentError:
             return None
-        except web_connection.BrokenError:
+        except web_connection.ConnectionBrokenError:
             self.outcomes["cut"] += 1
             return None
 
--- a/tests/cluster/test_query_faults.py
+++ b/tests/cluster/test_query_faults.py
@@ -41,8 +41,8 @@
 
     run_history = virtual.run(run())
 
-    assert len(run_history.received) == 90
-    assert sum(got.code == "ok" for got in run_history.received) > 60
+    assert len(run_history.outcomes) == 90
+    assert sum(got.code == "ok" for got in run_history.outcomes) > 60
     assert checker.check(run_history) == []
 
 
@@ -86,15 +86,15 @@
                 )
                 await asyncio.sleep(0.01)
 
-        asking: list[asyncio.Future[history.Received]] = []
+        asking: list[asyncio.Future[history.RequestOutcome]] = []
         load = asyncio.ensure_future(ask())
         await asyncio.sleep(0.5)
-        await deployment.change("vm-0", new)
-        for searcher in deployment.fleet.searchers.values():
+        await deployment.put_resource("vm-0", new)
+        for searcher in deployment.searcher_fleet.searchers.values():
             searcher.versions = (f"{old.index}.1", f"{old.index}.2")
             await asyncio.sleep(0.02)
         await asyncio.sleep(0.5)
-        for searcher in deployment.fleet.searchers.values():
+        for searcher in deployment.searcher_fleet.searchers.values():
             searcher.versions = (f"{old.index}.2",)
         await load
         await asyncio.gather(*asking)
@@ -102,10 +102,10 @@
 
     run_history = virtual.run(run())
 
-    assert {got.code for got in run_history.received} == {"ok"}
-    assert {got.version for got in run_history.received} == {1, 2}
-    assert run_history.received[-1].version == 2
-    assert all(got.complete for got in run_history.received)
+    assert {got.code for got in run_history.outcomes} == {"ok"}
+    assert {got.version for got in run_history.outcomes} == {1, 2}
+    assert run_history.outcomes[-1].version == 2
+    assert all(got.complete for got in run_history.outcomes)
     assert checker.check(run_history) == []
 
 
@@ -128,7 +128,7 @@
     since a retry through another VM must return that outcome.
     """
 
-    async def run() -> tuple[history.Received, history.History]:
+    async def run() -> tuple[history.RequestOutcome, history.History]:
         deployment = cluster.make(
             service_ms=600.0, address_lifetime_ms=10, list_lag_ms=10
         )
--- a/tests/cluster/test_thin_path.py
+++ b/tests/cluster/test_thin_path.py
@@ -10,7 +10,7 @@
 
 
 def test_query_through_any_vm_is_complete() -> None:
-    async def run() -> tuple[list[history.Received], history.History]:
+    async def run() -> tuple[list[history.RequestOutcome], history.History]:
         deployment = cluster.make()
         await deployment.start()
         got = [
@@ -26,7 +26,7 @@
 
 
 def test_request_sent_through_two_vms_with_one_key_runs_once() -> None:
-    async def run() -> tuple[list[history.Received], history.History]:
+    async def run() -> tuple[list[history.RequestOutcome], history.History]:
         deployment = cluster.make()
         await deployment.start()
         got = [
@@ -44,11 +44,11 @@
 
 @pytest.mark.parametrize("vm", ["vm-0", "vm-2"])
 def test_zone_out_of_service_gets_no_work_and_queries_continue(vm: str) -> None:
-    async def run() -> tuple[list[history.Received], history.History]:
+    async def run() -> tuple[list[history.RequestOutcome], history.History]:
         deployment = cluster.make()
         await deployment.start()
         zone = resources.Zone(name="b", state=resources.ZoneState.OUT)
-        response = await deployment.change(vm, zone)
+        response = await deployment.put_resource(vm, zone)
         assert response.status in (200, 202), response.body
         got = [
             await traffic.query(deployment, vm, "Dundee") for _ in range(400)
@@ -58,5 +58,5 @@
     got, run_history = virtual.run(run())
 
     assert {answer.code for answer in got} == {"ok"}
-    assert got[-1].got_s - got[0].sent_s > run_history.bounds.zone_out_s
+    assert got[-1].ended_s - got[0].sent_s > run_history.bounds.zone_out_s
     assert checker.check(run_history) == []
--- a/tests/controllers/owning.py
+++ b/tests/controllers/owning.py
@@ -169,7 +169,7 @@
                 lease_ms=LEASE_MS,
             ),
             1,
-            timelines.Timeline(vm, wall=lambda: 0.0),
+            timelines.Timeline(vm, wall_clock=lambda: 0.0),
             metrics.Metrics(),
         )
         for name in (*vms, "asker"):
@@ -278,7 +278,7 @@
 
 def make_bench(searcher: memory.Searcher | None = None, **fields: Any) -> Bench:
     """Creates a VM that owns only the searcher `s1`."""
-    searcher = searcher or make_searcher("s1", spread=0.0)
+    searcher = searcher or make_searcher("s1", service_time_sigma=0.0)
     return Bench(memory.Fleet([searcher]), [make_server("s1", **fields)])
 
 
--- a/tests/controllers/query_cell.py
+++ b/tests/controllers/query_cell.py
@@ -495,7 +495,9 @@
     return f"peer-{vm}"
 
 
-def fail(kind: errors.Kind, sent: bool, delay_s: float = 0.001) -> Behaviour:
+def fail_with(
+    kind: errors.Kind, sent: bool, delay_s: float = 0.001
+) -> Behaviour:
     """Creates a behaviour in which every sub-request fails."""
 
     async def behave(
@@ -507,7 +509,7 @@
     return behave
 
 
-def stay_silent() -> Behaviour:
+def never_reply() -> Behaviour:
     """Creates a behaviour in which no sub-request gets a reply."""
 
     async def behave(
--- a/tests/controllers/test_admitting.py
+++ b/tests/controllers/test_admitting.py
@@ -58,7 +58,7 @@
         outcome.sent += 1
         if result.is_ok():
             outcome.complete += result.ok.complete
-        elif result.error.get_answer().ran is errors.Ran.NOT_RUN:
+        elif result.error.get_answer().ran is errors.Execution.NOT_RUN:
             outcome.refused += 1
             outcome.quick_refusals += loop.time() - began_s < 0.001
 
@@ -127,7 +127,7 @@
     async def main() -> collections.Counter[str]:
         cell = query_cell.Cell()
         for searcher in cell.searchers.values():
-            searcher.behaviour = query_cell.stay_silent()
+            searcher.behaviour = query_cell.never_reply()
         queries = [
             cell.make_query(n, priority=resources.Priority.DEFERRABLE)
             for n in range(400)
@@ -155,14 +155,14 @@
     async def main() -> errors.Failure:
         cell = query_cell.Cell()
         for searcher in cell.searchers.values():
-            searcher.behaviour = query_cell.fail(kind, sent)
+            searcher.behaviour = query_cell.fail_with(kind, sent)
         return (await cell.coordinator.query(cell.make_query())).error
 
     failure = query_cell.run(main())
 
     assert failure.kind.value == expected, case_name
     ran = failure.get_answer().ran
-    assert (ran is errors.Ran.NOT_RUN) == (kind.value != "backend_failed")
+    assert (ran is errors.Execution.NOT_RUN) == (kind.value != "backend_failed")
 
 
 def test_refusal_after_a_part_ran_is_not_reported_as_not_run() -> None:
@@ -172,15 +172,15 @@
         cell = query_cell.Cell()
         for name, searcher in cell.searchers.items():
             searcher.behaviour = (
-                query_cell.stay_silent()
+                query_cell.never_reply()
                 if name in cell.get_replicas(0)
-                else query_cell.fail(errors.Kind.OVERLOADED, False)
+                else query_cell.fail_with(errors.Kind.OVERLOADED, False)
             )
         return (await cell.coordinator.query(cell.make_query())).error
 
     failure = query_cell.run(main())
 
-    assert failure.get_answer().ran is not errors.Ran.NOT_RUN
+    assert failure.get_answer().ran is not errors.Execution.NOT_RUN
 
 
 def test_abandoned_query_cancels_all_its_parts() -> None:
--- a/tests/controllers/test_cold_start.py
+++ b/tests/controllers/test_cold_start.py
@@ -38,8 +38,8 @@
         await bench.start()
         await send_load(bench, ["s1"], 6.0, 0.004)
 
-        assert searcher.most_cold == 2
-        assert searcher.most_running == 8
+        assert searcher.max_cold_running == 2
+        assert searcher.max_running == 8
         assert bench.board.owned_states["s1"].limit == 8
 
     owning.run(scenario())
@@ -74,7 +74,7 @@
 
         assert limit == 8
         assert searcher.calls > 300
-        assert 1 <= searcher.most_cold <= 2
+        assert 1 <= searcher.max_cold_running <= 2
 
     owning.run(scenario())
 
@@ -93,7 +93,7 @@
             bench.send("s1", request_id=f"morning{number}")
         await asyncio.sleep(1)
 
-        assert 1 <= searcher.most_cold <= 2
+        assert 1 <= searcher.max_cold_running <= 2
         assert bench.get_kinds()["morning15"] == "ok"
 
     owning.run(scenario())
@@ -112,11 +112,11 @@
         await bench.start()
         await send_load(bench, ["s1"], 3.0, 0.002)
         await asyncio.sleep(0.2)
-        next(iter(searcher.links)).lose()
+        next(iter(searcher.links)).break_connection()
         await asyncio.sleep(1)
         after_one = bench.board.owned_states["s1"].limit
         for link in list(searcher.links):
-            link.lose()
+            link.break_connection()
         await asyncio.sleep(1)
 
         assert after_one == 8
@@ -140,7 +140,7 @@
         await send_load(bench, ["s1"], 3.0, 0.002)
         await asyncio.sleep(0.1)
         calls = searcher.calls
-        searcher.turn_cold(warm_after=25)
+        searcher.reset_to_cold(warm_after=25)
         for number in range(8):
             bench.send("s1", request_id=f"slow{number}")
         await asyncio.sleep(0.2)
@@ -167,7 +167,7 @@
         await bench.start()
         await send_load(bench, ["s1"], 3.0, 0.004)
         await asyncio.sleep(0.1)
-        searcher.turn_cold(warm_after=1000)
+        searcher.reset_to_cold(warm_after=1000)
         for number in range(12):
             bench.send("s1", request_id=f"slow{number}")
             await asyncio.sleep(0.035)
@@ -212,7 +212,7 @@
             ]
             longest = max(longest, *queued)
 
-        assert max(searcher.most_cold for searcher in searchers) == 1
+        assert max(searcher.max_cold_running for searcher in searchers) == 1
         assert all(searcher.served >= 40 for searcher in searchers)
         assert {state.limit for state in bench.board.owned_states.values()} == {
             2
@@ -256,7 +256,7 @@
                         searcher.restart(warm_after=20)
             await send_load(bench, names, 0.1, 0.002)
 
-        assert max(searcher.most_cold for searcher in searchers) == 2
+        assert max(searcher.max_cold_running for searcher in searchers) == 2
         assert sum(searcher.calls for searcher in searchers) > 500
         dispatched = bench.get_events(events.PartDispatched)
         assert all(event.in_use <= event.limit for event in dispatched)
--- a/tests/controllers/test_handoffs.py
+++ b/tests/controllers/test_handoffs.py
@@ -44,7 +44,7 @@
     """
 
     async def scenario() -> None:
-        searcher = owning.make_searcher("s1", spread=0.0)
+        searcher = owning.make_searcher("s1", service_time_sigma=0.0)
         first, second = make_pair(searcher)
         await first.start()
         await second.start()
@@ -69,7 +69,7 @@
         assert state.service_ms == pytest.approx(10.0, abs=0.1)
         assert first.get_kinds()["a"] == first.get_kinds()["b"] == "ok"
         assert second.get_kinds() == {"c": "ok"}
-        assert searcher.most_running == 2
+        assert searcher.max_running == 2
 
     owning.run(scenario())
 
@@ -431,7 +431,7 @@
             for bench in disagreement.vms.values()
         ]
         assert min(dispatched) > 20
-        assert disagreement.searcher.most_cold <= 2
+        assert disagreement.searcher.max_cold_running <= 2
 
     owning.run(scenario())
 
--- a/tests/controllers/test_owner.py
+++ b/tests/controllers/test_owner.py
@@ -52,7 +52,7 @@
         dispatched = bench.get_events(events.PartDispatched)
         assert len(dispatched) == 20
         assert all(event.in_use <= event.limit <= 2 for event in dispatched)
-        assert bench.fleet.searchers["s1:1"].most_running == 2
+        assert bench.fleet.searchers["s1:1"].max_running == 2
 
     owning.run(scenario())
 
@@ -66,7 +66,7 @@
     """
 
     async def scenario() -> None:
-        searcher = owning.make_searcher("s1", slots=8, spread=0.0)
+        searcher = owning.make_searcher("s1", slots=8, service_time_sigma=0.0)
         bench = owning.make_bench(
             searcher, slots=8, cold_limit=8, connections=10
         )
@@ -78,7 +78,7 @@
         await asyncio.sleep(1)
 
         assert searcher.calls >= 20
-        assert 3 <= searcher.most_links <= 5
+        assert 3 <= searcher.max_links <= 5
 
     owning.run(scenario())
 
@@ -250,7 +250,7 @@
         waiting = results["waiting", 1]
         assert isinstance(waiting, messages.PartFailed)
         assert (waiting.kind, waiting.sent) == ("cancelled", False)
-        assert len(bench.fleet.searchers["s1:1"].effects) == 1
+        assert len(bench.fleet.searchers["s1:1"].effect_bodies) == 1
 
     owning.run(scenario())
 
@@ -269,7 +269,7 @@
             bench.send("s1", request_id="grant", repeatable=False)
             await asyncio.sleep(wait_s)
 
-        assert len(bench.fleet.searchers["s1:1"].effects) == 1
+        assert len(bench.fleet.searchers["s1:1"].effect_bodies) == 1
         assert len(bench.peers.sent) == 1
 
     owning.run(scenario())
--- a/tests/controllers/test_poisoning.py
+++ b/tests/controllers/test_poisoning.py
@@ -262,7 +262,7 @@
         deployment = Deployment()
         await deployment.start()
         for searcher in deployment.searchers:
-            searcher.service_ms, searcher.spread = 50.0, 0.0
+            searcher.service_ms, searcher.service_time_sigma = 50.0, 0.0
         deployment.searchers[0].service_ms = 20.0
         bench = deployment.benches["vm1"]
         bench.send("x0-a", request_id="bad", fingerprint=7, body=POISON)
@@ -398,7 +398,7 @@
 
     async def scenario() -> None:
         bench = owning.make_bench(
-            owning.make_searcher("s1", spread=0.0), cold_limit=2
+            owning.make_searcher("s1", service_time_sigma=0.0), cold_limit=2
         )
         await bench.start()
         bench.send("s1", request_id="before")
@@ -453,7 +453,7 @@
         bench.send("s1", fingerprint=7)
         await asyncio.sleep(0.012)
         for link in list(searcher.links):
-            link.lose()
+            link.break_connection()
         await asyncio.sleep(0.5)
 
         assert bench.get_kinds() == {"r1": "connection_lost"}
--- a/tests/controllers/test_shutdown.py
+++ b/tests/controllers/test_shutdown.py
@@ -27,8 +27,8 @@
     """Replaces the membership, the owner, the records and the server."""
 
     def __init__(self, work_s: float) -> None:
-        self.running = 2
-        self.closing = False
+        self.running_requests = 2
+        self.closes_connections = False
         self.steps: list[tuple[str, float]] = []
         self._work_s = work_s
 
@@ -46,8 +46,8 @@
         self.record("stop")
         await asyncio.sleep(min(self._work_s, limit_s))
         if self._work_s <= limit_s:
-            self.running = 0
-        return self.running
+            self.running_requests = 0
+        return self.running_requests
 
 
 def run(
@@ -62,7 +62,7 @@
 
     stub = ControllerStub(work_s)
     made = settings.Settings("vm", "z", "h:1", "p:1", "s:1", "l:1")
-    timeline = timelines.Timeline("vm", wall=lambda: 0.0)
+    timeline = timelines.Timeline("vm", wall_clock=lambda: 0.0)
     board = blackboard.Blackboard(made, 1, timeline, metrics.Metrics())
     aborted = virtual.run(body())
     stops = [
@@ -126,7 +126,7 @@
         await server.start()
         seen = []
         for closing in (False, True, True):
-            server.closing = closing
+            server.closes_connections = closing
             opened = await web_connection.connect("127.0.0.1:80", 1.0)
             got = await opened.ok.exchange("GET", "/", [])
             seen.append((got.status, opened.ok.is_reusable()))
--- a/tests/forwarding/test_configuration.py
+++ b/tests/forwarding/test_configuration.py
@@ -15,11 +15,11 @@
     async def scenario(scene: deployment.Deployment) -> None:
         scene.add_route("/one/deep/", Backend="shard-a")
         del scene.configuration["Routes"][2]
-        scene.declare()
-        await deployment.settle()
-        assert (await scene.ask("vm-0", "/one/deep/x")).status == 200
-        assert len(scene.searchers["shard-a-0"].seen) == 1
-        assert (await scene.ask("vm-0", "/once/x")).status == 404
+        scene.write_configuration()
+        await deployment.wait_for_updates()
+        assert (await scene.send_request("vm-0", "/one/deep/x")).status == 200
+        assert len(scene.searchers["shard-a-0"].requests) == 1
+        assert (await scene.send_request("vm-0", "/once/x")).status == 404
 
     scenes.run(scenario)
 
@@ -27,12 +27,12 @@
 def test_an_older_version_is_not_applied() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         old = msgspec.json.decode(msgspec.json.encode(scene.configuration))
-        scene.add_route("/new/", Backend=scenes.PLAIN)
-        scene.declare()
-        await deployment.settle()
+        scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
+        scene.write_configuration()
+        await deployment.wait_for_updates()
         scene.store.put("op/config", old)
-        await deployment.settle()
-        assert (await scene.ask("vm-0", "/new/x")).status == 200
+        await deployment.wait_for_updates()
+        assert (await scene.send_request("vm-0", "/new/x")).status == 200
 
     scenes.run(scenario)
 
@@ -46,16 +46,16 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await deployment.settle(5.0)
+        await deployment.wait_for_updates(5.0)
         scene.store.faults.silent = True
         scene.store.remove("servers/statements-0")
-        scene.add_route("/new/", Backend=scenes.PLAIN)
-        scene.declare()
+        scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
+        scene.write_configuration()
         scene.store.compact()
         scene.store.faults.silent = False
-        await deployment.settle(15.0)
-        assert (await scene.ask("vm-0", "/new/x")).status == 200
-        assert "statements-0" not in scene.programs["vm-0"].board.targets
+        await deployment.wait_for_updates(15.0)
+        assert (await scene.send_request("vm-0", "/new/x")).status == 200
+        assert "statements-0" not in scene.daemons["vm-0"].board.targets
 
     scenes.run(scenario)
 
@@ -72,16 +72,16 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        await scene.programs["vm-0"].kill()
+        await scene.daemons["vm-0"].abort()
         setattr(scene.store.faults, fault, True)
         await scene.add_vm("late")
-        await deployment.settle()
-        answer = await scene.ask("late", "/one/x")
+        await deployment.wait_for_updates()
+        answer = await scene.send_request("late", "/one/x")
         assert answer.status == 503
         assert float(scenes.get_headers(answer)["retry-after"]) > 0
         setattr(scene.store.faults, fault, False)
-        await deployment.settle(4.0)
-        assert (await scene.ask("late", "/one/x")).status == 200
+        await deployment.wait_for_updates(4.0)
+        assert (await scene.send_request("late", "/one/x")).status == 200
 
     scenes.run(scenario)
 
@@ -89,10 +89,10 @@
 def test_a_change_is_applied_while_the_store_is_slow() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.store.faults.slow_s = 0.3
-        scene.add_route("/new/", Backend=scenes.PLAIN)
-        scene.declare()
-        await deployment.settle(2.0)
-        assert (await scene.ask("vm-0", "/new/x")).status == 200
+        scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
+        scene.write_configuration()
+        await deployment.wait_for_updates(2.0)
+        assert (await scene.send_request("vm-0", "/new/x")).status == 200
 
     scenes.run(scenario)
 
@@ -104,14 +104,14 @@
             {"Backend": "shard-b", "Weight": 1},
         ]
         scene.add_route("/split/", TrafficSplit=split)
-        scene.declare()
-        await deployment.settle()
+        scene.write_configuration()
+        await deployment.wait_for_updates()
         for _ in range(40):
-            answer = await scene.ask("vm-0", "/split/x")
+            answer = await scene.send_request("vm-0", "/split/x")
             assert answer.status == 200
         for service, expected in (("shard-a", 30), ("shard-b", 10)):
             actual = sum(
-                len(scene.searchers[f"{service}-{index}"].seen)
+                len(scene.searchers[f"{service}-{index}"].requests)
                 for index in range(2)
             )
             assert actual == expected
@@ -121,11 +121,11 @@
 
 def test_a_burst_of_versions_causes_few_store_calls() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        before = scene.store.calls["/kv-watch"]
+        before = scene.store.call_counts["/kv-watch"]
         for _ in range(50):
-            scene.declare()
+            scene.write_configuration()
             await asyncio.sleep(0.04)
-        assert scene.store.calls["/kv-watch"] - before <= 12
+        assert scene.store.call_counts["/kv-watch"] - before <= 12
 
     scenes.run(scenario)
 
@@ -144,12 +144,12 @@
     async def scenario(scene: deployment.Deployment) -> None:
         setattr(scene.store.faults, fault, True)
         await scene.add_vm("late")
-        await deployment.settle(3.0)
-        assert (await scene.ask("late", "/one/x")).status == 200
+        await deployment.wait_for_updates(3.0)
+        assert (await scene.send_request("late", "/one/x")).status == 200
         setattr(scene.store.faults, fault, False)
-        scene.add_route("/new/", Backend=scenes.PLAIN)
-        scene.declare()
-        await deployment.settle(4.0)
-        assert (await scene.ask("late", "/new/x")).status == 200
+        scene.add_route("/new/", Backend=scenes.SINGLE_SERVICE)
+        scene.write_configuration()
+        await deployment.wait_for_updates(4.0)
+        assert (await scene.send_request("late", "/new/x")).status == 200
 
     scenes.run(scenario)
--- a/tests/forwarding/test_connections.py
+++ b/tests/forwarding/test_connections.py
@@ -19,13 +19,13 @@
         full = scene.searchers["shard-a-0"]
         full.crash()
         await full.start()
-        full.most_open = 0
-        before = full.connections
+        full.max_connections = 0
+        before = full.accepted_connections
         for number in range(40):
-            entry = scene.searchers["statements-0"].describe(Slots=2 + number)
+            entry = scene.searchers["statements-0"].make_entry(Slots=2 + number)
             scene.store.put("servers/statements-0", entry)
-            await deployment.settle(0.25)
-        assert 1 <= full.connections - before <= 8
+            await deployment.wait_for_updates(0.25)
+        assert 1 <= full.accepted_connections - before <= 8
 
     scenes.run(scenario)
 
@@ -39,14 +39,14 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         only = scene.searchers["statements-0"]
-        only.most_open = 0
+        only.max_connections = 0
         only.crash()
         await only.start()
         for _ in range(3):
-            await scene.ask("vm-0", "/one/x")
-        only.most_open = 4
-        await deployment.settle(1.0)
-        answer = await scene.ask("vm-0", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
+        only.max_connections = 4
+        await deployment.wait_for_updates(1.0)
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status == 200
 
     scenes.run(scenario, searchers=1)
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -18,14 +18,14 @@
     crashed: list[str] = []
 
     def script(each: searcher.Searcher) -> searcher.Script:
-        def act(seen: searcher.Seen) -> searcher.Act:
+        def act(seen: searcher.ReceivedRequest) -> searcher.Reaction:
             if "poison" not in seen.target:
-                return searcher.Act()
+                return searcher.Reaction()
             crashed.append(each.id)
             loop = asyncio.get_running_loop()
             loop.call_later(0.003, each.crash)
             tasks.append(asyncio.ensure_future(restart_later(each)))
-            return searcher.Act(after_s=0.5)
+            return searcher.Reaction(delay_s=0.5)
 
         return act
 
@@ -47,14 +47,14 @@
         crashed = crash_on_poison(scene)
         for round_ in range(6):
             vm = f"vm-{round_ % 2}"
-            await scene.ask(vm, "/one/poison")
-            await deployment.settle(3.0)
+            await scene.send_request(vm, "/one/poison")
+            await deployment.wait_for_updates(3.0)
         assert 3 <= len(crashed) <= 6
-        for vm in scene.programs:
-            answer = await scene.ask(vm, "/one/poison")
+        for vm in scene.daemons:
+            answer = await scene.send_request(vm, "/one/poison")
             assert answer.status == 503
             assert float(scenes.get_headers(answer)["retry-after"]) > 10
-            assert (await scene.ask(vm, "/one/fine")).status == 200
+            assert (await scene.send_request(vm, "/one/fine")).status == 200
 
     scenes.run(scenario, vms=2)
 
@@ -63,8 +63,10 @@
     async def scenario(scene: deployment.Deployment) -> None:
         crashed = crash_on_poison(scene)
         for round_ in range(8):
-            await scene.ask(f"vm-{round_ % 4}", "/once/poison", "POST", b"x")
-            await deployment.settle(3.0)
+            await scene.send_request(
+                f"vm-{round_ % 4}", "/once/poison", "POST", b"x"
+            )
+            await deployment.wait_for_updates(3.0)
         assert 3 <= len(crashed) <= 5
 
     scenes.run(scenario, vms=4)
@@ -80,16 +82,16 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = lambda seen: (
-                searcher.Act(then="reset")
+                searcher.Reaction(connection_action="reset")
             )
         for _ in range(8):
-            answer = await scene.ask("vm-0", "/one/x")
+            answer = await scene.send_request("vm-0", "/one/x")
             assert answer.status in (502, 503)
-            await deployment.settle(2.0)
+            await deployment.wait_for_updates(2.0)
         for index in range(2):
             name = f"statements-{index}"
-            scene.searchers[name].script = searcher.Act().do
-        await deployment.settle(2.0)
-        assert (await scene.ask("vm-0", "/one/x")).status == 200
+            scene.searchers[name].script = searcher.Reaction().always
+        await deployment.wait_for_updates(2.0)
+        assert (await scene.send_request("vm-0", "/one/x")).status == 200
 
     scenes.run(scenario)
--- a/tests/forwarding/test_directory.py
+++ b/tests/forwarding/test_directory.py
@@ -46,10 +46,10 @@
 def test_it_returns_the_advertised_vms_but_not_itself() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
-        await deployment.settle(4.0)
-        assert await look_up() == sorted(map(scene.get_address, scene.programs))
-        for each in (*scene.programs.values(), directory):
-            assert sorted(each.board.members) == sorted(scene.programs)
+        await deployment.wait_for_updates(4.0)
+        assert await look_up() == sorted(map(scene.get_address, scene.daemons))
+        for each in (*scene.daemons.values(), directory):
+            assert sorted(each.board.members) == sorted(scene.daemons)
         assert not any(
             target.pool.count_open()
             for target in directory.board.targets.values()
@@ -64,9 +64,9 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         assert await look_up() is None
-        await directory.kill()
+        await directory.abort()
 
     scenes.run(scenario, vms=0)
 
@@ -74,10 +74,10 @@
 def test_a_killed_vm_is_soon_removed() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         directory = await start_directory()
-        await deployment.settle(4.0)
-        await scene.programs.pop("vm-1").kill()
-        await deployment.settle(5.0)
-        assert await look_up() == sorted(map(scene.get_address, scene.programs))
-        await directory.kill()
+        await deployment.wait_for_updates(4.0)
+        await scene.daemons.pop("vm-1").abort()
+        await deployment.wait_for_updates(5.0)
+        assert await look_up() == sorted(map(scene.get_address, scene.daemons))
+        await directory.abort()
 
     scenes.run(scenario, vms=VMS)
--- a/tests/forwarding/test_relay.py
+++ b/tests/forwarding/test_relay.py
@@ -15,15 +15,15 @@
 
 async def settle_sources(scene: deployment.Deployment) -> str:
     """Checks that one VM per zone watches the store; returns zone-0's."""
-    await deployment.settle(3.0)
+    await deployment.wait_for_updates(3.0)
     watching = {
         program.board.identity.zone: vm
-        for vm, program in scene.programs.items()
+        for vm, program in scene.daemons.items()
         if program.board.reads_from_store
     }
     following = [
         vm
-        for vm, program in scene.programs.items()
+        for vm, program in scene.daemons.items()
         if not program.board.reads_from_store
     ]
     assert len(following) == VMS - 2
@@ -36,8 +36,8 @@
     scene.configuration["Version"] += 1
     expected = scene.configuration["Version"]
     scene.store.put("op/config", scene.configuration)
-    await deployment.settle(within_s)
-    for vm, program in scene.programs.items():
+    await deployment.wait_for_updates(within_s)
+    for vm, program in scene.daemons.items():
         configuration = program.board.configuration
         assert configuration is not None
         assert configuration.version == expected, vm
@@ -46,9 +46,9 @@
 def test_one_vm_per_zone_watches_and_all_vms_receive_a_change() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle_sources(scene)
-        before = scene.store.calls["/kv-watch"]
+        before = scene.store.call_counts["/kv-watch"]
         await check_change(scene, 0.6)
-        assert scene.store.calls["/kv-watch"] - before <= 4
+        assert scene.store.call_counts["/kv-watch"] - before <= 4
 
     scenes.run(scenario, vms=VMS)
 
@@ -56,7 +56,7 @@
 def test_a_killed_relay_is_replaced_in_time() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
-        await scene.programs.pop(relay).kill()
+        await scene.daemons.pop(relay).abort()
         await check_change(scene, 2.0)
 
     scenes.run(scenario, vms=VMS)
@@ -72,13 +72,13 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
-        isolated = scene.programs.pop(relay)
+        isolated = scene.daemons.pop(relay)
         unreachable = store.PlatformStore("127.0.0.1:1")
         await isolated._store.close()
         isolated._feed._store = isolated._members._store = unreachable
         isolated._roster._store = unreachable
         await check_change(scene, 2.9)
-        await isolated.kill()
+        await isolated.abort()
 
     scenes.run(scenario, vms=VMS)
 
@@ -87,7 +87,7 @@
 def test_a_hanging_relay_is_abandoned_in_time(seed: int) -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         relay = await settle_sources(scene)
-        hanging = scene.programs.pop(relay)
+        hanging = scene.daemons.pop(relay)
 
         async def hang(request: object) -> None:
             await asyncio.sleep(3600)
@@ -96,7 +96,7 @@
             server._handler = hang  # type: ignore[assignment]
         await asyncio.sleep(1.0)
         await check_change(scene, 2.0)
-        await hanging.kill()
+        await hanging.abort()
 
     scenes.run(scenario, vms=VMS, seed=seed)
 
@@ -106,7 +106,7 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle_sources(scene)
         setattr(scene.store.faults, fault, True)
-        await deployment.settle(8.0)
+        await deployment.wait_for_updates(8.0)
         setattr(scene.store.faults, fault, False)
         await check_change(scene, 3.0)
 
--- a/tests/forwarding/test_roster.py
+++ b/tests/forwarding/test_roster.py
@@ -30,7 +30,7 @@
     """Returns the VM of each zone that announces other VMs."""
     return {
         program.board.identity.zone: vm
-        for vm, program in scene.programs.items()
+        for vm, program in scene.daemons.items()
         if program._roster.has_followers()
     }
 
@@ -39,16 +39,16 @@
     scene: deployment.Deployment, without: Collection[str] = ()
 ) -> None:
     """Checks that every running VM lists exactly the running VMs."""
-    expected = sorted(set(scene.programs) - set(without))
+    expected = sorted(set(scene.daemons) - set(without))
     for vm in expected:
-        assert sorted(scene.programs[vm].board.members) == expected, vm
+        assert sorted(scene.daemons[vm].board.members) == expected, vm
 
 
 def pick_standby(scene: deployment.Deployment) -> str:
     """Returns a VM that is not advertised and announces no other VM."""
-    board = scene.programs["vm-0"].board
+    board = scene.daemons["vm-0"].board
     excluded = {*board.advertised, *find_relays(scene).values()}
-    return next(vm for vm in scene.programs if vm not in excluded)
+    return next(vm for vm in scene.daemons if vm not in excluded)
 
 
 def hang_servers(scene: deployment.Deployment, vm: str) -> None:
@@ -57,13 +57,13 @@
     async def hang(request: object) -> None:
         await asyncio.sleep(3600)
 
-    for server in scene.programs[vm]._servers:
+    for server in scene.daemons[vm]._servers:
         server._handler = hang  # type: ignore[assignment]
 
 
 def cut_from_store(scene: deployment.Deployment, vm: str) -> None:
     """Makes the store unreachable for a VM."""
-    program = scene.programs[vm]
+    program = scene.daemons[vm]
     unreachable = store.PlatformStore("127.0.0.1:1")
     program._feed._store = unreachable
     program._members._store = program._roster._store = unreachable
@@ -71,7 +71,7 @@
 
 async def settle(scene: deployment.Deployment) -> dict[str, str]:
     """Waits until every VM is announced; returns the relays by zone."""
-    await deployment.settle(6.0)
+    await deployment.wait_for_updates(6.0)
     check_members(scene)
     relays = find_relays(scene)
     assert sorted(relays) == ["zone-0", "zone-1"]
@@ -81,14 +81,14 @@
 def test_standbys_cause_no_store_calls() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        scene.store.calls.clear()
-        await deployment.settle(20.0)
-        advertised = len(scene.programs["vm-0"].board.advertised)
+        scene.store.call_counts.clear()
+        await deployment.wait_for_updates(20.0)
+        advertised = len(scene.daemons["vm-0"].board.advertised)
         writers = advertised + 2
-        assert scene.store.calls["/kv-keep"] <= writers * 25
-        assert scene.store.calls["/kv-txn"] == 0
-        assert scene.store.calls["/kv-lease"] == 0
-        assert scene.store.calls["/kv-watch"] <= 8
+        assert scene.store.call_counts["/kv-keep"] <= writers * 25
+        assert scene.store.call_counts["/kv-txn"] == 0
+        assert scene.store.call_counts["/kv-lease"] == 0
+        assert scene.store.call_counts["/kv-watch"] <= 8
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -97,10 +97,10 @@
 def test_an_advertised_vm_announces_itself() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        board = scene.programs["vm-0"].board
+        board = scene.daemons["vm-0"].board
         for member in board.advertised.values():
             assert not member.keeper
-            assert scene.programs[member.vm].board.lease
+            assert scene.daemons[member.vm].board.lease
 
     scenes.run(scenario, vms=VMS)
 
@@ -108,8 +108,8 @@
 def test_a_killed_standby_is_soon_removed() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        await scene.programs.pop(pick_standby(scene)).kill()
-        await deployment.settle(2.0)
+        await scene.daemons.pop(pick_standby(scene)).abort()
+        await deployment.wait_for_updates(2.0)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -119,18 +119,18 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         paused = pick_standby(scene)
-        program = scene.programs[paused]
+        program = scene.daemons[paused]
         relays = program._feed._relays
         program._feed._relays = _TimingOutRelays()
         stores = program._feed._store, program._members._store
         cut_from_store(scene, paused)
-        await deployment.settle(REMOVAL_S)
-        for vm, other in scene.programs.items():
+        await deployment.wait_for_updates(REMOVAL_S)
+        for vm, other in scene.daemons.items():
             if vm != paused:
                 assert paused not in other.board.members
         program._feed._relays = relays
         program._feed._store, program._members._store = stores
-        await deployment.settle(RECOVERY_S)
+        await deployment.wait_for_updates(RECOVERY_S)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -142,15 +142,15 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         leaving = pick_standby(scene)
-        stopping = asyncio.ensure_future(scene.programs[leaving].stop())
-        await deployment.settle(1.0)
+        stopping = asyncio.ensure_future(scene.daemons[leaving].stop())
+        await deployment.wait_for_updates(1.0)
         for _ in range(8):
-            for vm, program in scene.programs.items():
+            for vm, program in scene.daemons.items():
                 if vm != leaving:
                     assert leaving not in program.board.members
-            await deployment.settle(0.5)
+            await deployment.wait_for_updates(0.5)
         await stopping
-        scene.programs.pop(leaving)
+        scene.daemons.pop(leaving)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -168,22 +168,22 @@
         lost = relays["zone-0"]
         match how:
             case "kill":
-                await scene.programs.pop(lost).kill()
+                await scene.daemons.pop(lost).abort()
             case "still":
                 hang_servers(scene, lost)
                 cut_from_store(scene, lost)
             case "cut":
                 cut_from_store(scene, lost)
-        await deployment.settle(REMOVAL_S)
-        for vm, program in scene.programs.items():
+        await deployment.wait_for_updates(REMOVAL_S)
+        for vm, program in scene.daemons.items():
             if vm == lost:
                 continue
-            for other in scene.programs:
+            for other in scene.daemons:
                 if other != lost:
                     assert other in program.board.members, (vm, other)
         addresses = await resolve(scene, "vm-3" if lost != "vm-3" else "vm-5")
         if how == "kill":
-            assert lost not in scene.programs["vm-1"].board.members
+            assert lost not in scene.daemons["vm-1"].board.members
         assert addresses
 
     scenes.run(scenario, vms=VMS, seed=seed)
@@ -199,10 +199,10 @@
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
         setattr(scene.store.faults, fault, True)
-        await deployment.settle(10.0)
+        await deployment.wait_for_updates(10.0)
         setattr(scene.store.faults, fault, False)
         for _ in range(12):
-            await deployment.settle(0.5)
+            await deployment.wait_for_updates(0.5)
             check_members(scene)
 
     scenes.run(scenario, vms=VMS, seed=seed)
@@ -215,10 +215,10 @@
         await settle(scene)
         back = await scene.add_vm("vm-new", "zone-0")
         scene.store.faults.lost = 2
-        await deployment.settle(0.4)
-        await back.kill()
-        scene.programs.pop("vm-new")
-        await deployment.settle(REMOVAL_S)
+        await deployment.wait_for_updates(0.4)
+        await back.abort()
+        scene.daemons.pop("vm-new")
+        await deployment.wait_for_updates(REMOVAL_S)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -227,21 +227,21 @@
 def test_all_vms_are_announced_again_after_a_restart() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         await settle(scene)
-        killed = list(scene.programs)
+        killed = list(scene.daemons)
         for vm in killed:
-            await scene.programs[vm].kill()
-        await deployment.settle(1.5)
+            await scene.daemons[vm].abort()
+        await deployment.wait_for_updates(1.5)
         zones = {
             vm: program.board.identity.zone
-            for vm, program in scene.programs.items()
+            for vm, program in scene.daemons.items()
         }
-        scene.programs.clear()
+        scene.daemons.clear()
         for vm in killed:
             await scene.add_vm(vm, zones[vm])
-        await deployment.settle(1.0)
-        assert (await scene.ask("vm-0", "/one/x")).status == 200
+        await deployment.wait_for_updates(1.0)
+        assert (await scene.send_request("vm-0", "/one/x")).status == 200
         assert await resolve(scene, "vm-0")
-        await deployment.settle(3.0)
+        await deployment.wait_for_updates(3.0)
         check_members(scene)
 
     scenes.run(scenario, vms=VMS)
@@ -255,17 +255,17 @@
         relay = relays["zone-0"]
         standbys = {
             vm
-            for vm, member in scene.programs["vm-1"].board.members.items()
+            for vm, member in scene.daemons["vm-1"].board.members.items()
             if member.keeper == relay
         }
         assert standbys
         base = int(scene.get_address(relay).rpartition(":")[2])
-        await scene.programs.pop(relay).kill()
-        await deployment.settle(0.2)
+        await scene.daemons.pop(relay).abort()
+        await deployment.wait_for_updates(0.2)
         await scene.add_vm(relay, "zone-0", base)
         for _ in range(12):
-            await deployment.settle(0.25)
-            assert standbys <= scene.programs["vm-1"].board.members.keys()
+            await deployment.wait_for_updates(0.25)
+            assert standbys <= scene.daemons["vm-1"].board.members.keys()
 
     scenes.run(scenario, vms=VMS)
 
@@ -280,13 +280,13 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         relays = await settle(scene)
-        advertised = scene.programs["vm-0"].board.advertised
+        advertised = scene.daemons["vm-0"].board.advertised
         cut = next(vm for vm in advertised if vm not in relays.values())
         cut_from_store(scene, cut)
-        await deployment.settle(1.2)
+        await deployment.wait_for_updates(1.2)
         for _ in range(15):
-            await deployment.settle(0.1)
-            assert not scene.programs[cut].board.contact.reachable
+            await deployment.wait_for_updates(0.1)
+            assert not scene.daemons[cut].board.contact.reachable
 
     scenes.run(scenario, vms=VMS)
 
--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -13,7 +13,7 @@
 
 async def ask_often(scene: deployment.Deployment, count: int = 12) -> None:
     for _ in range(count):
-        answer = await scene.ask("vm-0", "/one/x")
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status == 200
 
 
@@ -21,12 +21,12 @@
     async def scenario(scene: deployment.Deployment) -> None:
         leaving = scene.searchers["statements-0"]
         scene.store.put(
-            "servers/statements-0", leaving.describe(State="draining")
+            "servers/statements-0", leaving.make_entry(State="draining")
         )
-        await deployment.settle()
-        before = len(leaving.seen)
+        await deployment.wait_for_updates()
+        before = len(leaving.requests)
         await ask_often(scene)
-        assert len(leaving.seen) == before
+        assert len(leaving.requests) == before
 
     scenes.run(scenario)
 
@@ -34,13 +34,13 @@
 def test_an_evacuated_zone_gets_no_calls_until_it_is_restored() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
         scene.store.put("op/evacuate/zone-0", {})
-        await deployment.settle()
+        await deployment.wait_for_updates()
         await ask_often(scene)
-        assert not scene.searchers["statements-0"].seen
+        assert not scene.searchers["statements-0"].requests
         scene.store.remove("op/evacuate/zone-0")
-        await deployment.settle()
+        await deployment.wait_for_updates()
         await ask_often(scene)
-        assert scene.searchers["statements-0"].seen
+        assert scene.searchers["statements-0"].requests
 
     scenes.run(scenario)
 
@@ -59,12 +59,12 @@
     async def scenario(scene: deployment.Deployment) -> None:
         written: object = entry
         if isinstance(entry, dict) and "Backend" not in entry:
-            described = scene.searchers["statements-0"].describe()
+            described = scene.searchers["statements-0"].make_entry()
             written = described | entry
         scene.store.put("servers/statements-0", written)
-        await deployment.settle()
+        await deployment.wait_for_updates()
         await ask_often(scene)
-        assert not scene.searchers["statements-0"].seen
+        assert not scene.searchers["statements-0"].requests
 
     scenes.run(scenario)
 
@@ -78,14 +78,14 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        described = scene.searchers["statements-0"].describe()
+        described = scene.searchers["statements-0"].make_entry()
         for known in ("statements-0", "statements-1"):
             scene.store.remove(f"servers/{known}")
         scene.store.put(f"servers/{name}", described)
-        await deployment.settle(3.0)
-        answer = await scene.ask("vm-0", "/one/x")
+        await deployment.wait_for_updates(3.0)
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status == 503
-        assert not scene.searchers["statements-0"].seen
+        assert not scene.searchers["statements-0"].requests
 
     scenes.run(scenario)
 
@@ -101,30 +101,30 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         scene.store.faults.busy = True
-        await deployment.settle(3.0)
+        await deployment.wait_for_updates(3.0)
         for name in list(scene.searchers):
             scene.store.remove(f"servers/{name}")
         scene.store.faults.busy = False
-        await deployment.settle(1.0)
+        await deployment.wait_for_updates(1.0)
         await ask_often(scene)
         for name, each in scene.searchers.items():
             if name != "statements-0":
-                scene.store.put(f"servers/{name}", each.describe())
-        await deployment.settle(3.0)
-        before = len(scene.searchers["statements-0"].seen)
+                scene.store.put(f"servers/{name}", each.make_entry())
+        await deployment.wait_for_updates(3.0)
+        before = len(scene.searchers["statements-0"].requests)
         await ask_often(scene)
-        assert len(scene.searchers["statements-0"].seen) == before
+        assert len(scene.searchers["statements-0"].requests) == before
 
     scenes.run(scenario)
 
 
 def test_a_removed_entry_takes_effect_at_once_if_the_store_is_up() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        await deployment.settle(5.0)
+        await deployment.wait_for_updates(5.0)
         scene.store.remove("servers/statements-0")
-        await deployment.settle(0.5)
+        await deployment.wait_for_updates(0.5)
         await ask_often(scene)
-        assert not scene.searchers["statements-0"].seen
+        assert not scene.searchers["statements-0"].requests
 
     scenes.run(scenario)
 
@@ -135,9 +135,9 @@
         crashed.crash()
         await ask_often(scene)
         await crashed.start()
-        await deployment.settle(2.0)
+        await deployment.wait_for_updates(2.0)
         await ask_often(scene, 30)
-        assert crashed.seen
+        assert crashed.requests
 
     scenes.run(scenario)
 
@@ -150,11 +150,11 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        board = scene.programs["vm-0"].board
+        board = scene.daemons["vm-0"].board
         board.targets["statements-0"].record.relative_time = 9.0
-        again = scene.searchers["statements-0"].describe(born=2_000)
+        again = scene.searchers["statements-0"].make_entry(born=2_000)
         scene.store.put("servers/statements-0", again)
-        await deployment.settle()
+        await deployment.wait_for_updates()
         assert board.targets["statements-0"].record.relative_time == 1.0
 
     scenes.run(scenario)
@@ -174,22 +174,22 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for each in scene.configuration["Services"]:
             each["ColdPerS"] = 4.0
-        scene.declare()
-        await deployment.settle(15.0)
+        scene.write_configuration()
+        await deployment.wait_for_updates(15.0)
         crashed = scene.searchers["statements-0"]
         crashed.crash()
         for _ in range(10):
-            await scene.ask("vm-0", "/one/x")
-            await scene.ask("vm-1", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
+            await scene.send_request("vm-1", "/one/x")
         await crashed.start()
         loop = asyncio.get_running_loop()
         until_s = loop.time() + 1.8
         while loop.time() < until_s:
             for vm in ("vm-0", "vm-1"):
-                answer = await scene.ask(vm, "/one/x")
+                answer = await scene.send_request(vm, "/one/x")
                 assert answer.status == 200
             await asyncio.sleep(0.01)
-        times = [seen.at_s for seen in crashed.seen]
+        times = [seen.at_s for seen in crashed.requests]
         bound = 4.0 * 1.5 + 5
         assert times, "the searcher gets calls"
         for number, at_s in enumerate(times):
@@ -210,22 +210,22 @@
     async def scenario(scene: deployment.Deployment) -> None:
         for each in scene.configuration["Services"]:
             each["ColdPerS"] = 4.0
-        scene.declare()
-        await deployment.settle(15.0)
+        scene.write_configuration()
+        await deployment.wait_for_updates(15.0)
         await ask_often(scene, 40)
         loop = asyncio.get_running_loop()
-        target = scene.programs["vm-0"].board.targets["statements-0"]
+        target = scene.daemons["vm-0"].board.targets["statements-0"]
         scene.searchers["statements-0"].crash()
         await scene.searchers["statements-0"].start()
-        scene.programs["vm-0"].board.pause = board.Pause(
+        scene.daemons["vm-0"].board.pause = board.Pause(
             loop.time() - 3.0, loop.time()
         )
         began_s = loop.time()
         while loop.time() < began_s + 1.0:
-            await scene.ask("vm-0", "/one/x")
+            await scene.send_request("vm-0", "/one/x")
             await asyncio.sleep(0.01)
         assert target.pool.connected_since_s > began_s - 3.0
-        seen = scene.searchers["statements-0"].seen
+        seen = scene.searchers["statements-0"].requests
         times = [each.at_s for each in seen if each.at_s >= began_s]
         assert times, "the searcher gets calls"
         assert len(times) <= 0.9 * (4.0 * 1.5 + 5), (
--- a/tests/forwarding/test_single.py
+++ b/tests/forwarding/test_single.py
@@ -12,14 +12,14 @@
 
 def count_runs(scene: deployment.Deployment, service: str) -> int:
     return sum(
-        len(each.seen)
+        len(each.requests)
         for each in scene.searchers.values()
         if each.service == service
     )
 
 
 def set_script(
-    scene: deployment.Deployment, service: str, act: searcher.Act
+    scene: deployment.Deployment, service: str, act: searcher.Reaction
 ) -> None:
     for each in scene.searchers.values():
         if each.service == service:
@@ -28,9 +28,9 @@
 
 def test_the_request_and_the_answer_pass_unchanged() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        act = searcher.Act(body=b"\x00whole\xff")
-        set_script(scene, scenes.PLAIN, act)
-        answer = await scene.ask(
+        act = searcher.Reaction(body=b"\x00whole\xff")
+        set_script(scene, scenes.SINGLE_SERVICE, act)
+        answer = await scene.send_request(
             "vm-0", "/once/a%2Fb?x=1&x=2", "POST", b"grant", request_id="r-7"
         )
         assert answer.status == 200
@@ -41,7 +41,7 @@
         (seen,) = [
             each
             for name in ("statements-0", "statements-1")
-            for each in scene.searchers[name].seen
+            for each in scene.searchers[name].requests
         ]
         assert seen.target == "/once/a%2Fb?x=1&x=2"
         assert seen.method == "POST"
@@ -61,46 +61,50 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, searcher.Act(then="reset"))
-        answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+        set_script(
+            scene,
+            scenes.SINGLE_SERVICE,
+            searcher.Reaction(connection_action="reset"),
+        )
+        answer = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 502
-        assert count_runs(scene, scenes.PLAIN) == 1
+        assert count_runs(scene, scenes.SINGLE_SERVICE) == 1
 
     scenes.run(scenario)
 
 
 def test_a_slow_request_that_runs_once_is_not_hedged() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, searcher.Act(after_s=0.5))
-        answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Reaction(delay_s=0.5))
+        answer = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 200
-        assert count_runs(scene, scenes.PLAIN) == 1
+        assert count_runs(scene, scenes.SINGLE_SERVICE) == 1
 
     scenes.run(scenario)
 
 
 def test_a_rejected_request_that_runs_once_goes_to_another() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        def reject_first(seen: searcher.Seen) -> searcher.Act:
-            if count_runs(scene, scenes.PLAIN) == 1:
-                return searcher.Act(status=503, not_run=True, signed=False)
-            return searcher.Act(body=b"done")
+        def reject_first(seen: searcher.ReceivedRequest) -> searcher.Reaction:
+            if count_runs(scene, scenes.SINGLE_SERVICE) == 1:
+                return searcher.Reaction(status=503, not_run=True, signed=False)
+            return searcher.Reaction(body=b"done")
 
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = reject_first
-        answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+        answer = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 200
         assert answer.body == b"done"
-        assert count_runs(scene, scenes.PLAIN) == 2
+        assert count_runs(scene, scenes.SINGLE_SERVICE) == 2
 
     scenes.run(scenario)
 
 
 def test_a_request_that_no_searcher_ran_is_refused_as_not_run() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        act = searcher.Act(status=503, not_run=True, signed=False)
-        set_script(scene, scenes.PLAIN, act)
-        answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+        act = searcher.Reaction(status=503, not_run=True, signed=False)
+        set_script(scene, scenes.SINGLE_SERVICE, act)
+        answer = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert answer.status == 503
         assert float(scenes.get_headers(answer)["retry-after"]) > 0
 
@@ -109,14 +113,14 @@
 
 def test_a_repeatable_request_survives_a_reset() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        def reset_first(seen: searcher.Seen) -> searcher.Act:
-            if count_runs(scene, scenes.PLAIN) == 1:
-                return searcher.Act(then="reset")
-            return searcher.Act(body=b"done")
+        def reset_first(seen: searcher.ReceivedRequest) -> searcher.Reaction:
+            if count_runs(scene, scenes.SINGLE_SERVICE) == 1:
+                return searcher.Reaction(connection_action="reset")
+            return searcher.Reaction(body=b"done")
 
         for index in range(2):
             scene.searchers[f"statements-{index}"].script = reset_first
-        answer = await scene.ask("vm-0", "/one/x")
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.body == b"done"
 
     scenes.run(scenario)
@@ -125,16 +129,18 @@
 @pytest.mark.parametrize(
     "act",
     [
-        searcher.Act(raw=b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
-        searcher.Act(raw=b"no answer at all\r\n\r\n"),
-        searcher.Act(id="another", body=b"not yours"),
-        searcher.Act(signed=False, body=b"nobody's"),
-        searcher.Act(framed=False, body=b"cut", then="reset"),
+        searcher.Reaction(
+            raw=b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
+        ),
+        searcher.Reaction(raw=b"no answer at all\r\n\r\n"),
+        searcher.Reaction(request_id="another", body=b"not yours"),
+        searcher.Reaction(signed=False, body=b"nobody's"),
+        searcher.Reaction(framed=False, body=b"cut", connection_action="reset"),
     ],
     ids=["truncated", "garbage", "another-id", "unsigned", "cut-unframed"],
 )
 def test_an_incomplete_or_foreign_answer_is_not_used(
-    act: searcher.Act,
+    act: searcher.Reaction,
 ) -> None:
     """Guards against showing a caller another caller's data, or partial data.
 
@@ -144,8 +150,8 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, act)
-        answer = await scene.ask("vm-0", "/one/x")
+        set_script(scene, scenes.SINGLE_SERVICE, act)
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.status in (502, 504)
         assert b"half" not in answer.body
         assert b"yours" not in answer.body
@@ -170,8 +176,10 @@
             b"HTTP/1.1 200 OK\r\nAzureramp-Request-Id: mine\r\n"
             b"Azureramp-Server-Stamp: s\r\nContent-Length: 4\r\n\r\nmine"
         )
-        set_script(scene, scenes.PLAIN, searcher.Act(raw=late + own))
-        answer = await scene.ask(
+        set_script(
+            scene, scenes.SINGLE_SERVICE, searcher.Reaction(raw=late + own)
+        )
+        answer = await scene.send_request(
             "vm-0", "/once/x", "POST", b"grant", request_id="mine"
         )
         assert answer.status == 200
@@ -182,23 +190,25 @@
 
 def test_bytes_after_an_answer_end_the_connection() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        act = searcher.Act(body=b"first", extra=b"HTTP/1.1 200 OK\r\n\r\n")
-        set_script(scene, scenes.PLAIN, act)
+        act = searcher.Reaction(body=b"first", extra=b"HTTP/1.1 200 OK\r\n\r\n")
+        set_script(scene, scenes.SINGLE_SERVICE, act)
         for _ in range(3):
-            answer = await scene.ask("vm-0", "/one/x")
+            answer = await scene.send_request("vm-0", "/one/x")
             assert answer.body == b"first"
         for index in range(2):
             asked = scene.searchers[f"statements-{index}"]
-            assert asked.connections >= len(asked.seen)
+            assert asked.accepted_connections >= len(asked.requests)
 
     scenes.run(scenario)
 
 
 def test_an_answer_without_a_length_ends_with_its_stream() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        act = searcher.Act(framed=False, body=b"whole", then="close")
-        set_script(scene, scenes.PLAIN, act)
-        answer = await scene.ask("vm-0", "/one/x")
+        act = searcher.Reaction(
+            framed=False, body=b"whole", connection_action="close"
+        )
+        set_script(scene, scenes.SINGLE_SERVICE, act)
+        answer = await scene.send_request("vm-0", "/one/x")
         assert answer.body == b"whole"
 
     scenes.run(scenario)
@@ -214,18 +224,24 @@
     async def scenario(scene: deployment.Deployment) -> None:
         scene.searchers["statements-0"].id = "someone-else"
         for _ in range(4):
-            answer = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+            answer = await scene.send_request(
+                "vm-0", "/once/x", "POST", b"grant"
+            )
             assert answer.status == 200
-        assert len(scene.searchers["statements-0"].seen) <= 1
+        assert len(scene.searchers["statements-0"].requests) <= 1
 
     scenes.run(scenario)
 
 
 def test_a_request_is_answered_at_its_routes_timeout() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, searcher.Act(then="hang"))
+        set_script(
+            scene,
+            scenes.SINGLE_SERVICE,
+            searcher.Reaction(connection_action="hang"),
+        )
         began_s = asyncio.get_running_loop().time()
-        answer = await scene.ask("vm-0", "/one/x", deadline_ms=5000)
+        answer = await scene.send_request("vm-0", "/one/x", deadline_ms=5000)
         took_s = asyncio.get_running_loop().time() - began_s
         assert answer.status == 504
         assert 0.99 < took_s < 1.1
@@ -235,7 +251,7 @@
 
 def test_a_request_without_a_route_is_not_found() -> None:
     async def scenario(scene: deployment.Deployment) -> None:
-        answer = await scene.ask("vm-0", "/none/x")
+        answer = await scene.send_request("vm-0", "/none/x")
         assert answer.status == 404
 
     scenes.run(scenario)
@@ -250,21 +266,27 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        set_script(scene, scenes.PLAIN, searcher.Act(then="hang"))
-        target = next(iter(scene.programs["vm-0"].board.targets.values()))
+        set_script(
+            scene,
+            scenes.SINGLE_SERVICE,
+            searcher.Reaction(connection_action="hang"),
+        )
+        target = next(iter(scene.daemons["vm-0"].board.targets.values()))
         before = [
-            asyncio.ensure_future(scene.ask("vm-0", "/once/x", "POST", b"a"))
+            asyncio.ensure_future(
+                scene.send_request("vm-0", "/once/x", "POST", b"a")
+            )
             for _ in range(target.pool.limit)
         ]
-        await deployment.settle(0.05)
-        late = await scene.ask(
+        await deployment.wait_for_updates(0.05)
+        late = await scene.send_request(
             "vm-0", "/once/x", "POST", b"order", deadline_ms=300, request_id="l"
         )
         assert late.status == 503
         assert float(scenes.get_headers(late)["retry-after"]) > 0
         for task in before:
             assert (await task).status == 504
-        seen = scene.searchers["statements-0"].seen
+        seen = scene.searchers["statements-0"].requests
         assert "l" not in {each.id for each in seen}
 
     scenes.run(scenario, searchers=1)
@@ -280,15 +302,15 @@
     """
 
     async def scenario(scene: deployment.Deployment) -> None:
-        lost = searcher.Act(after_s=0.01, then="reset")
-        set_script(scene, scenes.PLAIN, lost)
+        lost = searcher.Reaction(delay_s=0.01, connection_action="reset")
+        set_script(scene, scenes.SINGLE_SERVICE, lost)
         for _ in range(4):
-            await scene.ask("vm-0", "/one/x")
-        set_script(scene, scenes.PLAIN, searcher.Act())
-        before = count_runs(scene, scenes.PLAIN)
-        grant = await scene.ask("vm-0", "/once/x", "POST", b"grant")
+            await scene.send_request("vm-0", "/one/x")
+        set_script(scene, scenes.SINGLE_SERVICE, searcher.Reaction())
+        before = count_runs(scene, scenes.SINGLE_SERVICE)
+        grant = await scene.send_request("vm-0", "/once/x", "POST", b"grant")
         assert grant.status == 503
-        assert count_runs(scene, scenes.PLAIN) == before
-        assert (await scene.ask("vm-0", "/one/x")).status == 200
+        assert count_runs(scene, scenes.SINGLE_SERVICE) == before
+        assert (await scene.send_request("vm-0", "/one/x")).status == 200
 
     scenes.run(scenario)
--- a/tests/invariants/test_checker.py
+++ b/tests/invariants/test_checker.py
@@ -67,7 +67,7 @@
 ) -> history.History:
     """Makes a history of one VM's events at given times, in seconds."""
     now = [0.0]
-    timeline = timelines.Timeline("vm-1", wall=lambda: now[0])
+    timeline = timelines.Timeline("vm-1", wall_clock=lambda: now[0])
     for at_s, event in timed_events:
         now[0] = at_s
         timeline.record(event, at_s)
@@ -90,10 +90,10 @@
     return history.Arrival(at_s=at_s, **values)  # type: ignore[arg-type]
 
 
-def make_received(**fields: object) -> history.Received:
+def make_received(**fields: object) -> history.RequestOutcome:
     values: dict[str, object] = {
         "sent_s": 1.0,
-        "got_s": 2.0,
+        "ended_s": 2.0,
         "vm": "vm-1",
         "answered": True,
         "code": "ok",
@@ -102,7 +102,7 @@
         "version": 1,
         **fields,
     }
-    return history.Received(**values)  # type: ignore[arg-type]
+    return history.RequestOutcome(**values)  # type: ignore[arg-type]
 
 
 def violate_snapshot() -> history.History:
@@ -137,9 +137,12 @@
 def violate_whole_answer() -> history.History:
     run_history = make_history()
     run_history.keys_by_tag["q@1"] = (1, 2, 3)
-    run_history.received.append(
+    run_history.outcomes.append(
         make_received(
-            wanted="q", complete=True, item_keys=(1, 2), item_tags=("q@1",) * 2
+            expected_query="q",
+            complete=True,
+            item_keys=(1, 2),
+            item_tags=("q@1",) * 2,
         )
     )
     return run_history
@@ -148,7 +151,7 @@
 def violate_not_run() -> history.History:
     run_history = make_history()
     run_history.arrivals.append(make_arrival(5.0))
-    run_history.received.append(make_received(code="overloaded", ran="not_run"))
+    run_history.outcomes.append(make_received(code="overloaded", ran="not_run"))
     return run_history
 
 
@@ -170,8 +173,10 @@
 
 def violate_graceful_stop() -> history.History:
     run_history = make_history()
-    run_history.stops.append(history.Stop("vm-1", began_s=1.5, ended_s=3.0))
-    run_history.received.append(make_received(answered=False, code="", ran=""))
+    run_history.stops.append(
+        history.PlannedStop("vm-1", began_s=1.5, ended_s=3.0)
+    )
+    run_history.outcomes.append(make_received(answered=False, code="", ran=""))
     return run_history
 
 
@@ -246,9 +251,9 @@
         (3, make_answer(1.0)),
     )
     run_history.keys_by_tag["q@1"] = (1, 2)
-    run_history.received.append(
+    run_history.outcomes.append(
         make_received(
-            wanted="q",
+            expected_query="q",
             complete=True,
             coverage=1.0,
             item_keys=(1, 2),
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -48,7 +48,7 @@
 
 def test_fanout_route() -> None:
     route = decode_route(FanoutServices=["a", "b"], TopK=5, MinShardShare=0.75)
-    assert route.destination == catalog.AllOf(("a", "b"), 5, 0.75)
+    assert route.destination == catalog.FanoutDestination(("a", "b"), 5, 0.75)
     assert route.host == "search.example"
     assert route.timeout_s == 0.25
     assert route.repeatable
@@ -57,8 +57,11 @@
 def test_split_route() -> None:
     split = [{"Backend": "a", "Weight": 3}, {"Backend": "b", "Weight": 1}]
     route = decode_route(TrafficSplit=split)
-    expected = (catalog.Weighted("a", 3), catalog.Weighted("b", 1))
-    assert route.destination == catalog.OneOf(expected)
+    expected = (
+        catalog.WeightedService("a", 3),
+        catalog.WeightedService("b", 1),
+    )
+    assert route.destination == catalog.SplitDestination(expected)
 
 
 @pytest.mark.parametrize("kind", ["non_idempotent", "something_new"])
@@ -68,12 +71,12 @@
 
 def test_invalid_configuration_is_unreadable() -> None:
     update = decode("op/config", {"Version": "x"})
-    assert isinstance(update, catalog.Unreadable)
+    assert isinstance(update, catalog.InvalidEntry)
 
 
 def test_searcher() -> None:
     update = decode("servers/i-1", SEARCHER)
-    assert update == catalog.SearcherSeen(
+    assert update == catalog.SearcherAnnounced(
         catalog.Searcher(
             id="i-1",
             service="s",
@@ -81,7 +84,7 @@
             zone="z",
             slots=2,
             state=catalog.SearcherState.READY,
-            cold_s=1.5,
+            cold_remaining_s=1.5,
             started_ms=17,
         )
     )
@@ -102,20 +105,24 @@
     fields: dict[str, Any],
 ) -> None:
     update = decode("servers/i-1", SEARCHER | fields)
-    assert update == catalog.SearcherGone("i-1")
+    assert update == catalog.SearcherRemoved("i-1")
 
 
 def test_deletions_and_evacuations() -> None:
-    assert decode("servers/i-1", None) == catalog.SearcherGone("i-1")
-    assert decode("op/evacuate/z", {}) == catalog.ZoneEvacuated("z", True)
-    assert decode("op/evacuate/z", None) == catalog.ZoneEvacuated("z", False)
-    assert decode("azureramp/members/v", None) == catalog.MemberGone("v")
+    assert decode("servers/i-1", None) == catalog.SearcherRemoved("i-1")
+    assert decode("op/evacuate/z", {}) == catalog.ZoneEvacuationChanged(
+        "z", True
+    )
+    assert decode("op/evacuate/z", None) == catalog.ZoneEvacuationChanged(
+        "z", False
+    )
+    assert decode("azureramp/members/v", None) == catalog.MemberRemoved("v")
     assert decode("status/else", {}) is None
 
 
 def test_version_of_a_searcher() -> None:
     update = decode("servers/i-1", SEARCHER | {"Version": "v2"})
-    assert isinstance(update, catalog.SearcherSeen)
+    assert isinstance(update, catalog.SearcherAnnounced)
     assert update.searcher.version == "v2"
 
 
@@ -129,7 +136,7 @@
 
 @pytest.mark.parametrize("body", [{}, {"TargetVersion": ""}, [1], "x"])
 def test_invalid_rollout_order_is_unreadable(body: Any) -> None:
-    assert isinstance(decode("op/rollout/s", body), catalog.Unreadable)
+    assert isinstance(decode("op/rollout/s", body), catalog.InvalidEntry)
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -38,7 +38,7 @@
         listing = (await client.read_prefix("k/")).ok
         assert len(listing.entries) == 120
         assert listing.revision == 120
-        assert server.calls["/kv-range"] == 3
+        assert server.call_counts["/kv-range"] == 3
 
     run(scenario)
 
@@ -47,12 +47,12 @@
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
-        first = (await client.write("k", b"one", api.CREATE)).ok
+        first = (await client.write("k", b"one", api.NO_REVISION)).ok
         assert isinstance(first, api.Written)
-        conflict = (await client.write("k", b"two", api.CREATE)).ok
-        assert isinstance(conflict, api.Conflicted)
-        assert conflict.present is not None
-        assert conflict.present.value == b"one"
+        conflict = (await client.write("k", b"two", api.NO_REVISION)).ok
+        assert isinstance(conflict, api.Conflict)
+        assert conflict.current is not None
+        assert conflict.current.value == b"one"
         read = (await client.read("k")).ok
         assert read is not None
         assert read.revision == first.revision
@@ -69,7 +69,7 @@
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
         server.faults.lost = 1
-        result = await client.write("k", b"one", api.CREATE)
+        result = await client.write("k", b"one", api.NO_REVISION)
         assert result.error.kind is errors.Kind.STORE_OUTCOME_UNKNOWN
         assert server.state.read("k") is not None
 
@@ -112,11 +112,11 @@
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
         lease = (await client.grant_lease(3.0)).ok
-        assert (await client.write("k", b"x", api.CREATE, lease)).is_ok()
+        assert (await client.write("k", b"x", api.NO_REVISION, lease)).is_ok()
         await asyncio.sleep(2.0)
-        assert (await client.keep_lease(lease)).ok
+        assert (await client.renew_lease(lease)).ok
         await asyncio.sleep(4.0)
-        assert not (await client.keep_lease(lease)).ok
+        assert not (await client.renew_lease(lease)).ok
         assert (await client.read("k")).ok is None
 
     run(scenario)
@@ -128,17 +128,17 @@
     ) -> None:
         old = server.put("old", {"n": 1})
         changes = [
-            api.Change("new", b"a", api.CREATE),
+            api.Change("new", b"a", api.NO_REVISION),
             api.Change("old", None, old + 1),
         ]
         conflict = (await client.write_batch(changes)).ok
-        assert conflict == api.BatchConflicted({"new": 0, "old": old})
+        assert conflict == api.BatchConflict({"new": 0, "old": old})
         assert server.state.read("new") is None
         changes[1] = api.Change("old", None, old)
         written = (await client.write_batch(changes)).ok
         assert written == api.Written(server.state.revision)
         assert server.state.read("old") is None
-        assert server.calls["/kv-txn"] == 2
+        assert server.call_counts["/kv-txn"] == 2
 
     run(scenario)
 
@@ -147,7 +147,7 @@
     async def scenario(
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
-        changes = [api.Change("k", b"a", api.CREATE, "77")]
+        changes = [api.Change("k", b"a", api.NO_REVISION, "77")]
         result = await client.write_batch(changes)
         assert result.error.kind is errors.Kind.NOT_FOUND
         assert server.state.read("k") is None
@@ -160,8 +160,8 @@
         server: store_standin.Store, client: store.PlatformStore
     ) -> None:
         changes = [
-            api.Change(f"k{number}", b"a", api.CREATE)
-            for number in range(api.MAX_BATCH)
+            api.Change(f"k{number}", b"a", api.NO_REVISION)
+            for number in range(api.MAX_BATCH_CHANGES)
         ]
         assert isinstance((await client.write_batch(changes)).ok, api.Written)
 
--- a/tests/ports/searchers/harness.py
+++ b/tests/ports/searchers/harness.py
@@ -65,7 +65,10 @@
         """Makes a searcher that is not started."""
         self.address = "s1:1"
         self._searcher = memory.Searcher(
-            self.address, versions=(VERSION,), service_ms=SERVICE_MS, spread=0
+            self.address,
+            versions=(VERSION,),
+            service_ms=SERVICE_MS,
+            service_time_sigma=0,
         )
         self._fleet = memory.Fleet([self._searcher])
         self.port: calls.PooledSearchers[Any] = memory.make(self._fleet)
@@ -73,7 +76,7 @@
     @property
     def connects(self) -> int:
         """The number of connections opened."""
-        return self._fleet.connects[self.address]
+        return self._fleet.connection_counts[self.address]
 
     async def start(self) -> None:
         """Starts the searcher."""
@@ -83,7 +86,7 @@
         """Stops the searcher process."""
         self._searcher.faults.down = True
         for link in list(self._searcher.links):
-            link.lose()
+            link.break_connection()
 
     async def restart(self) -> None:
         """Starts the searcher again."""
@@ -101,7 +104,7 @@
 
     def count_effects(self) -> int:
         """Returns the number of calls with side effects that it ran."""
-        return len(self._searcher.effects)
+        return len(self._searcher.effect_bodies)
 
 
 class HttpHarness:
--- a/tests/ports/searchers/test_half_open.py
+++ b/tests/ports/searchers/test_half_open.py
@@ -121,7 +121,9 @@
         """Makes a searcher."""
         self.address = "s1:1"
         self._searcher = memory.Searcher(
-            self.address, versions=(harness_module.VERSION,), spread=0
+            self.address,
+            versions=(harness_module.VERSION,),
+            service_time_sigma=0,
         )
         self._fleet = memory.Fleet([self._searcher])
         self.port = memory.make(self._fleet)
@@ -135,11 +137,11 @@
 
     def make_half_open(self) -> None:
         """Makes all open connections half-open."""
-        self._searcher.silence()
+        self._searcher.make_half_open()
 
     def count_connects(self) -> int:
         """Returns the number of connections opened so far."""
-        return self._fleet.connects[self.address]
+        return self._fleet.connection_counts[self.address]
 
 
 def run(kind: str, scenario: Any) -> None:
@@ -164,8 +166,8 @@
     made = harness_module.make_call(
         harness.address,
         call_id=f"r{number}/1",
-        overdue_ms=60.0,
-        give_up_ms=240.0,
+        suspect_after_ms=60.0,
+        abort_after_ms=240.0,
         deadline_ms=20_000.0,
         **fields,
     )
@@ -229,10 +231,10 @@
         harness.make_half_open()
         made = harness_module.make_call(
             harness.address,
-            overdue_ms=60.0,
-            give_up_ms=240.0,
+            suspect_after_ms=60.0,
+            abort_after_ms=240.0,
             deadline_ms=3000.0,
-            repeatable=False,
+            idempotent=False,
         )
         started_s = asyncio.get_running_loop().time()
         result = await harness.port.call(made, lambda: True)
@@ -261,7 +263,7 @@
     """The searcher reports running calls although the connection is dead.
 
     The report then gives no reason to abort the call, so it is aborted after
-    `give_up_ms`.
+    `abort_after_ms`.
     """
 
     async def scenario(harness: Any) -> None:
--- a/tests/processes/test_rolling_restart.py
+++ b/tests/processes/test_rolling_restart.py
@@ -16,10 +16,10 @@
 @pytest.fixture
 def running(tmp_path: pathlib.Path) -> Iterator[deployment.Deployment]:
     """A running deployment with its resources in force."""
-    deployed = deployment.make(tmp_path)
+    deployed = deployment.prepare(tmp_path)
     try:
         deployment.start(deployed)
-        deployed.run_tool("apply", "--file", str(deployed.write_resources()))
+        deployed.run_cli("apply", "--file", str(deployed.write_resources()))
         yield deployed
     finally:
         deployed.stop()
@@ -35,8 +35,8 @@
     expires_s = 0.0
     while not stopping.is_set():
         if loop.time() >= expires_s:
-            expires_s = loop.time() + await caller.refresh() / 1000
-        response = await caller.ask(
+            expires_s = loop.time() + await caller.refresh_addresses() / 1000
+        response = await caller.send_request(
             "POST", "/v1/query", demo.make_query("MacAoidh")
         )
         answer = msgspec.json.decode(response.body)
@@ -61,7 +61,7 @@
     caller = client.Client(
         deployment.CALLER_TOKEN, (running.daemons[vm].address,)
     )
-    async with asyncio.timeout(demo.READY_S):
+    async with asyncio.timeout(demo.READY_TIMEOUT_S):
         while True:
             try:
                 await demo.wait_until_answered(caller)
--- a/tests/processes/test_soak.py
+++ b/tests/processes/test_soak.py
@@ -14,17 +14,17 @@
 
 
 def test_seed_determines_planned_faults() -> None:
-    first = plan.draw(7, 20.0, 4, 22)
-    assert first == plan.draw(7, 20.0, 4, 22)
-    assert first != plan.draw(8, 20.0, 4, 22)
+    first = plan.draw_faults(7, 20.0, 4, 22)
+    assert first == plan.draw_faults(7, 20.0, 4, 22)
+    assert first != plan.draw_faults(8, 20.0, 4, 22)
     assert {
         type(each.fault) for seed in range(20) for each in _draw_plan(seed)
     } == {
-        plan.Signalled,
-        plan.LinkHarmed,
-        plan.StoreHarmed,
-        plan.SearcherHarmed,
-        plan.Operated,
+        plan.DaemonSignal,
+        plan.LinkFault,
+        plan.StoreFault,
+        plan.SearcherFault,
+        plan.OperatorAction,
     }
 
 
@@ -39,10 +39,10 @@
     only, since load on the test machine alone can violate them.
     """
     recorded = asyncio.run(program.run_seed(seed, SECONDS, VMS, tmp_path))
-    assert len(recorded.tries) > 100
-    assert len(recorded.spans) >= 3
+    assert len(recorded.requests) > 100
+    assert len(recorded.fault_spans) >= 3
     assert checks.check(recorded, timed=False) == []
 
 
-def _draw_plan(seed: int) -> tuple[plan.Planned, ...]:
-    return plan.draw(seed, 20.0, 4, 22)
+def _draw_plan(seed: int) -> tuple[plan.ScheduledFault, ...]:
+    return plan.draw_faults(seed, 20.0, 4, 22)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -21,18 +21,18 @@
 
 
 def test_clock_moves_past_a_received_clock_value() -> None:
-    ahead = timelines.Timeline("a", wall=lambda: 100.0)
-    behind = timelines.Timeline("b", wall=lambda: 1.0)
+    ahead = timelines.Timeline("a", wall_clock=lambda: 100.0)
+    behind = timelines.Timeline("b", wall_clock=lambda: 1.0)
 
-    sent = ahead.read_clock()
-    behind.observe_clock(sent)
+    sent = ahead.advance_clock()
+    behind.merge_clock(sent)
 
-    assert behind.read_clock() > sent
+    assert behind.advance_clock() > sent
 
 
 @pytest.mark.parametrize("kind", errors.Kind)
 def test_each_kind_has_a_text_in_both_languages(kind: errors.Kind) -> None:
-    text = texts.KINDS[kind]
+    text = texts.ERROR_TEXTS[kind]
 
     assert text.en
     assert text.hu
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -63,13 +63,14 @@
     ]
     assert "i-7 mostly '503 not run' (2 of 2" in explanation.cause
     assert "seen by 2 VMs" in explanation.cause
-    assert [line.message for line in explanation.beliefs] == [
+    assert [line.message for line in explanation.vm_state_lines] == [
         "started on 10.0.0.1:80"
     ]
     assert [
-        line.at_s - explanation.request.at_s for line in explanation.states
+        line.at_s - explanation.request.at_s
+        for line in explanation.searcher_lines
     ] == [-8.0]
-    assert not explanation.gaps
+    assert not explanation.missing_lines
 
 
 def test_short_answer_is_explained_for_each_missing_shard() -> None:
@@ -94,7 +95,9 @@
     assert shards[1] == "c: no searcher may get it"
     assert shards[2].endswith("no retry or hedged request was allowed")
     assert len(shards) == 3
-    assert explanation.gaps == ["no earlier line of vm-0: its logs start later"]
+    assert explanation.missing_lines == [
+        "no earlier line of vm-0: its logs start later"
+    ]
 
 
 @pytest.mark.parametrize("crashed", [True, False])
