--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -98,8 +98,8 @@
         if checked.is_error():
             return expression.Error(checked.error)
         fingerprint = fingerprints.compute_fingerprint(asked.index, asked.body)
-        blame = self._board.crash_counts
-        quarantined_ms = blame.get_quarantine_ms(fingerprint, now_s)
+        counts = self._board.crash_counts
+        quarantined_ms = counts.get_quarantine_ms(fingerprint, now_s)
         if quarantined_ms > 0:
             kind = errors.Kind.QUARANTINED
             failure = errors.Failure(kind, retry_after_ms=quarantined_ms)
@@ -121,7 +121,7 @@
             priority=asked.caller.priority,
             fingerprint=fingerprint,
             repeatable=asked.repeatable,
-            isolated=blame.count_crashes(fingerprint, now_s) > 0,
+            isolated=counts.count_crashes(fingerprint, now_s) > 0,
             body=asked.body,
             answer_s=answer_s,
         )
--- a/src/azureramp/controllers/forwarding/crashes.py
+++ b/src/azureramp/controllers/forwarding/crashes.py
@@ -9,7 +9,7 @@
 
 from azureramp import catalog
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.policy import blame
+from azureramp.policy import crash_counts
 from azureramp.ports.forwarding import api, pool
 from azureramp.ports.store import api as store_api
 
@@ -47,20 +47,20 @@
         self._board = board
         self._store = store
         self._encode = encode
-        self._crash_counts = blame.CrashCounts()
+        self._crash_counts = crash_counts.CrashCounts()
         self._reports: asyncio.Queue[catalog.CrashReport] = asyncio.Queue(
             MAX_PENDING_REPORTS
         )
 
     def get_quarantine_s(self, message: api.Message) -> float:
         """Returns the rest of a request's quarantine, in seconds; 0 if none."""
-        fingerprint = blame.make_fingerprint(message)
+        fingerprint = crash_counts.make_fingerprint(message)
         now_s = asyncio.get_running_loop().time()
         return self._crash_counts.get_quarantine_s(fingerprint, now_s)
 
     def record_answer(self, message: api.Message) -> None:
         """Clears a request's crash counts, since a searcher answered it."""
-        fingerprint = blame.make_fingerprint(message)
+        fingerprint = crash_counts.make_fingerprint(message)
         if self._crash_counts.has_crashes(fingerprint):
             self._crash_counts.clear(fingerprint)
 
@@ -117,7 +117,7 @@
         repeatable: bool,
     ) -> None:
         """Attributes a crash to a request."""
-        fingerprint = blame.make_fingerprint(message)
+        fingerprint = crash_counts.make_fingerprint(message)
         now_s = asyncio.get_running_loop().time()
         crashes = self._crash_counts.record_crash(fingerprint, now_s)
         self._board.metrics.count("crash.blamed")
@@ -133,7 +133,7 @@
         # retry crashes a second one.
         min_crashes = 2 if repeatable else 1
         if (
-            min_crashes <= crashes <= blame.MIN_CRASHES
+            min_crashes <= crashes <= crash_counts.MIN_CRASHES
             and not self._reports.full()
         ):
             self._reports.put_nowait(
