--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -3,7 +3,7 @@
 It comes from the store on the few VMs that watch the store, and from peers on
 the others: peers push changes, and a VM requests entries from a peer that
 reports a higher revision. The rules are in `policy.propagation` and
-`policy.contact`.
+`policy.quorum_contact`.
 """
 
 from __future__ import annotations
--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -10,7 +10,7 @@
 import math
 
 from azureramp import blackboard, events
-from azureramp.policy import contact, watching
+from azureramp.policy import quorum_contact, watching
 
 EXPIRING_SHARE = 0.75
 """Share of the confirmation window after which contact is treated as about to
@@ -36,9 +36,9 @@
     def __init__(self, board: blackboard.Blackboard) -> None:
         """Creates the state of a VM that has no contact yet."""
         self._board = board
-        self._contacts = contact.ContactTimes()
+        self._contacts = quorum_contact.ContactTimes()
         self._unaccepted: list[events.ConfigurationAccepted] = []
-        self.acceptance = contact.Acceptance()
+        self.acceptance = quorum_contact.Acceptance()
         self.contact_s = -math.inf
 
     def update(self, confirmed_s: float) -> None:
@@ -54,10 +54,10 @@
         self.acceptance.update(view)
         board.accepted_revision = self.acceptance.revision
         if view.revision > 0:
-            board.confirmed_s = contact.compute_confirmed_s(
+            board.confirmed_s = quorum_contact.compute_confirmed_s(
                 view, max(board.confirmed_s, confirmed_s)
             )
-            board.may_work_until_s = contact.compute_work_until_s(
+            board.may_work_until_s = quorum_contact.compute_work_until_s(
                 self.contact_s, board.confirmed_s, self._get_window_s()
             )
         self._record_accepted(view.now_s)
@@ -67,7 +67,7 @@
 
     def may_recover(self, revision: int) -> bool:
         """Returns True if a copy received from peers may be used."""
-        return contact.may_recover(self.make_view(), revision)
+        return quorum_contact.may_recover(self.make_view(), revision)
 
     def has_contact(self) -> bool:
         """Returns True if this VM may accept operators' changes."""
@@ -86,17 +86,17 @@
         """Queues an event that is recorded once its change is accepted."""
         self._unaccepted.append(event)
 
-    def make_view(self) -> contact.ClusterView:
+    def make_view(self) -> quorum_contact.ClusterView:
         """Creates the input of the policies from the blackboard."""
         members = self._board.members
         own = self._board.settings.vm
-        return contact.ClusterView(
+        return quorum_contact.ClusterView(
             now_s=asyncio.get_running_loop().time(),
             vm=own,
             revision=self._board.configuration.revision,
             vms=members.keys(),
             acknowledgements={
-                name: contact.Acknowledgement(
+                name: quorum_contact.Acknowledgement(
                     member.acknowledged_s,
                     member.acknowledged_revision,
                     member.acknowledged_incarnation,
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -262,7 +262,8 @@
                     crash_id=notice.crash_id,
                     fingerprint=fingerprint,
                     crashes=counts.count_crashes(fingerprint, now_s),
-                    quarantined=counts.get_quarantine_ms(fingerprint, now_s) > 0,
+                    quarantined=counts.get_quarantine_ms(fingerprint, now_s)
+                    > 0,
                 ),
                 now_s,
             )
--- a/tests/policy/test_contact.py
+++ b/tests/policy/test_quorum_contact.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from azureramp.policy import contact
+from azureramp.policy import quorum_contact
 
 FIVE = ("a", "b", "c", "d", "e")
 
@@ -19,15 +19,15 @@
     own: str = "a",
     listed: tuple[str, ...] = FIVE,
     **acknowledged: tuple[float, int] | tuple[float, int, int],
-) -> contact.ClusterView:
+) -> quorum_contact.ClusterView:
     """Creates a view from (sent_s, revision[, incarnation]) of each VM."""
-    return contact.ClusterView(
+    return quorum_contact.ClusterView(
         now_s,
         own,
         revision,
         listed,
         {
-            vm: contact.Acknowledgement(
+            vm: quorum_contact.Acknowledgement(
                 fields[0],
                 fields[1],
                 fields[2] if len(fields) > 2 else 1,
@@ -67,9 +67,9 @@
     ],
 )
 def test_contact_is_the_latest_time_proven_by_a_majority(
-    view: contact.ClusterView, contact_s: float
+    view: quorum_contact.ClusterView, contact_s: float
 ) -> None:
-    assert contact.ContactTimes().compute_contact_s(view) == contact_s
+    assert quorum_contact.ContactTimes().compute_contact_s(view) == contact_s
 
 
 def test_contact_with_a_vm_of_a_higher_revision_is_not_renewed() -> None:
@@ -79,7 +79,7 @@
     heartbeats continue with the higher revision. If they counted as contact,
     this VM would keep using the old configuration.
     """
-    contacts = contact.ContactTimes()
+    contacts = quorum_contact.ContactTimes()
     contacts.compute_contact_s(make_view(1, 5, b=(1, 5), c=(1, 5)))
 
     later = make_view(9, 5, b=(9, 5), c=(9, 6), d=(9, 6), e=(9, 6))
@@ -89,7 +89,7 @@
 
 
 def test_a_change_is_accepted_after_two_rounds_of_a_majority() -> None:
-    acceptance = contact.Acceptance()
+    acceptance = quorum_contact.Acceptance()
     acceptance.update(make_view(1, 7, b=(0.9, 7), c=(0.9, 7)))
     assert acceptance.revision == 0
     acceptance.update(make_view(2, 7, b=(1.5, 7), c=(0.9, 7)))
@@ -108,7 +108,7 @@
     newest one. Then c acknowledges the change too. With b and c a majority has
     acknowledged, but at different times: b works without the change.
     """
-    acceptance = contact.Acceptance()
+    acceptance = quorum_contact.Acceptance()
     acceptance.update(make_view(1, 7, b=(0.9, 7, 1), c=(0.9, 7, 1)))
     acceptance.update(make_view(2, 7, b=(1.5, 6, 2), c=(1.5, 7, 1)))
     assert acceptance.revision < 7
@@ -140,12 +140,12 @@
 ) -> None:
     view = make_view(2, 0)
     acknowledgement = {
-        vm: contact.Acknowledgement(sent_s, held, 1)
+        vm: quorum_contact.Acknowledgement(sent_s, held, 1)
         for vm, (sent_s, held) in acknowledged.items()
     }
     view = dataclasses.replace(view, acknowledgements=acknowledgement)
 
-    assert contact.may_recover(view, revision) is may
+    assert quorum_contact.may_recover(view, revision) is may
 
 
 @pytest.mark.parametrize(
@@ -154,7 +154,9 @@
 def test_a_peers_confirmation_applies_if_its_revision_is_not_higher(
     revision: int, confirmed_s: float
 ) -> None:
-    acknowledgement = contact.Acknowledgement(5, 5, 1, confirmed_s=4.0)
-    view = contact.ClusterView(9, "a", revision, FIVE, {"b": acknowledgement})
+    acknowledgement = quorum_contact.Acknowledgement(5, 5, 1, confirmed_s=4.0)
+    view = quorum_contact.ClusterView(
+        9, "a", revision, FIVE, {"b": acknowledgement}
+    )
 
-    assert contact.compute_confirmed_s(view, 1.0) == confirmed_s
+    assert quorum_contact.compute_confirmed_s(view, 1.0) == confirmed_s
