--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 
 from azureramp import blackboard, messages, resources
-from azureramp.policy import leases, lists, ownership, pace
+from azureramp.policy import leases, ownership, pace, vm_lists
 
 READ_LIST_S = 1.0
 """Interval between reads of the VM list, in seconds."""
@@ -58,7 +58,7 @@
         )
         self._without_majority_from_s: dict[str, float] = {}
         self.lease = leases.ReceivedGrants(times.lease_s)
-        self.window = lists.ListWindow(
+        self.window = vm_lists.ListWindow(
             2 * (lag_s + READ_LIST_S) + times.longest_lease_s
         )
         self.on_owners_changed: Callable[[], None] | None = None
--- a/src/azureramp/policy/leases.py
+++ b/src/azureramp/policy/leases.py
@@ -15,7 +15,7 @@
 
 import xxhash
 
-from azureramp.policy import lists
+from azureramp.policy import vm_lists
 
 MAX_CLOCK_DRIFT = 0.01
 """Fraction by which a holder shortens its lease, because the clocks of VMs run
@@ -215,16 +215,16 @@
             times = self._granted[claim]
             times[voter] = max(times.get(voter, -math.inf), sent.at_s)
 
-    def compute_contact_until_s(self, window: lists.ListWindow) -> float:
+    def compute_contact_until_s(self, window: vm_lists.ListWindow) -> float:
         """Computes until when a majority acknowledges this VM's heartbeats."""
         return self._compute(window, self._agreed)
 
-    def compute_until_s(self, claim: int, window: lists.ListWindow) -> float:
+    def compute_until_s(self, claim: int, window: vm_lists.ListWindow) -> float:
         """Computes until when a claim is granted; minus infinity if not."""
         return self._compute(window, self._granted.get(claim, {}))
 
     def _compute(
-        self, window: lists.ListWindow, times: dict[str, float]
+        self, window: vm_lists.ListWindow, times: dict[str, float]
     ) -> float:
         agreed_s = window.compute_majority_s(times)
         return -math.inf if agreed_s is None else agreed_s + self._lease_s
--- a/tests/policy/lease_model.py
+++ b/tests/policy/lease_model.py
@@ -9,7 +9,7 @@
 
 import dataclasses
 
-from azureramp.policy import leases, lists
+from azureramp.policy import leases, vm_lists
 
 LEASE_S = 1.5
 LAG_S = 5.0
@@ -51,7 +51,7 @@
         self.read_s = 0.0
         self.promises: leases.IssuedGrants
         self.lease = leases.ReceivedGrants(LEASE_S)
-        self.window = lists.ListWindow(WINDOW_S)
+        self.window = vm_lists.ListWindow(WINDOW_S)
         self.until_s: dict[int, float] = {}
 
     def update(self, now_s: float) -> None:
