--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -20,7 +20,7 @@
     replies,
 )
 from azureramp.controllers import outbox as outbox_module
-from azureramp.policy import once
+from azureramp.policy import duplicate_cache
 from azureramp.ports.searchers import api as searchers_api
 
 TICK_S = 0.1
@@ -84,8 +84,10 @@
         )
         self._detector.on_attributed = self._runner.requeue_suspect
         self._runner.on_released = self._handoffs.handle_calls_ended
-        self._once: once.DuplicateCache[tuple[str, int]] = once.DuplicateCache(
-            DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
+        self._once: duplicate_cache.DuplicateCache[tuple[str, int]] = (
+            duplicate_cache.DuplicateCache(
+                DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
+            )
         )
         self._reconciler = ownership_changes.OwnershipReconciler(
             board,
