--- a/src/azureramp/controllers/links.py
+++ b/src/azureramp/controllers/links.py
@@ -6,8 +6,8 @@
 
 from azureramp import blackboard
 from azureramp.controllers import outbox as outbox_module
+from azureramp.policy import heartbeat_times
 from azureramp.policy import membership as policy
-from azureramp.policy import pace
 
 
 class Links:
@@ -23,7 +23,7 @@
         self._outbox = outbox
         self._opened_s: dict[str, float] = {}
 
-    def renew(self, times: pace.HeartbeatTimes) -> None:
+    def renew(self, times: heartbeat_times.HeartbeatTimes) -> None:
         """Replaces the links on which acknowledgements are overdue.
 
         Args:
--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 
 from azureramp import blackboard, events, messages
+from azureramp.policy import heartbeat_times, ownership
 from azureramp.policy import membership as policy
-from azureramp.policy import ownership, pace
 from azureramp.ports.vmlist import api as vmlist_api
 
 IN_CONTACT = (blackboard.MemberState.LIVE, blackboard.MemberState.LEAVING)
@@ -41,10 +41,10 @@
         self.informed = False
         self.pace = self._compute_pace(1)
 
-    def _compute_pace(self, vms: int) -> pace.HeartbeatTimes:
+    def _compute_pace(self, vms: int) -> heartbeat_times.HeartbeatTimes:
         """Computes the intervals and timeouts for a number of VMs."""
         settings = self._board.settings
-        return pace.compute_heartbeat_times(
+        return heartbeat_times.compute_heartbeat_times(
             vms, settings.heartbeat_ms, settings.suspect_ms, settings.lease_ms
         )
 
--- a/src/azureramp/controllers/ownership.py
+++ b/src/azureramp/controllers/ownership.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 
 from azureramp import blackboard, messages, resources
-from azureramp.policy import leases, ownership, pace, vm_lists
+from azureramp.policy import heartbeat_times, leases, ownership, vm_lists
 
 READ_LIST_S = 1.0
 """Interval between reads of the VM list, in seconds."""
@@ -40,7 +40,7 @@
         self,
         board: blackboard.Blackboard,
         started_s: float,
-        times: pace.HeartbeatTimes,
+        times: heartbeat_times.HeartbeatTimes,
     ) -> None:
         """Creates the state of a VM without searchers and without grants.
 
@@ -111,7 +111,7 @@
         if self.needs_grants(now_s):
             self.update_lease(now_s)
 
-    def set_durations(self, times: pace.HeartbeatTimes) -> None:
+    def set_durations(self, times: heartbeat_times.HeartbeatTimes) -> None:
         """Sets the durations for the current size of the cell."""
         self._pace = times
         self.lease.set_length(times.lease_s)
