--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -2,7 +2,7 @@
 
 It comes from the store on the few VMs that watch the store, and from peers on
 the others: peers push changes, and a VM requests entries from a peer that
-reports a higher revision. The rules are in `policy.propagation` and
+reports a higher revision. The rules are in `policy.configuration_copy` and
 `policy.quorum_contact`.
 """
 
@@ -26,7 +26,7 @@
     writing,
 )
 from azureramp.controllers import outbox as outbox_module
-from azureramp.policy import propagation
+from azureramp.policy import configuration_copy
 from azureramp.ports.store import api as store_api
 
 WATCH_S = 5.0
@@ -81,7 +81,7 @@
         """Creates a controller without a configuration; see `run`."""
         self._board = board
         self._outbox = outbox
-        self._copy = propagation.ConfigurationCopy()
+        self._copy = configuration_copy.ConfigurationCopy()
         self._link = store_link.StoreLink(board, self._copy, store)
         self._majority = majority.Majority(board)
         self._serving = serving.make(board)
@@ -129,7 +129,7 @@
         """
         return self._majority.acceptance.get_accepted_s(revision)
 
-    def select_since(self, after: int) -> propagation.Update:
+    def select_since(self, after: int) -> configuration_copy.Update:
         """Selects the changes since a revision, or the full configuration."""
         return self._copy.make_update(after)
 
@@ -179,7 +179,7 @@
         self, sender: str, message: messages.ConfigurationUpdate
     ) -> None:
         """Applies entries received from a peer."""
-        part = propagation.Update(
+        part = configuration_copy.Update(
             message.after, message.revision, message.entries
         )
         self._announce_changes(self._copy.apply_update(part), sender)
--- a/src/azureramp/controllers/store_link.py
+++ b/src/azureramp/controllers/store_link.py
@@ -18,7 +18,7 @@
 import xxhash
 
 from azureramp import blackboard, resources
-from azureramp.policy import propagation
+from azureramp.policy import configuration_copy
 from azureramp.ports.store import api as store_api
 
 RESOURCE_PREFIX = "/azureramp/resources/"
@@ -46,7 +46,7 @@
     """
 
     entries: list[resources.Versioned]
-    keys: frozenset[propagation.Key]
+    keys: frozenset[configuration_copy.Key]
 
 
 def make_key(kind: str, name: str) -> str:
@@ -87,7 +87,7 @@
     )
 
 
-def _split_key(key: str) -> propagation.Key:
+def _split_key(key: str) -> configuration_copy.Key:
     kind, _, name = key.removeprefix(RESOURCE_PREFIX).partition("/")
     return kind, name
 
@@ -113,7 +113,7 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        copy: propagation.ConfigurationCopy,
+        copy: configuration_copy.ConfigurationCopy,
         store: store_api.Store,
     ) -> None:
         """Creates a link for one VM's copy."""
--- a/src/azureramp/controllers/writing.py
+++ b/src/azureramp/controllers/writing.py
@@ -9,7 +9,7 @@
 
 from azureramp import blackboard, errors, events, resources
 from azureramp.controllers import changes, majority, store_link
-from azureramp.policy import propagation
+from azureramp.policy import configuration_copy
 from azureramp.ports.store import api as store_api
 
 CONTACT_WAIT_S = 1.0
@@ -46,7 +46,7 @@
         self,
         board: blackboard.Blackboard,
         store: store_api.Store,
-        copy: propagation.ConfigurationCopy,
+        copy: configuration_copy.ConfigurationCopy,
         link: store_link.StoreLink,
         majority_contact: majority.Majority,
         apply: ApplyEntries,
--- a/tests/controllers/test_propagation_machine.py
+++ b/tests/controllers/test_propagation_machine.py
@@ -9,7 +9,7 @@
 from hypothesis import stateful
 
 from azureramp import resources
-from azureramp.policy import propagation
+from azureramp.policy import configuration_copy
 from tests.controllers import propagation_machine
 
 
@@ -39,7 +39,7 @@
     """With this broken policy, late messages replace newer entries."""
 
     def apply_all(
-        self: propagation.ConfigurationCopy,
+        self: configuration_copy.ConfigurationCopy,
         entries: Iterable[resources.Versioned],
     ) -> list[resources.Versioned]:
         taken = list(entries)
@@ -48,6 +48,8 @@
             self.configuration.entries[key] = entry
         return taken
 
-    monkeypatch.setattr(propagation.ConfigurationCopy, "apply_newer", apply_all)
+    monkeypatch.setattr(
+        configuration_copy.ConfigurationCopy, "apply_newer", apply_all
+    )
     with pytest.raises(AssertionError, match="Failing test case"):
         run(30)
--- a/tests/policy/test_propagation.py
+++ b/tests/policy/test_configuration_copy.py
@@ -5,7 +5,7 @@
 import pytest
 
 from azureramp import resources
-from azureramp.policy import propagation, watching
+from azureramp.policy import configuration_copy, watching
 
 KIND = "availability_zone"
 
@@ -17,15 +17,17 @@
     return resources.Versioned(zone, KIND, name, revision)
 
 
-def make_copy(*entries: resources.Versioned) -> propagation.ConfigurationCopy:
-    copy = propagation.ConfigurationCopy()
+def make_copy(
+    *entries: resources.Versioned,
+) -> configuration_copy.ConfigurationCopy:
+    copy = configuration_copy.ConfigurationCopy()
     present = {(entry.kind, entry.name) for entry in entries}
     revision = max(entry.revision for entry in entries)
     copy.apply_snapshot(entries, present, revision)
     return copy
 
 
-def get_revisions(copy: propagation.ConfigurationCopy) -> dict[str, int]:
+def get_revisions(copy: configuration_copy.ConfigurationCopy) -> dict[str, int]:
     return {
         name: entry.revision
         for (_, name), entry in copy.configuration.entries.items()
@@ -86,7 +88,7 @@
 def test_the_number_of_deleted_entries_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(propagation, "MAX_TOMBSTONES", 4)
+    monkeypatch.setattr(configuration_copy, "MAX_TOMBSTONES", 4)
     copy = make_copy(make_entry("a", 5))
     for number in range(10):
         revision = 6 + number
