--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -21,7 +21,7 @@
     record_releases,
     record_writer,
 )
-from azureramp.policy import idempotency, record_bounds
+from azureramp.policy import idempotency, record_limits
 from azureramp.ports.store import api
 
 OUTCOME_WAIT_S = 0.15
@@ -84,8 +84,8 @@
             board.metrics,
             self._process,
         )
-        self._pace = record_bounds.ClaimRateLimit()
-        self._quota = record_bounds.RecordQuota()
+        self._pace = record_limits.ClaimRateLimit()
+        self._quota = record_limits.RecordQuota()
         self._number = 0
         self._memory = record_memory.RecordMemory()
 
@@ -126,7 +126,7 @@
             outcome = await self._claimer.claim(store_key, claim)
         finally:
             if not isinstance(outcome, int):
-                self._quota.release(record_bounds.RECORD_OVERHEAD_BYTES)
+                self._quota.release(record_limits.RECORD_OVERHEAD_BYTES)
                 self._outcomes.close_claim(claim.group)
         if isinstance(outcome, idempotency.Record):
             self._memory.cache_outcome(store_key, outcome, now_s)
--- a/src/azureramp/controllers/record_claimer.py
+++ b/src/azureramp/controllers/record_claimer.py
@@ -6,7 +6,7 @@
 
 from azureramp import errors
 from azureramp.controllers import record_releases, record_writer
-from azureramp.policy import idempotency, record_bounds
+from azureramp.policy import idempotency, record_limits
 from azureramp.ports.store import api
 
 MAX_WRITES = 5
@@ -53,7 +53,7 @@
         """
         self._writer = writer
         self._releases = releases
-        self._observed = record_bounds.ClaimSightings()
+        self._observed = record_limits.ClaimSightings()
 
     async def claim(self, store_key: str, claim: idempotency.Record) -> Outcome:
         """Writes a claim, repeatedly until its outcome is known.
--- a/src/azureramp/controllers/record_memory.py
+++ b/src/azureramp/controllers/record_memory.py
@@ -7,7 +7,7 @@
 import math
 
 from azureramp import errors
-from azureramp.policy import idempotency, record_bounds
+from azureramp.policy import idempotency, record_limits
 
 MAX_CACHED_OUTCOMES = 1000
 """Maximum number of cached outcomes, replayed without a call to the store."""
@@ -91,7 +91,7 @@
         """
         self.remove_claim(claimed)
         began_s = claimed.may_dispatch_until_s - idempotency.DISPATCH_WINDOW_S
-        if now_s + CACHE_TTL_S < began_s + record_bounds.RETENTION_S:
+        if now_s + CACHE_TTL_S < began_s + record_limits.RETENTION_S:
             record = idempotency.with_outcome(claimed.record, outcome)
             self.cache_outcome(claimed.store_key, record, now_s)
 
--- a/src/azureramp/controllers/record_writer.py
+++ b/src/azureramp/controllers/record_writer.py
@@ -8,7 +8,7 @@
 import expression
 
 from azureramp import errors
-from azureramp.policy import backoff, idempotency, record_bounds
+from azureramp.policy import backoff, idempotency, record_limits
 from azureramp.ports.store import api
 
 CALL_TIMEOUT_S = 2.0
@@ -143,11 +143,11 @@
             if self._lease and now_s < self._lease_until_s:
                 return expression.Ok(self._lease)
             granted = await self._store.grant_lease(
-                record_bounds.RETENTION_S + record_bounds.LEASE_WINDOW_S
+                record_limits.RETENTION_S + record_limits.LEASE_WINDOW_S
             )
             if granted.is_ok():
                 self._lease = granted.ok
-                self._lease_until_s = now_s + record_bounds.LEASE_WINDOW_S
+                self._lease_until_s = now_s + record_limits.LEASE_WINDOW_S
             return granted
 
     def _record_failure(self) -> None:
--- a/src/azureramp_standins/measuring/platform_calls.py
+++ b/src/azureramp_standins/measuring/platform_calls.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from azureramp import resources
-from azureramp.policy import backoff, record_bounds
+from azureramp.policy import backoff, record_limits
 from azureramp.ports.store import memory as store_memory
 from azureramp.ports.web import api as web_api
 from azureramp_standins import cluster, layout, virtual
@@ -266,14 +266,14 @@
 
 def run(scenario: Scenario) -> list[Row]:
     """Runs a scenario in virtual time and returns a row per phase."""
-    saved = backoff.MIN_FAILURES, record_bounds.MAX_RECORDS_PER_S
+    saved = backoff.MIN_FAILURES, record_limits.MAX_RECORDS_PER_S
     if not scenario.is_limited:
         backoff.MIN_FAILURES = 10**9
-        record_bounds.MAX_RECORDS_PER_S = 1e9
+        record_limits.MAX_RECORDS_PER_S = 1e9
     try:
         return virtual.run(_run(scenario))
     finally:
-        backoff.MIN_FAILURES, record_bounds.MAX_RECORDS_PER_S = saved
+        backoff.MIN_FAILURES, record_limits.MAX_RECORDS_PER_S = saved
 
 
 @click.command()
--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -23,7 +23,7 @@
 )
 from azureramp.controllers import idempotency, record_outcomes
 from azureramp.policy import idempotency as idempotency_policy
-from azureramp.policy import record_bounds
+from azureramp.policy import record_limits
 from azureramp.ports.store import api, counting, memory
 from azureramp.ports.store import state as store_state
 from azureramp_standins import virtual
@@ -121,7 +121,7 @@
     rng = random.Random(seed)
     state = store_state.State()
     # The rate limit of claims is lifted to measure the ways without it.
-    record_bounds.MAX_RECORDS_PER_S = math.inf
+    record_limits.MAX_RECORDS_PER_S = math.inf
     idempotency_policy.MAX_GROUP_CLAIMS = way.group
     record_outcomes.FLUSH_INTERVAL_S = way.flush_s
     vms = [VmRecords(number, state, way, seed) for number in range(VMS)]
--- a/tests/controllers/records_machine.py
+++ b/tests/controllers/records_machine.py
@@ -18,7 +18,7 @@
 
 from azureramp import errors
 from azureramp.controllers import idempotency
-from azureramp.policy import record_bounds
+from azureramp.policy import record_limits
 from azureramp.ports.store import memory
 from azureramp.ports.store import state as store_state
 from tests.controllers import records_vms
@@ -258,7 +258,7 @@
         # The virtual clock takes a day's sleep for one that never ends.
         for _ in range(2):
             half_s = (
-                record_bounds.RETENTION_S / 2 + record_bounds.LEASE_WINDOW_S
+                record_limits.RETENTION_S / 2 + record_limits.LEASE_WINDOW_S
             )
             self.run(asyncio.sleep(half_s))
         self.told_unknown.clear()
--- a/tests/controllers/test_idempotency_outage.py
+++ b/tests/controllers/test_idempotency_outage.py
@@ -12,7 +12,7 @@
 from azureramp import blackboard, errors
 from azureramp.controllers import idempotency, record_releases
 from azureramp.policy import idempotency as policy
-from azureramp.policy import record_bounds
+from azureramp.policy import record_limits
 from azureramp.ports.store import counting, memory
 from azureramp.ports.store import state as store_state
 from azureramp.ports.vmlist import api as vmlist_api
@@ -103,9 +103,9 @@
         first, second = records_vms.make_two_vms()
         await first.records.finish(await first.claim_free_key(), b"7")
 
-        await asyncio.sleep(record_bounds.RETENTION_S - 1.0)
+        await asyncio.sleep(record_limits.RETENTION_S - 1.0)
         assert await second.claim_finished_key() == b"7"
-        await asyncio.sleep(2 * record_bounds.LEASE_WINDOW_S)
+        await asyncio.sleep(2 * record_limits.LEASE_WINDOW_S)
         await second.claim_free_key()
 
     records_vms.run(go())
@@ -123,7 +123,7 @@
         claimed = await first.claim_free_key()
         for _ in range(2):
             await asyncio.sleep(
-                record_bounds.RETENTION_S / 2 + record_bounds.LEASE_WINDOW_S
+                record_limits.RETENTION_S / 2 + record_limits.LEASE_WINDOW_S
             )
         await first.records.finish(claimed, b"7")
 
@@ -145,7 +145,7 @@
     records_vms.run(go())
 
 
-@mock.patch.object(record_bounds, "MAX_STORED_BYTES", 200_000)
+@mock.patch.object(record_limits, "MAX_STORED_BYTES", 200_000)
 def test_records_beyond_size_bound_are_refused_until_space_is_free() -> None:
     """More requests arrive than the store may hold within the retention time.
 
@@ -158,7 +158,7 @@
         state = first.store.state
         loop = asyncio.get_running_loop()
         refused = most = number = 0
-        while loop.time() < 1.1 * record_bounds.RETENTION_S:
+        while loop.time() < 1.1 * record_limits.RETENTION_S:
             number += 1
             result = await first.records.claim("office", f"{number}", 1, "r")
             if result.is_error():
@@ -222,7 +222,7 @@
 def test_simultaneous_claims_are_rate_limited() -> None:
     async def go() -> None:
         first, _ = records_vms.make_two_vms()
-        share = int(record_bounds.MAX_RECORDS_PER_S)
+        share = int(record_limits.MAX_RECORDS_PER_S)
         kinds = [await first.claim(f"{n}") for n in range(share + 9)]
 
         assert kinds.count(errors.Kind.OVERLOADED) == 9
@@ -247,12 +247,12 @@
             len(entry.key) + len(entry.value or b"")
             for entry in state.list("/azureramp/idempotency/").entries
         )
-        assert stored <= 5 * record_bounds.MAX_RECORD_BYTES
+        assert stored <= 5 * record_limits.MAX_RECORD_BYTES
 
     records_vms.run(go())
 
 
-@mock.patch.object(record_bounds, "MAX_STORED_BYTES", 20_000_000)
+@mock.patch.object(record_limits, "MAX_STORED_BYTES", 20_000_000)
 def test_claims_refused_in_outage_use_no_quota() -> None:
     """A thousand requests are refused in an outage, then the store recovers.
 
@@ -268,7 +268,7 @@
         first.store.faults.down = False
         await asyncio.sleep(3.0)
 
-        for number in range(int(record_bounds.MAX_RECORDS_PER_S)):
+        for number in range(int(record_limits.MAX_RECORDS_PER_S)):
             await first.claim_free_key(f"after-{number}")
 
     records_vms.run(go())
@@ -347,7 +347,7 @@
             await asyncio.sleep(1.0)
             peak = max(peak, state.revision - before)
 
-        assert peak <= 2 * record_bounds.MAX_RECORDS_PER_S
+        assert peak <= 2 * record_limits.MAX_RECORDS_PER_S
         assert served == 1500
         await asyncio.gather(*orders)
 
