--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -20,7 +20,7 @@
     board as board_module,
 )
 from azureramp.controllers.forwarding import contact, relay
-from azureramp.policy import relaying
+from azureramp.policy import store_copy
 from azureramp.ports.relays import api as relays_api
 from azureramp.ports.store import api as store_api
 
@@ -280,7 +280,7 @@
                 del self._avoided_until_s[address]
         identity = self._board.identity
         seeds = [] if self._is_seed else self._seeds
-        chosen = relaying.choose_relay(
+        chosen = store_copy.choose_relay(
             identity.vm,
             identity.zone,
             self._board.members.values(),
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -12,7 +12,7 @@
 from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import change_log, contact, roster
 from azureramp.policy import overload as overload_module
-from azureramp.policy import relaying
+from azureramp.policy import store_copy
 from azureramp.ports.store import api as store_api
 
 LEASE_S = 3.0
@@ -64,7 +64,7 @@
         self,
         board: board_module.Board,
         store: store_api.Store,
-        copy: relaying.StoreCopy,
+        copy: store_copy.StoreCopy,
         vm_roster: roster.Roster,
         make_key: roster.MakeKey,
         encode: roster.EncodeMember,
--- a/src/azureramp/controllers/forwarding/relay.py
+++ b/src/azureramp/controllers/forwarding/relay.py
@@ -10,7 +10,7 @@
 
 from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import contact, roster
-from azureramp.policy import relaying
+from azureramp.policy import store_copy
 from azureramp.ports.relays import api, encoding
 from azureramp.ports.store import api as store_api
 from azureramp.ports.web import api as web_api
@@ -52,7 +52,7 @@
     def __init__(
         self,
         board: board_module.Board,
-        copy: relaying.StoreCopy,
+        copy: store_copy.StoreCopy,
         vm_roster: roster.Roster,
         contacts: contact.StoreContactTracker,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/rollout_writer.py
+++ b/src/azureramp/controllers/forwarding/rollout_writer.py
@@ -8,7 +8,7 @@
 
 from azureramp import rollout_types
 from azureramp.controllers.forwarding import contact
-from azureramp.policy import relaying
+from azureramp.policy import store_copy
 from azureramp.ports.store import api as store_api
 
 MakeKeys = Callable[[str], tuple[str, str]]
@@ -28,7 +28,7 @@
     def __init__(
         self,
         store: store_api.BatchStore,
-        copy: relaying.StoreCopy,
+        copy: store_copy.StoreCopy,
         make_keys: MakeKeys,
         encode: EncodeRecord,
         contacts: contact.StoreContactTracker,
--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -15,8 +15,8 @@
 from azureramp import catalog, errors
 from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import contact
-from azureramp.policy import relaying
 from azureramp.policy import roster as policy
+from azureramp.policy import store_copy
 from azureramp.ports.store import api as store_api
 
 WRITE_INTERVAL_S = 0.25
@@ -67,7 +67,7 @@
         self,
         board: board_module.Board,
         store: store_api.BatchStore,
-        copy: relaying.StoreCopy,
+        copy: store_copy.StoreCopy,
         make_key: MakeKey,
         encode: EncodeMember,
         contacts: contact.StoreContactTracker,
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -36,7 +36,7 @@
     board as board_module,
 )
 from azureramp.platform import answers, decoding, headers, settings, store
-from azureramp.policy import relaying
+from azureramp.policy import store_copy as store_copy_module
 from azureramp.ports.relays import http as relays_http
 from azureramp.ports.rollouts import api as rollouts_api
 from azureramp.ports.rollouts import http as rollouts_http
@@ -145,7 +145,7 @@
         self._store = counting.CountingBatchStore(
             store.PlatformStore(process_settings.store_address), counters
         )
-        store_copy = relaying.StoreCopy()
+        store_copy = store_copy_module.StoreCopy()
         self._roster = roster.Roster(
             board,
             self._store,
--- a/tests/policy/test_relaying.py
+++ b/tests/policy/test_store_copy.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from azureramp import catalog
-from azureramp.policy import relaying
+from azureramp.policy import store_copy
 
 
 def make_member(
@@ -21,9 +21,11 @@
         make_member("vm-3", zone="b", cores=4.0),
     ]
     for vm in ("vm-1", "vm-9"):
-        chosen = relaying.choose_relay(vm, "a", members, ["seed:81"], ())
+        chosen = store_copy.choose_relay(vm, "a", members, ["seed:81"], ())
         assert chosen == "vm-2:81"
-    assert relaying.choose_relay("vm-2", "a", members, ["seed:81"], ()) is None
+    assert (
+        store_copy.choose_relay("vm-2", "a", members, ["seed:81"], ()) is None
+    )
 
 
 def test_a_vm_that_already_announces_others_is_preferred() -> None:
@@ -33,22 +35,22 @@
         make_member("vm-2"),
         make_member("vm-3", keeper="vm-2"),
     ]
-    assert relaying.choose_relay("vm-1", "a", members, [], ()) == "vm-2:81"
-    assert relaying.choose_relay("vm-2", "a", members, [], ()) is None
+    assert store_copy.choose_relay("vm-1", "a", members, [], ()) == "vm-2:81"
+    assert store_copy.choose_relay("vm-2", "a", members, [], ()) is None
 
 
 def test_a_vm_that_did_not_answer_is_skipped() -> None:
     members = [make_member("vm-1"), make_member("vm-2"), make_member("vm-3")]
-    chosen = relaying.choose_relay("vm-3", "a", members, [], {"vm-1:81"})
+    chosen = store_copy.choose_relay("vm-3", "a", members, [], {"vm-1:81"})
     assert chosen == "vm-2:81"
     avoided = {"vm-1:81", "vm-2:81"}
-    assert relaying.choose_relay("vm-3", "a", members, [], avoided) is None
+    assert store_copy.choose_relay("vm-3", "a", members, [], avoided) is None
 
 
 def test_seeds_are_used_while_no_vm_of_the_zone_is_known() -> None:
     members = [make_member("vm-1", zone="b")]
     seeds = ["s-1:81", "s-2:81"]
-    assert relaying.choose_relay("vm-9", "a", members, seeds, ()) == "s-1:81"
-    chosen = relaying.choose_relay("vm-9", "a", members, seeds, {"s-1:81"})
+    assert store_copy.choose_relay("vm-9", "a", members, seeds, ()) == "s-1:81"
+    chosen = store_copy.choose_relay("vm-9", "a", members, seeds, {"s-1:81"})
     assert chosen == "s-2:81"
-    assert relaying.choose_relay("vm-9", "a", members, [], ()) is None
+    assert store_copy.choose_relay("vm-9", "a", members, [], ()) is None
