--- a/src/azureramp/controllers/forwarding/change_log.py
+++ b/src/azureramp/controllers/forwarding/change_log.py
@@ -13,7 +13,7 @@
 
 import logbook
 
-from azureramp.policy import sampling
+from azureramp.policy import log_sampling
 
 FLUSH_INTERVAL_S = 5.0
 """Minimum time between two lines with counts, in seconds."""
@@ -45,7 +45,7 @@
         self._counts: collections.Counter[Change] = collections.Counter()
         self._due_s = 0.0
         self._logger = logbook.Logger("azureramp.changes")
-        self._sampler = sampling.LogLimiter(LINES_PER_S, LINE_BURST)
+        self._sampler = log_sampling.LogLimiter(LINES_PER_S, LINE_BURST)
 
     def count(self, change: Change) -> None:
         """Counts a change for the next line with counts."""
--- a/src/azureramp/controllers/forwarding/request_log.py
+++ b/src/azureramp/controllers/forwarding/request_log.py
@@ -11,7 +11,7 @@
 from azureramp import catalog, errors
 from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import part, requests
-from azureramp.policy import sampling
+from azureramp.policy import log_sampling
 
 GOOD_LINES_PER_S = 5.0
 """Maximum rate of lines for requests that succeeded in time."""
@@ -40,8 +40,10 @@
     def __init__(self, board: board_module.Board) -> None:
         """Creates the log of one process."""
         self._board = board
-        self._sampler = sampling.LogLimiter(GOOD_LINES_PER_S, GOOD_LINES_BURST)
-        self._bad_sampler = sampling.LogLimiter(
+        self._sampler = log_sampling.LogLimiter(
+            GOOD_LINES_PER_S, GOOD_LINES_BURST
+        )
+        self._bad_sampler = log_sampling.LogLimiter(
             BAD_LINES_PER_S, BAD_LINES_BURST
         )
 
