--- a/src/azureramp/controllers/forwarding/pacing.py
+++ b/src/azureramp/controllers/forwarding/pacing.py
@@ -5,7 +5,7 @@
 import math
 
 from azureramp import catalog
-from azureramp.policy import caller_delay, hedging, second_calls
+from azureramp.policy import caller_delay, hedge_delay, hedging
 
 HEDGE_QUANTILE = 0.95
 """Quantile of a route's call durations after which a call is hedged: one in
@@ -63,7 +63,7 @@
         """
         late_ms = self._sketch.get_quantile_ms()
         late_s = None if late_ms is None else late_ms / 1000
-        return second_calls.compute_hedge_delay_s(
+        return hedge_delay.compute_hedge_delay_s(
             late_s, self.get_usual_s(), target_s, left_s
         )
 
--- a/tests/policy/test_second_calls.py
+++ b/tests/policy/test_hedge_delay.py
@@ -7,7 +7,7 @@
 import pytest
 
 from azureramp.controllers.forwarding import pacing
-from azureramp.policy import second_calls
+from azureramp.policy import hedge_delay
 
 TARGET_S = 0.073
 USUAL_S = 0.012
@@ -15,20 +15,20 @@
 
 def test_a_hedge_is_sent_while_a_usual_answer_comes_in_time() -> None:
     """Guards against hedges that are not sent because they come too late."""
-    time_s = second_calls.compute_hedge_delay_s(0.06, USUAL_S, TARGET_S, 0.045)
-    assert time_s + second_calls.ANSWER_TIME_FACTOR * USUAL_S <= 0.045
+    time_s = hedge_delay.compute_hedge_delay_s(0.06, USUAL_S, TARGET_S, 0.045)
+    assert time_s + hedge_delay.ANSWER_TIME_FACTOR * USUAL_S <= 0.045
 
 
 def test_a_hedge_is_sent_only_after_a_usual_first_call() -> None:
     for left_s in (0.01, 0.03, 0.06):
-        time_s = second_calls.compute_hedge_delay_s(
+        time_s = hedge_delay.compute_hedge_delay_s(
             0.06, USUAL_S, TARGET_S, left_s
         )
         assert time_s > USUAL_S
 
 
 def test_the_delay_is_at_most_the_time_of_late_calls() -> None:
-    time_s = second_calls.compute_hedge_delay_s(0.02, USUAL_S, TARGET_S, 0.07)
+    time_s = hedge_delay.compute_hedge_delay_s(0.02, USUAL_S, TARGET_S, 0.07)
     assert time_s == 0.02
 
 
@@ -37,7 +37,7 @@
 def test_the_delay_is_within_its_shares_of_the_target(
     late_s: float | None, left_s: float
 ) -> None:
-    time_s = second_calls.compute_hedge_delay_s(
+    time_s = hedge_delay.compute_hedge_delay_s(
         late_s, USUAL_S, TARGET_S, left_s
     )
     assert 0.1 * TARGET_S <= time_s <= 0.5 * TARGET_S
