--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -11,7 +11,7 @@
 import math
 
 from azureramp import catalog, metrics
-from azureramp.policy import allowances, exposure, routing, selection
+from azureramp.policy import allowances, exposure, routing, searcher_selection
 from azureramp.ports.forwarding import pool
 
 
@@ -81,7 +81,7 @@
     """
 
     searcher: catalog.Searcher
-    record: selection.SearcherStats
+    record: searcher_selection.SearcherStats
     pool: pool.Pool
     cold_until_s: float = -math.inf
     misdirected: bool = False
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -19,7 +19,7 @@
 from azureramp.controllers.forwarding import (
     searchers as searchers_module,
 )
-from azureramp.policy import selection
+from azureramp.policy import searcher_selection
 from azureramp.ports.forwarding import api
 
 ABANDONED_CALL_LINGER_S = 0.25
@@ -181,7 +181,7 @@
                     attempt, rollout_view.CallResult.UNANSWERED, now_s
                 )
                 record = attempt.target.record
-                queues = selection.has_queued_calls(record, now_s)
+                queues = searcher_selection.has_queued_calls(record, now_s)
                 attempt.pending_call.abandon(
                     0.0 if queues else ABANDONED_CALL_LINGER_S
                 )
@@ -284,12 +284,15 @@
         return True
 
     def _is_worth_hedging(
-        self, record: selection.SearcherStats, now_s: float, within_s: float
+        self,
+        record: searcher_selection.SearcherStats,
+        now_s: float,
+        within_s: float,
     ) -> bool:
         """Returns True if a hedge is likely to be answered in time."""
         expected_s = (
             self._timings.get_usual_s()
-            * selection.estimate_relative_time(record, now_s)
+            * searcher_selection.estimate_relative_time(record, now_s)
         )
         return not record.overdue and expected_s <= within_s
 
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -18,7 +18,7 @@
     shared_bounds,
 )
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.policy import advertising, selection
+from azureramp.policy import advertising, searcher_selection
 from azureramp.ports.forwarding import api, pool
 
 COLD_SLOWNESS = 1.6
@@ -214,13 +214,13 @@
             for name, record in usable
             if not targets[name].pool.is_stalled()
         ]
-        chosen = selection.choose(responsive, now_s, self._rng)
+        chosen = searcher_selection.choose(responsive, now_s, self._rng)
         if chosen is None:
-            chosen = selection.choose(usable, now_s, self._rng)
+            chosen = searcher_selection.choose(usable, now_s, self._rng)
         if chosen is None:
-            chosen = selection.choose_for_probe(usable, now_s)
+            chosen = searcher_selection.choose_for_probe(usable, now_s)
         if chosen is None and allow_faulty:
-            chosen = selection.choose_in_backoff(usable, now_s)
+            chosen = searcher_selection.choose_in_backoff(usable, now_s)
         return None if chosen is None else targets[chosen]
 
     def count_usable(self, service: str, now_s: float) -> int:
@@ -271,7 +271,7 @@
     def _make_target(self, searcher: catalog.Searcher) -> board_module.Target:
         """Creates the state of a newly announced searcher."""
         near = searcher.zone == self._board.identity.zone
-        record = selection.SearcherStats(searcher.slots, near)
+        record = searcher_selection.SearcherStats(searcher.slots, near)
         if searcher.cold_remaining_s > 0:
             record.relative_time = COLD_SLOWNESS
             record.updated_s = asyncio.get_running_loop().time()
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_searcher_selection.py
@@ -4,13 +4,13 @@
 
 import random
 
-from azureramp.policy import selection
+from azureramp.policy import searcher_selection
 
 
 def choose(
-    records: dict[str, selection.SearcherStats], now_s: float = 10.0
+    records: dict[str, searcher_selection.SearcherStats], now_s: float = 10.0
 ) -> str:
-    chosen = selection.choose(records.items(), now_s, random.Random(1))
+    chosen = searcher_selection.choose(records.items(), now_s, random.Random(1))
     assert chosen is not None
     return chosen
 
@@ -23,32 +23,37 @@
     another searcher, even in another zone.
     """
     records = {
-        "paused": selection.SearcherStats(
+        "paused": searcher_selection.SearcherStats(
             2, same_zone=True, in_flight=1, overdue=1
         ),
-        "other": selection.SearcherStats(2, same_zone=False, in_flight=1),
+        "other": searcher_selection.SearcherStats(
+            2, same_zone=False, in_flight=1
+        ),
     }
     assert choose(records) == "other"
 
 
 def test_a_slow_searcher_is_avoided_until_its_slowness_decays() -> None:
-    slow = selection.SearcherStats(2, same_zone=True)
+    slow = searcher_selection.SearcherStats(2, same_zone=True)
     for _ in range(5):
         slow.record_time(8.0, 10.0)
     records = {
         "slow": slow,
-        "other": selection.SearcherStats(2, same_zone=False),
+        "other": searcher_selection.SearcherStats(2, same_zone=False),
     }
     assert choose(records, 10.0) == "other"
     assert (
-        selection.compute_cost(slow, 30.0)
-        < selection.compute_cost(slow, 10.0) / 2
+        searcher_selection.compute_cost(slow, 30.0)
+        < searcher_selection.compute_cost(slow, 10.0) / 2
     )
 
 
 def test_the_same_zone_is_preferred_until_its_slots_are_in_use() -> None:
-    near = selection.SearcherStats(2, same_zone=True)
-    records = {"near": near, "far": selection.SearcherStats(2, same_zone=False)}
+    near = searcher_selection.SearcherStats(2, same_zone=True)
+    records = {
+        "near": near,
+        "far": searcher_selection.SearcherStats(2, same_zone=False),
+    }
     assert choose(records) == "near"
     near.in_flight = 1
     assert choose(records) == "near", "a slot is free"
@@ -64,31 +69,34 @@
     request to many shards waits for the slowest of them anyway, so only a
     searcher that stays slow is avoided.
     """
-    near = selection.SearcherStats(
+    near = searcher_selection.SearcherStats(
         2, same_zone=True, relative_time=2.2, updated_s=10.0
     )
-    records = {"near": near, "far": selection.SearcherStats(2, same_zone=False)}
+    records = {
+        "near": near,
+        "far": searcher_selection.SearcherStats(2, same_zone=False),
+    }
     assert choose(records) == "near"
     near.relative_time = 6.0
     assert choose(records) == "far"
 
 
 def test_the_estimate_includes_the_wait_beyond_the_slots() -> None:
-    record = selection.SearcherStats(
+    record = searcher_selection.SearcherStats(
         2, same_zone=True, relative_time=7.0, updated_s=10.0
     )
-    idle = selection.estimate_relative_time(record, 10.0)
+    idle = searcher_selection.estimate_relative_time(record, 10.0)
     record.in_flight = 1
-    assert selection.estimate_relative_time(record, 10.0) == idle
+    assert searcher_selection.estimate_relative_time(record, 10.0) == idle
     record.in_flight = 3
-    assert selection.estimate_relative_time(record, 10.0) == 2 * idle
+    assert searcher_selection.estimate_relative_time(record, 10.0) == 2 * idle
 
 
 def test_a_queue_exists_if_calls_exceed_the_slots() -> None:
-    record = selection.SearcherStats(2, same_zone=True, in_flight=2)
-    assert not selection.has_queued_calls(record, 10.0)
+    record = searcher_selection.SearcherStats(2, same_zone=True, in_flight=2)
+    assert not searcher_selection.has_queued_calls(record, 10.0)
     record.reported_load, record.reported_s = 1.0, 10.0
-    assert selection.has_queued_calls(record, 10.0)
+    assert searcher_selection.has_queued_calls(record, 10.0)
 
 
 def test_an_unresponsive_searcher_gets_no_calls_until_it_recovers() -> None:
@@ -98,8 +106,8 @@
     An unresponsive searcher is now probed by a new connection; one that answers
     with errors is still probed by a call.
     """
-    silent = selection.SearcherStats(2, same_zone=True)
-    failing = selection.SearcherStats(2, same_zone=True)
+    silent = searcher_selection.SearcherStats(2, same_zone=True)
+    failing = searcher_selection.SearcherStats(2, same_zone=True)
     for _ in range(2):
         silent.record_failure(10.0, sent=True, silent=True)
         failing.record_failure(10.0)
@@ -114,15 +122,16 @@
 
 def test_a_possibly_recovered_searcher_is_probed_if_alone() -> None:
     records = {
-        name: selection.SearcherStats(2, same_zone=True) for name in ("a", "b")
+        name: searcher_selection.SearcherStats(2, same_zone=True)
+        for name in ("a", "b")
     }
     for record in records.values():
         for _ in range(2):
             record.record_failure(10.0, sent=False)
-    assert selection.choose_for_probe(records.items(), 10.1) is None
-    assert selection.choose_for_probe(records.items(), 12.0) == "a"
+    assert searcher_selection.choose_for_probe(records.items(), 10.1) is None
+    assert searcher_selection.choose_for_probe(records.items(), 12.0) == "a"
     records["a"].probing = True
-    assert selection.choose_for_probe(records.items(), 12.0) == "b"
+    assert searcher_selection.choose_for_probe(records.items(), 12.0) == "b"
 
 
 def test_consecutive_failures_start_a_backoff_that_a_probe_ends() -> None:
@@ -131,7 +140,7 @@
     It gets no calls during the backoff and then a single probe, whose failure
     starts a longer backoff and whose success ends it.
     """
-    record = selection.SearcherStats(2, same_zone=True)
+    record = searcher_selection.SearcherStats(2, same_zone=True)
     record.record_failure(10.0)
     assert not record.is_excluded(10.0)
     record.record_failure(10.0)
@@ -146,11 +155,14 @@
 
 
 def test_no_searcher_is_chosen_if_all_are_in_backoff() -> None:
-    record = selection.SearcherStats(2, same_zone=True)
+    record = searcher_selection.SearcherStats(2, same_zone=True)
     for _ in range(3):
         record.record_failure(10.0)
     records = {"a": record}
-    assert selection.choose(records.items(), 10.1, random.Random(1)) is None
+    assert (
+        searcher_selection.choose(records.items(), 10.1, random.Random(1))
+        is None
+    )
 
 
 def test_a_searcher_that_loses_some_answers_is_avoided() -> None:
@@ -159,7 +171,7 @@
     Each loss costs the request a retry. The healthy searcher is preferred until
     the failures have decayed.
     """
-    faulty = selection.SearcherStats(2, same_zone=True)
+    faulty = searcher_selection.SearcherStats(2, same_zone=True)
     for number in range(20):
         if number % 5 < 2:
             faulty.record_failure(10.0)
@@ -168,20 +180,20 @@
         faulty.updated_s = 10.0
     records = {
         "faulty": faulty,
-        "healthy": selection.SearcherStats(2, same_zone=False),
+        "healthy": searcher_selection.SearcherStats(2, same_zone=False),
     }
     assert choose(records, 10.0) == "healthy"
     assert choose(records, 40.0) == "faulty"
 
 
 def test_a_recovered_searcher_has_its_usual_cost() -> None:
-    record = selection.SearcherStats(2, same_zone=True)
+    record = searcher_selection.SearcherStats(2, same_zone=True)
     for _ in range(4):
         record.record_failure(10.0, sent=False)
-    before = selection.compute_cost(
-        selection.SearcherStats(2, same_zone=True), 12.0
+    before = searcher_selection.compute_cost(
+        searcher_selection.SearcherStats(2, same_zone=True), 12.0
     )
-    assert selection.compute_cost(record, 12.0) == before
+    assert searcher_selection.compute_cost(record, 12.0) == before
 
 
 def test_if_all_fail_often_a_responsive_searcher_is_used() -> None:
@@ -191,16 +203,18 @@
     3 of 5 lookups. A searcher that can't be reached or does not respond is not
     used, since it would only delay them.
     """
-    lossy = selection.SearcherStats(2, same_zone=True)
-    silent = selection.SearcherStats(2, same_zone=True)
-    down = selection.SearcherStats(2, same_zone=True)
+    lossy = searcher_selection.SearcherStats(2, same_zone=True)
+    silent = searcher_selection.SearcherStats(2, same_zone=True)
+    down = searcher_selection.SearcherStats(2, same_zone=True)
     for _ in range(2):
         lossy.record_failure(10.0)
         silent.record_failure(10.0, silent=True)
         down.record_failure(10.0, sent=False)
     records = {"lossy": lossy, "silent": silent, "down": down}
     rng = random.Random(1)
-    assert selection.choose(records.items(), 10.1, rng) is None
-    assert selection.choose_in_backoff(records.items(), 10.1) == "lossy"
+    assert searcher_selection.choose(records.items(), 10.1, rng) is None
+    assert (
+        searcher_selection.choose_in_backoff(records.items(), 10.1) == "lossy"
+    )
     del records["lossy"]
-    assert selection.choose_in_backoff(records.items(), 10.1) is None
+    assert searcher_selection.choose_in_backoff(records.items(), 10.1) is None
