--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -8,7 +8,7 @@
 
 from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import coldness
-from azureramp.policy import allowances, shares
+from azureramp.policy import allowances, limit_shares
 
 MIN_PAUSE_S = 1.0
 """Minimum delay of a timer that shows that the process was paused, in seconds.
@@ -31,10 +31,10 @@
         self._board = board
         self._allowances: dict[str, allowances.Allowance] = {}
         first = board.identity.first_start
-        self._extra_share = shares.LimitShare(
+        self._extra_share = limit_shares.LimitShare(
             board.bounds.extra.window_s, board.started_s, first
         )
-        self._cold_share = shares.LimitShare(
+        self._cold_share = limit_shares.LimitShare(
             coldness.WINDOW_S, board.started_s, first
         )
 
@@ -98,11 +98,11 @@
         board = self._board
         members = board.members.keys() | {board.identity.vm}
         stale_s = now_s - board.contact.last_answer_s
-        part = shares.compute_share(
+        part = limit_shares.compute_share(
             len(board.advertised),
             len(members - board.advertised.keys()),
             board.identity.vm in board.advertised,
-            stale_s > shares.STALE_CONTACT_S,
+            stale_s > limit_shares.STALE_CONTACT_S,
         )
         self._extra_share.update(part, now_s)
         self._cold_share.update(part, now_s)
--- a/src/azureramp/policy/allowances.py
+++ b/src/azureramp/policy/allowances.py
@@ -4,7 +4,7 @@
 searcher rejects) of all VMs together, in any time window of a given length, by
 a share of the service's requests plus a fixed number. Each VM may use the share
 of its own requests, which adds up exactly, and a part of the fixed number; see
-`shares`.
+`limit_shares`.
 """
 
 from __future__ import annotations
--- a/tests/policy/test_shares.py
+++ b/tests/policy/test_limit_shares.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from azureramp.policy import allowances, shares
+from azureramp.policy import allowances, limit_shares
 
 WINDOW_S = 10.0
 
@@ -18,16 +18,17 @@
     it waits for one time window and until every VM has received its entry. Only
     at the first start of the tier nothing was used before.
     """
-    part = shares.compute_share(4, 4, is_advertised=True, stale=False)
-    assert part == shares.ADVERTISED_SHARE / 4
-    again = shares.LimitShare(WINDOW_S, 0.0, first_start=False)
+    part = limit_shares.compute_share(4, 4, is_advertised=True, stale=False)
+    assert part == limit_shares.ADVERTISED_SHARE / 4
+    again = limit_shares.LimitShare(WINDOW_S, 0.0, first_start=False)
     assert again.update(part, 3.0) == 0.0
     assert again.update(part, WINDOW_S) == 0.0
     assert (
-        again.update(part, WINDOW_S + shares.MAX_UPDATE_DELAY_S + 0.1) == part
+        again.update(part, WINDOW_S + limit_shares.MAX_UPDATE_DELAY_S + 0.1)
+        == part
     )
     assert (
-        shares.LimitShare(WINDOW_S, 0.0, first_start=True).update(part, 0)
+        limit_shares.LimitShare(WINDOW_S, 0.0, first_start=True).update(part, 0)
         == part
     )
 
@@ -39,14 +40,16 @@
     extra calls belonged to VMs that hardly get requests, so few calls were
     retried when most searchers of a shard rejected most calls.
     """
-    advertised = shares.compute_share(6, 58, is_advertised=True, stale=False)
-    other = shares.compute_share(6, 58, is_advertised=False, stale=False)
+    advertised = limit_shares.compute_share(
+        6, 58, is_advertised=True, stale=False
+    )
+    other = limit_shares.compute_share(6, 58, is_advertised=False, stale=False)
     assert advertised * 6 + other * 58 == pytest.approx(1.0)
     assert advertised > 9 / 64
 
 
 def test_a_share_shrinks_immediately_and_grows_after_a_window() -> None:
-    share = shares.LimitShare(WINDOW_S, 0.0, first_start=True)
+    share = limit_shares.LimitShare(WINDOW_S, 0.0, first_start=True)
     assert share.update(0.2, 0.0) == 0.2
     assert share.update(0.1, 5.0) == 0.1
     assert share.update(0.3, 6.0) == 0.1
@@ -67,10 +70,14 @@
     rng = random.Random(seed)
     names = [f"vm-{number}" for number in range(12)]
     isolated = names[0]
-    parts = {name: shares.LimitShare(WINDOW_S, 0.0, True) for name in names}
+    parts = {
+        name: limit_shares.LimitShare(WINDOW_S, 0.0, True) for name in names
+    }
     views = {name: set(names[:5]) for name in names}
     lists: list[tuple[float, set[str]]] = [(0.0, set(names[:5]))]
-    lag_s = {name: rng.uniform(0, shares.MAX_UPDATE_DELAY_S) for name in names}
+    lag_s = {
+        name: rng.uniform(0, limit_shares.MAX_UPDATE_DELAY_S) for name in names
+    }
     spent: list[tuple[float, float]] = []
     parts_in_force = dict.fromkeys(names, 0.0)
     own: dict[str, list[tuple[float, float]]] = {name: [] for name in names}
@@ -87,11 +94,12 @@
                 ]
                 views[name] = seen[-1] if seen else lists[0][1]
             advertised = views[name]
-            listed_part = shares.compute_share(
+            listed_part = limit_shares.compute_share(
                 len(advertised),
                 len(names) - len(advertised),
                 name in advertised,
-                stale=name == isolated and now_s > 20 + shares.STALE_CONTACT_S,
+                stale=name == isolated
+                and now_s > 20 + limit_shares.STALE_CONTACT_S,
             )
             parts_in_force[name] = parts[name].update(listed_part, now_s)
             used = sum(
