--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -12,7 +12,7 @@
 from azureramp.controllers import links, ownership
 from azureramp.controllers import members as members_module
 from azureramp.controllers import outbox as outbox_module
-from azureramp.policy import leases, telling
+from azureramp.policy import heartbeat_states, leases
 from azureramp.policy import membership as policy
 from azureramp.ports.vmlist import api as vmlist_api
 
@@ -71,7 +71,7 @@
         self._announced_revision = 0
         self._links = links.Links(board, outbox)
         self._pending_acks: dict[str, messages.HeartbeatAck] = {}
-        self._announced = telling.StateSelector()
+        self._announced = heartbeat_states.StateSelector()
         self.on_owners_changed: Callable[[], None] | None = None
 
     def announce_leaving(self) -> None:
