--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -12,7 +12,7 @@
 from azureramp import blackboard, errors, events, messages
 from azureramp.controllers import directory, owned_searcher
 from azureramp.controllers import outbox as outbox_module
-from azureramp.policy import poison, trials
+from azureramp.policy import poison, suspect_runs
 from azureramp.ports.searchers import api as searchers_api
 
 ABANDONED_S = 0.5
@@ -46,7 +46,7 @@
     """Attributes crashes to requests and isolates suspect requests.
 
     A request is suspect while a crash is attributed to its fingerprint. A
-    suspect request runs alone, one sub-request at a time; see `trials`.
+    suspect request runs alone, one sub-request at a time; see `suspect_runs`.
 
     Attributes:
         trials: The trials that run on this VM.
@@ -77,7 +77,7 @@
         holdings: owned_searcher.Holdings,
     ) -> None:
         """Creates it without suspect requests."""
-        self.trials = trials.SuspectRuns()
+        self.trials = suspect_runs.SuspectRuns()
         self.on_attributed: Callable[[int, str], None] = _ignore
         self._board = board
         self._outbox = outbox
--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -8,7 +8,10 @@
 
 
 class TrialQueue:
-    """Admits one sub-request per suspect request at a time; see `trials`."""
+    """Admits one sub-request per suspect request at a time.
+
+    `suspect_runs` has the rules.
+    """
 
     __slots__ = ("_detector", "_waiting")
 
