--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -10,7 +10,7 @@
 import math
 
 from azureramp import blackboard, events
-from azureramp.policy import quorum_contact, watching
+from azureramp.policy import quorum_contact, watcher_selection
 
 EXPIRING_SHARE = 0.75
 """Share of the confirmation window after which contact is treated as about to
@@ -127,8 +127,8 @@
             and member.state is blackboard.MemberState.LIVE
             and member.acknowledged_s >= since_s
         ]
-        return watching.should_watch(
-            watching.compute_rank(own, live),
+        return watcher_selection.should_watch(
+            watcher_selection.compute_rank(own, live),
             len(live) + 1,
             board.settings.watchers,
             now_s - board.confirmed_s,
@@ -144,8 +144,10 @@
     def _get_interval_s(self, now_s: float) -> float:
         """Returns the time between confirmations, in seconds."""
         if not self._is_contact_expiring(now_s):
-            return watching.IDLE_CONFIRMATION_S
-        return min(watching.URGENT_CONFIRMATION_S, self._get_window_s() / 4)
+            return watcher_selection.IDLE_CONFIRMATION_S
+        return min(
+            watcher_selection.URGENT_CONFIRMATION_S, self._get_window_s() / 4
+        )
 
     def _is_contact_expiring(self, now_s: float) -> bool:
         """Returns True if contact with a majority is about to be too old."""
--- a/tests/policy/test_configuration_copy.py
+++ b/tests/policy/test_configuration_copy.py
@@ -5,7 +5,7 @@
 import pytest
 
 from azureramp import resources
-from azureramp.policy import configuration_copy, watching
+from azureramp.policy import configuration_copy, watcher_selection
 
 KIND = "availability_zone"
 
@@ -106,14 +106,15 @@
 ) -> None:
     names = [f"vm-{number}" for number in range(size)]
     ranks = [
-        watching.compute_rank(name, [n for n in names if n != name])
+        watcher_selection.compute_rank(name, [n for n in names if n != name])
         for name in names
     ]
     assert sorted(ranks) == list(range(size))
 
     def count_watchers(age_s: float) -> int:
         return sum(
-            watching.should_watch(rank, size, 2, age_s, 5.0) for rank in ranks
+            watcher_selection.should_watch(rank, size, 2, age_s, 5.0)
+            for rank in ranks
         )
 
     assert count_watchers(0.0) == min(2, size)
@@ -122,6 +123,6 @@
         rank
         for age_s in range(2000)
         for rank in ranks
-        if watching.should_watch(rank, size, 2, float(age_s), 5.0)
+        if watcher_selection.should_watch(rank, size, 2, float(age_s), 5.0)
     }
     assert turns == set(ranks)
