--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -11,9 +11,9 @@
 from azureramp.controllers.forwarding import (
     crashes,
     gather,
-    pacing,
     request_log,
     requests,
+    route_timings,
     single,
 )
 from azureramp.controllers.forwarding import (
@@ -55,7 +55,7 @@
         self._searchers = searchers
         self._crash_tracker = crash_tracker
         self._log = request_log.RequestLog(board)
-        self._timings = pacing.RouteTimingsTable()
+        self._timings = route_timings.RouteTimingsTable()
         self._splitter = routing.WeightedRoundRobin()
 
     async def handle(
--- a/src/azureramp/controllers/forwarding/gather.py
+++ b/src/azureramp/controllers/forwarding/gather.py
@@ -8,9 +8,9 @@
 from azureramp import catalog, errors
 from azureramp.controllers.forwarding import (
     crashes,
-    pacing,
     part,
     requests,
+    route_timings,
 )
 from azureramp.controllers.forwarding import (
     searchers as searchers_module,
@@ -70,7 +70,7 @@
         self,
         searchers: searchers_module.Searchers,
         crash_tracker: crashes.CrashTracker,
-        timings: pacing.RouteTimings,
+        timings: route_timings.RouteTimings,
         request: requests.IncomingRequest,
         route: catalog.Route,
         destination: catalog.FanoutDestination,
--- a/src/azureramp/controllers/forwarding/learning.py
+++ b/src/azureramp/controllers/forwarding/learning.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import pacing
+from azureramp.controllers.forwarding import route_timings
 from azureramp.ports.forwarding import api
 
 MIN_SILENCE_S = 0.2
@@ -17,7 +17,7 @@
 def record_reply(
     target: board_module.Target,
     reply: api.Reply,
-    timings: pacing.RouteTimings,
+    timings: route_timings.RouteTimings,
     took_s: float,
     now_s: float,
 ) -> None:
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -13,8 +13,8 @@
 from azureramp.controllers.forwarding import (
     crashes,
     learning,
-    pacing,
     rollout_view,
+    route_timings,
 )
 from azureramp.controllers.forwarding import (
     searchers as searchers_module,
@@ -83,7 +83,7 @@
         self,
         searchers: searchers_module.Searchers,
         crash_tracker: crashes.CrashTracker,
-        timings: pacing.RouteTimings,
+        timings: route_timings.RouteTimings,
         context: RequestContext,
         service: str,
         on_done: Callable[[Part], None],
--- a/src/azureramp/controllers/forwarding/single.py
+++ b/src/azureramp/controllers/forwarding/single.py
@@ -7,9 +7,9 @@
 from azureramp import catalog, errors
 from azureramp.controllers.forwarding import (
     crashes,
-    pacing,
     part,
     requests,
+    route_timings,
 )
 from azureramp.controllers.forwarding import (
     searchers as searchers_module,
@@ -42,7 +42,7 @@
         self,
         searchers: searchers_module.Searchers,
         crash_tracker: crashes.CrashTracker,
-        timings: pacing.RouteTimings,
+        timings: route_timings.RouteTimings,
         request: requests.IncomingRequest,
         route: catalog.Route,
         service: str,
--- a/tests/policy/test_hedge_delay.py
+++ b/tests/policy/test_hedge_delay.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from azureramp.controllers.forwarding import pacing
+from azureramp.controllers.forwarding import route_timings
 from azureramp.policy import hedge_delay
 
 TARGET_S = 0.073
@@ -45,7 +45,7 @@
 
 def test_stragglers_at_a_request_s_end_keep_the_usual_time() -> None:
     """Guards against a usual time computed from only the last few answers."""
-    pace = pacing.RouteTimings()
+    pace = route_timings.RouteTimings()
     for _ in range(6):
         for _ in range(75):
             pace.record_duration(USUAL_S)
