--- a/src/azureramp/controllers/forwarding/entry.py
+++ b/src/azureramp/controllers/forwarding/entry.py
@@ -10,7 +10,7 @@
 )
 from azureramp.controllers.forwarding import (
     crashes,
-    gather,
+    fan_out,
     request_log,
     requests,
     route_timings,
@@ -112,14 +112,14 @@
         request: requests.IncomingRequest,
         route: catalog.Route,
         answer_by_s: float,
-    ) -> gather.FanOutRequest | single.SingleRequest:
+    ) -> fan_out.FanOutRequest | single.SingleRequest:
         """Creates the request's execution for its route's destination."""
         timings = self._timings.get(route)
         if request.deadline_s is not None:
             timings.caller_delay.record_timeout(request.deadline_s)
         match route.destination:
             case catalog.FanoutDestination() as destination:
-                return gather.FanOutRequest(
+                return fan_out.FanOutRequest(
                     self._searchers,
                     self._crash_tracker,
                     timings,
--- a/tests/policy/test_caller_delay.py
+++ b/tests/policy/test_caller_delay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from azureramp.controllers.forwarding import gather
+from azureramp.controllers.forwarding import fan_out
 from azureramp.policy import caller_delay
 
 
@@ -61,7 +61,7 @@
 def test_an_incomplete_answer_is_sent_early_enough_to_arrive(
     target_ms: float, way_ms: float, cut_ms: float
 ) -> None:
-    cut_s = gather.compute_partial_answer_delay_s(
+    cut_s = fan_out.compute_partial_answer_delay_s(
         target_ms / 1000, way_ms / 1000
     )
     assert cut_s * 1000 == pytest.approx(cut_ms)
