--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -11,8 +11,8 @@
 from azureramp.controllers.forwarding import attempt as attempt_module
 from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import (
+    call_results,
     crashes,
-    learning,
     rollout_view,
     route_timings,
 )
@@ -348,7 +348,7 @@
                     self._searchers.metrics.record_ms(
                         "call.took_ms", took_s * 1000
                     )
-                learning.record_reply(
+                call_results.record_reply(
                     attempt.target, outcome, self._timings, took_s, now_s
                 )
                 if not self.done:
@@ -390,13 +390,13 @@
         """Updates a searcher's record after a call without an answer."""
         self._searchers.metrics.count("call.lost")
         # The pool itself reports a connection that could not be opened.
-        if not lost.sent or (self.done and took_s < learning.MIN_SILENCE_S):
+        if not lost.sent or (self.done and took_s < call_results.MIN_SILENCE_S):
             return
         if not self.done:
             self._crash_tracker.check_for_crash(
                 target, self._context.message, self._context.route.repeatable
             )
-        learning.record_loss(target, took_s, now_s)
+        call_results.record_loss(target, took_s, now_s)
 
     def _handle_reply(self, reply: api.Reply, now_s: float) -> None:
         """Continues after an answer: finishes, or makes another call."""
