--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -12,7 +12,7 @@
 from azureramp.controllers.forwarding import (
     advertised,
     change_log,
-    coldness,
+    cold_searchers,
     rollout_view,
     rollouts,
     shared_bounds,
@@ -251,7 +251,7 @@
 
     def record_call(self, target: board_module.Target, now_s: float) -> None:
         """Records a call to a searcher."""
-        coldness.record_call(target, now_s)
+        cold_searchers.record_call(target, now_s)
         self.rollouts.record_call(target.searcher, now_s)
 
     def _is_usable(
--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -7,7 +7,7 @@
 import logbook
 
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import coldness
+from azureramp.controllers.forwarding import cold_searchers
 from azureramp.policy import allowances, limit_shares
 
 MIN_PAUSE_S = 1.0
@@ -35,7 +35,7 @@
             board.bounds.extra.window_s, board.started_s, first
         )
         self._cold_share = limit_shares.LimitShare(
-            coldness.WINDOW_S, board.started_s, first
+            cold_searchers.WINDOW_S, board.started_s, first
         )
 
     async def run(self) -> None:
@@ -79,7 +79,7 @@
         the operators' limit for any one second, so each VM keeps to its own
         share.
         """
-        if not coldness.is_cold(target, now_s, self._board.pause):
+        if not cold_searchers.is_cold(target, now_s, self._board.pause):
             return True
         service = self._board.get_service(target.searcher.service)
         if service is None or service.cold_requests_per_s <= 0:
@@ -90,7 +90,7 @@
             + bounds.cold_slack
         )
         self.update(now_s)
-        recent = coldness.count_recent_calls(target, now_s)
+        recent = cold_searchers.count_recent_calls(target, now_s)
         return recent + 1 <= bound * self._cold_share.value
 
     def update(self, now_s: float) -> None:
