--- a/src/azureramp/platform/answers.py
+++ b/src/azureramp/platform/answers.py
@@ -6,7 +6,7 @@
 
 from azureramp import exposition, logs
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import entry as entry_module
+from azureramp.controllers.forwarding import request_handler
 from azureramp.platform import headers
 from azureramp.ports.web import api as web_api
 
@@ -28,7 +28,7 @@
     def __init__(
         self,
         board: board_module.Board,
-        entry: entry_module.RequestHandler,
+        entry: request_handler.RequestHandler,
         log_writer: logs.LineWriter | None,
     ) -> None:
         """Creates the handlers.
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -17,11 +17,11 @@
     change_log,
     contact,
     crashes,
-    entry,
     feed,
     leaving,
     members,
     relay,
+    request_handler,
     rollout_claims,
     rollout_driver,
     rollout_grants,
@@ -224,7 +224,9 @@
         self._feed.on_became_relay = self._members.check_lease
         self._answers = answers.Answers(
             board,
-            entry.RequestHandler(board, searcher_registry, self._crashes),
+            request_handler.RequestHandler(
+                board, searcher_registry, self._crashes
+            ),
             log_writer,
         )
         self._limits = web_api.Limits(
