--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -15,7 +15,7 @@
     cold_searchers,
     rollout_view,
     rollouts,
-    shared_bounds,
+    shared_limits,
 )
 from azureramp.controllers.forwarding import board as board_module
 from azureramp.policy import advertising, searcher_selection
@@ -69,7 +69,7 @@
         self.metrics = board.metrics
         self._codec = codec
         self._rng = rng
-        self.limits = shared_bounds.SharedLimits(board)
+        self.limits = shared_limits.SharedLimits(board)
 
     def add_or_update(self, searcher: catalog.Searcher) -> None:
         """Adds a searcher, or updates it from its newest entry."""
--- a/src/azureramp_standins/soak/mutants.py
+++ b/src/azureramp_standins/soak/mutants.py
@@ -14,7 +14,7 @@
     members,
     part,
     searchers,
-    shared_bounds,
+    shared_limits,
 )
 from azureramp.platform import command, decoding, headers
 from azureramp.policy import allowances, merging, routing
@@ -83,7 +83,7 @@
 def load_cold_searchers() -> None:
     """Sends cold searchers as many calls as warm ones."""
     patch(
-        shared_bounds.SharedLimits,
+        shared_limits.SharedLimits,
         "is_warm_enough",
         lambda self, target, now: True,
     )
