--- a/src/azureramp/controllers/forwarding/applying.py
+++ b/src/azureramp/controllers/forwarding/applying.py
@@ -13,11 +13,11 @@
 )
 from azureramp.controllers.forwarding import (
     change_log,
-    contact,
     crashes,
     members,
     rollouts,
     searchers,
+    store_contact,
 )
 from azureramp.policy import routing
 from azureramp.ports.store import api as store_api
@@ -60,7 +60,7 @@
         searcher_registry: searchers.Searchers,
         crash_registry: crashes.CrashTracker,
         member_registry: members.Membership,
-        contacts: contact.StoreContactTracker,
+        contacts: store_contact.StoreContactTracker,
         log: change_log.ChangeLog,
         rollout_registry: rollouts.Rollouts,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -19,7 +19,7 @@
 from azureramp.controllers.forwarding import (
     board as board_module,
 )
-from azureramp.controllers.forwarding import contact, relay
+from azureramp.controllers.forwarding import relay, store_contact
 from azureramp.policy import store_copy
 from azureramp.ports.relays import api as relays_api
 from azureramp.ports.store import api as store_api
@@ -113,7 +113,7 @@
         relays: relays_api.RelayClient,
         seeds: Sequence[str],
         own_relay: relay.Relay,
-        contacts: contact.StoreContactTracker,
+        contacts: store_contact.StoreContactTracker,
         apply: Apply,
         rng: random.Random,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -10,7 +10,7 @@
 
 from azureramp import catalog, errors
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import change_log, contact, roster
+from azureramp.controllers.forwarding import change_log, roster, store_contact
 from azureramp.policy import overload as overload_module
 from azureramp.policy import store_copy
 from azureramp.ports.store import api as store_api
@@ -68,7 +68,7 @@
         vm_roster: roster.Roster,
         make_key: roster.MakeKey,
         encode: roster.EncodeMember,
-        contacts: contact.StoreContactTracker,
+        contacts: store_contact.StoreContactTracker,
         rng: random.Random,
         log: change_log.ChangeLog,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/relay.py
+++ b/src/azureramp/controllers/forwarding/relay.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import contact, roster
+from azureramp.controllers.forwarding import roster, store_contact
 from azureramp.policy import store_copy
 from azureramp.ports.relays import api, encoding
 from azureramp.ports.store import api as store_api
@@ -54,7 +54,7 @@
         board: board_module.Board,
         copy: store_copy.StoreCopy,
         vm_roster: roster.Roster,
-        contacts: contact.StoreContactTracker,
+        contacts: store_contact.StoreContactTracker,
     ) -> None:
         """Makes a relay without waiting requests.
 
--- a/src/azureramp/controllers/forwarding/rollout_writer.py
+++ b/src/azureramp/controllers/forwarding/rollout_writer.py
@@ -7,7 +7,7 @@
 import logbook
 
 from azureramp import rollout_types
-from azureramp.controllers.forwarding import contact
+from azureramp.controllers.forwarding import store_contact
 from azureramp.policy import store_copy
 from azureramp.ports.store import api as store_api
 
@@ -31,7 +31,7 @@
         copy: store_copy.StoreCopy,
         make_keys: MakeKeys,
         encode: EncodeRecord,
-        contacts: contact.StoreContactTracker,
+        contacts: store_contact.StoreContactTracker,
     ) -> None:
         """Makes a writer.
 
--- a/src/azureramp/controllers/forwarding/roster.py
+++ b/src/azureramp/controllers/forwarding/roster.py
@@ -14,7 +14,7 @@
 
 from azureramp import catalog, errors
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import contact
+from azureramp.controllers.forwarding import store_contact
 from azureramp.policy import roster as policy
 from azureramp.policy import store_copy
 from azureramp.ports.store import api as store_api
@@ -70,7 +70,7 @@
         copy: store_copy.StoreCopy,
         make_key: MakeKey,
         encode: EncodeMember,
-        contacts: contact.StoreContactTracker,
+        contacts: store_contact.StoreContactTracker,
     ) -> None:
         """Makes a roster without followers; see `run`.
 
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -15,7 +15,6 @@
 from azureramp.controllers.forwarding import (
     applying,
     change_log,
-    contact,
     crashes,
     feed,
     leaving,
@@ -31,6 +30,7 @@
     rollouts,
     roster,
     searchers,
+    store_contact,
 )
 from azureramp.controllers.forwarding import (
     board as board_module,
@@ -127,7 +127,7 @@
             counters,
             loop.time(),
         )
-        contacts = contact.StoreContactTracker(board)
+        contacts = store_contact.StoreContactTracker(board)
         log = change_log.ChangeLog()
         self._drivers = rollouts_http.HttpDriverClient()
         process = rollout_driver.make_process_name(
--- a/tests/forwarding/test_contact.py
+++ b/tests/forwarding/test_store_contact.py
@@ -7,7 +7,7 @@
 import pytest
 
 from azureramp import errors, metrics
-from azureramp.controllers.forwarding import board, contact
+from azureramp.controllers.forwarding import board, store_contact
 from azureramp_standins import virtual
 from azureramp_standins.fleet import deployment
 
@@ -32,7 +32,7 @@
         state = board.Board(
             settings.identity, settings.bounds, metrics.Metrics(), 0.0
         )
-        tracker = contact.StoreContactTracker(state)
+        tracker = store_contact.StoreContactTracker(state)
         tracker.record_failure(LOST)
         stable = asyncio.ensure_future(tracker.wait_until_stable(2.2))
         await asyncio.sleep(1.0)
