--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -13,9 +13,12 @@
 
 from azureramp import catalog, logs, sending
 from azureramp.controllers.forwarding import (
-    applying,
+    board as board_module,
+)
+from azureramp.controllers.forwarding import (
     change_log,
     crashes,
+    entry_applier,
     feed,
     leaving,
     members,
@@ -32,9 +35,6 @@
     searchers,
     store_contact,
 )
-from azureramp.controllers.forwarding import (
-    board as board_module,
-)
 from azureramp.platform import answers, decoding, headers, settings, store
 from azureramp.policy import store_copy as store_copy_module
 from azureramp.ports.relays import http as relays_http
@@ -170,7 +170,7 @@
             board, self._store, decoding.encode_crash_report
         )
         self._searchers = searcher_registry
-        self._applying = applying.EntryApplier(
+        self._applying = entry_applier.EntryApplier(
             board,
             decoding.decode,
             searcher_registry,
--- a/src/azureramp_standins/soak/mutants.py
+++ b/src/azureramp_standins/soak/mutants.py
@@ -9,7 +9,7 @@
 
 from azureramp import errors
 from azureramp.controllers.forwarding import (
-    applying,
+    entry_applier,
     leaving,
     members,
     part,
@@ -45,13 +45,13 @@
 
 def keep_first_version() -> None:
     """Ignores every configuration after the first."""
-    take = applying.EntryApplier._take_configuration
+    take = entry_applier.EntryApplier._take_configuration
 
     def take_first(self: Any, new: Any) -> None:
         if self._board.configuration is None:
             take(self, new)
 
-    patch(applying.EntryApplier, "_take_configuration", take_first)
+    patch(entry_applier.EntryApplier, "_take_configuration", take_first)
 
 
 def stop_at_once() -> None:
