--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -10,7 +10,7 @@
 
 from azureramp import catalog
 from azureramp.controllers.forwarding import (
-    advertised,
+    advertisement,
     change_log,
     cold_searchers,
     rollout_view,
@@ -147,11 +147,11 @@
 
     def apply_connection_limits(self) -> None:
         """Applies the connection limits and opens connections ahead of need."""
-        advertised.update_advertised(self._board)
+        advertisement.update_advertised(self._board)
         self.limits.update(asyncio.get_running_loop().time())
         used: set[str] = set()
         if self._is_advertised():
-            used = advertised.find_used_services(self._board.configuration)
+            used = advertisement.find_used_services(self._board.configuration)
         for target in self._board.targets.values():
             target.pool.set_limit(self._get_share(target.searcher.service))
             if target.searcher.service in used and self._is_usable(
