--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 
 from azureramp import catalog
-from azureramp.controllers.forwarding import attempt as attempt_module
-from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import (
+    active_rollout,
     call_results,
     crashes,
-    rollout_view,
     route_timings,
 )
+from azureramp.controllers.forwarding import attempt as attempt_module
+from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import (
     searchers as searchers_module,
 )
@@ -178,7 +178,7 @@
                 continue
             if not self._cancel_unsent(attempt, now_s):
                 self._report_end(
-                    attempt, rollout_view.CallResult.UNANSWERED, now_s
+                    attempt, active_rollout.CallResult.UNANSWERED, now_s
                 )
                 record = attempt.target.record
                 queues = searcher_selection.has_queued_calls(record, now_s)
@@ -339,9 +339,9 @@
                     answered = outcome.is_success()
                     self._report_end(
                         attempt,
-                        rollout_view.CallResult.ANSWERED
+                        active_rollout.CallResult.ANSWERED
                         if answered
-                        else rollout_view.CallResult.FAILED,
+                        else active_rollout.CallResult.FAILED,
                         now_s,
                     )
                 if outcome.is_success():
@@ -356,7 +356,7 @@
             case api.LostCall():
                 if outcome.sent and not self.done:
                     self._report_end(
-                        attempt, rollout_view.CallResult.FAILED, now_s
+                        attempt, active_rollout.CallResult.FAILED, now_s
                     )
                 self._record_loss(attempt.target, outcome, took_s, now_s)
                 if not self.done:
@@ -365,7 +365,7 @@
     def _report_end(
         self,
         attempt: attempt_module.Attempt,
-        end: rollout_view.CallResult,
+        end: active_rollout.CallResult,
         now_s: float,
     ) -> None:
         """Reports how a call ended to its version's roll-out, once."""
--- a/src/azureramp/controllers/forwarding/rollout_claims.py
+++ b/src/azureramp/controllers/forwarding/rollout_claims.py
@@ -9,14 +9,14 @@
 import logbook
 
 from azureramp import rollout_types
-from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import (
+    active_rollout,
     rollout_reports,
     rollout_situations,
-    rollout_view,
     rollout_writer,
     rollouts,
 )
+from azureramp.controllers.forwarding import board as board_module
 from azureramp.policy import rollouts as policy
 
 CLAIM_STAGGER_S = 0.5
@@ -76,11 +76,11 @@
         self._drives = drives
         self._on_claimed = on_claimed
         self._process = reports.process
-        self._queued: dict[str, rollout_view.ActiveRollout] = {}
+        self._queued: dict[str, active_rollout.ActiveRollout] = {}
         self._claim_queued = asyncio.Event()
         reports.on_driver_missing = self.queue_claim
 
-    def queue_claim(self, running: rollout_view.ActiveRollout) -> None:
+    def queue_claim(self, running: active_rollout.ActiveRollout) -> None:
         """Queues a roll-out whose driver does not answer.
 
         Args:
@@ -99,7 +99,7 @@
             self._queued.clear()
             await asyncio.gather(*(self._claim(each) for each in queued))
 
-    async def _claim(self, running: rollout_view.ActiveRollout) -> None:
+    async def _claim(self, running: active_rollout.ActiveRollout) -> None:
         """Claims a roll-out if it is this VM's turn."""
         order = running.order
         if order.service in self._drives:
@@ -144,7 +144,7 @@
 
     def _is_turn(
         self,
-        running: rollout_view.ActiveRollout,
+        running: active_rollout.ActiveRollout,
         record: rollout_types.Record | None,
         now_s: float,
     ) -> bool:
--- a/src/azureramp/controllers/forwarding/rollout_reports.py
+++ b/src/azureramp/controllers/forwarding/rollout_reports.py
@@ -10,8 +10,8 @@
 import logbook
 
 from azureramp import errors, rollout_types
+from azureramp.controllers.forwarding import active_rollout, rollouts
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import rollout_view, rollouts
 from azureramp.ports.rollouts import api
 
 REPORT_INTERVAL_S = 0.2
@@ -73,13 +73,13 @@
         self.process = process
         self.handle_locally: HandleReport | None = None
         self.on_driver_missing: (
-            Callable[[rollout_view.ActiveRollout], None] | None
+            Callable[[active_rollout.ActiveRollout], None] | None
         ) = None
         self._tasks: dict[str, asyncio.Task[None]] = {}
         rollout_registry.on_begin = self.begin
         rollout_registry.on_end = self.end
 
-    def begin(self, running: rollout_view.ActiveRollout) -> None:
+    def begin(self, running: active_rollout.ActiveRollout) -> None:
         """Begins to report on a roll-out.
 
         Args:
@@ -104,7 +104,7 @@
         for service in list(self._tasks):
             self.end(service)
 
-    async def _run_reports(self, running: rollout_view.ActiveRollout) -> None:
+    async def _run_reports(self, running: active_rollout.ActiveRollout) -> None:
         """Reports on a roll-out; resumes after unexpected errors."""
         while True:
             try:
@@ -118,7 +118,7 @@
             await asyncio.sleep(IDLE_REPORT_INTERVAL_S)
 
     async def _report_periodically(
-        self, running: rollout_view.ActiveRollout
+        self, running: active_rollout.ActiveRollout
     ) -> None:
         """Reports on a roll-out periodically. Never returns."""
         reported = -1
@@ -138,7 +138,7 @@
             await asyncio.sleep(REPORT_INTERVAL_S / 4)
 
     def _get_pause_s(
-        self, running: rollout_view.ActiveRollout, sends: bool
+        self, running: active_rollout.ActiveRollout, sends: bool
     ) -> float:
         """Returns the pause before the next report, in seconds.
 
@@ -158,7 +158,9 @@
         )
 
     async def _report(
-        self, running: rollout_view.ActiveRollout, record: rollout_types.Record
+        self,
+        running: active_rollout.ActiveRollout,
+        record: rollout_types.Record,
     ) -> None:
         """Sends one report, and applies the grant."""
         loop = asyncio.get_running_loop()
@@ -179,14 +181,14 @@
             running.apply_grant(result.ok, asked_s)
 
     def _signal_missing_driver(
-        self, running: rollout_view.ActiveRollout
+        self, running: active_rollout.ActiveRollout
     ) -> None:
         """Signals that no driver answers."""
         if self.on_driver_missing is not None:
             self.on_driver_missing(running)
 
     def _make_report(
-        self, running: rollout_view.ActiveRollout, now_s: float
+        self, running: active_rollout.ActiveRollout, now_s: float
     ) -> api.Report:
         """Makes a report of the running totals."""
         counts = tuple(
@@ -212,7 +214,7 @@
             running.has_moved,
         )
 
-    def _has_calls_at_old(self, running: rollout_view.ActiveRollout) -> bool:
+    def _has_calls_at_old(self, running: active_rollout.ActiveRollout) -> bool:
         """Returns True if a call to an old version's searcher is running."""
         targets = self._board.by_service.get(running.order.service, {})
         return any(
--- a/src/azureramp/controllers/forwarding/rollouts.py
+++ b/src/azureramp/controllers/forwarding/rollouts.py
@@ -14,8 +14,8 @@
 import logbook
 
 from azureramp import catalog, rollout_types
+from azureramp.controllers.forwarding import active_rollout
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import rollout_view
 from azureramp.policy import rollouts as policy
 
 _logger = logbook.Logger("azureramp.rollouts")
@@ -68,8 +68,8 @@
         self._board = board
         self.orders: dict[str, rollout_types.Order] = {}
         self.records: dict[str, StoredRecord] = {}
-        self.active: dict[str, rollout_view.ActiveRollout] = {}
-        self.on_begin: Callable[[rollout_view.ActiveRollout], None] | None = (
+        self.active: dict[str, active_rollout.ActiveRollout] = {}
+        self.on_begin: Callable[[active_rollout.ActiveRollout], None] | None = (
             None
         )
         self.on_end: Callable[[str], None] | None = None
@@ -171,7 +171,7 @@
 
     def list_version_groups(
         self, service: str, is_first: bool, now_s: float
-    ) -> tuple[rollout_view.VersionGroup, ...]:
+    ) -> tuple[active_rollout.VersionGroup, ...]:
         """Lists the version groups that a call may use, preferred one first.
 
         Without a roll-out all searchers count as old.
@@ -183,13 +183,13 @@
         """
         running = self.active.get(service)
         if running is None:
-            return (rollout_view.VersionGroup.OLD,)
+            return (active_rollout.VersionGroup.OLD,)
         return running.list_version_groups(is_first, now_s)
 
     def is_allowed(
         self,
         searcher: catalog.Searcher,
-        sides: tuple[rollout_view.VersionGroup, ...],
+        sides: tuple[active_rollout.VersionGroup, ...],
     ) -> bool:
         """Returns True if a searcher belongs to one of the version groups.
 
@@ -201,13 +201,13 @@
         if running is not None:
             versions = running.versions
             if running.is_new(searcher):
-                return rollout_view.VersionGroup.NEW in sides
+                return active_rollout.VersionGroup.NEW in sides
         else:
             ended = self._ended.get(searcher.service)
             if ended is None:
                 return True
             versions = ended
-        return rollout_view.VersionGroup.OLD in sides and versions.allows(
+        return active_rollout.VersionGroup.OLD in sides and versions.allows(
             searcher.version
         )
 
@@ -229,7 +229,7 @@
         self,
         searcher: catalog.Searcher,
         route: str,
-        end: rollout_view.CallResult,
+        end: active_rollout.CallResult,
         took_s: float,
         usual_s: float,
     ) -> bool:
@@ -297,7 +297,7 @@
         # If the service already runs the version, all its searchers are used.
         versions = versions or policy.AllowedVersions("", frozenset())
         now_s = asyncio.get_running_loop().time()
-        running = rollout_view.ActiveRollout(order, versions, now_s)
+        running = active_rollout.ActiveRollout(order, versions, now_s)
         if not versions.target:
             self._ended[order.service] = versions
         else:
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -10,10 +10,10 @@
 
 from azureramp import catalog
 from azureramp.controllers.forwarding import (
+    active_rollout,
     advertisement,
     change_log,
     cold_searchers,
-    rollout_view,
     rollouts,
     shared_limits,
 )
@@ -155,7 +155,7 @@
         for target in self._board.targets.values():
             target.pool.set_limit(self._get_share(target.searcher.service))
             if target.searcher.service in used and self._is_usable(
-                target, rollout_view.ALL_VERSION_GROUPS
+                target, active_rollout.ALL_VERSION_GROUPS
             ):
                 target.pool.open_ahead(1)
 
@@ -194,7 +194,7 @@
 
     def _choose_from(
         self,
-        side: rollout_view.VersionGroup,
+        side: active_rollout.VersionGroup,
         targets: Mapping[str, board_module.Target],
         excluded: Collection[str],
         now_s: float,
@@ -257,7 +257,7 @@
     def _is_usable(
         self,
         target: board_module.Target,
-        sides: tuple[rollout_view.VersionGroup, ...],
+        sides: tuple[active_rollout.VersionGroup, ...],
     ) -> bool:
         """Returns True if a searcher may get new work at all."""
         searcher = target.searcher
