--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -16,7 +16,7 @@
 from azureramp import rollout_types
 from azureramp.controllers.forwarding import board as board_module
 from azureramp.controllers.forwarding import (
-    rollout_drive,
+    driven_rollout,
     rollout_grants,
     rollout_reports,
     rollout_situations,
@@ -95,7 +95,7 @@
             return
         now_s = asyncio.get_running_loop().time()
         self._rollouts.apply_record(record, revision)
-        drive = rollout_drive.DrivenRollout(
+        drive = driven_rollout.DrivenRollout(
             record, revision, self._board.bounds.exposure, now_s
         )
         self._grants.driven_rollouts[record.order.service] = drive
@@ -110,7 +110,7 @@
             task.cancel()
 
     async def _drive(
-        self, service: str, drive: rollout_drive.DrivenRollout
+        self, service: str, drive: driven_rollout.DrivenRollout
     ) -> None:
         """Drives a roll-out until it has ended or another VM takes over."""
         try:
@@ -132,7 +132,7 @@
         self._board.metrics.set_gauge("rollout.driven", driven)
 
     async def _advance(
-        self, service: str, drive: rollout_drive.DrivenRollout
+        self, service: str, drive: driven_rollout.DrivenRollout
     ) -> bool:
         """Performs the next step of a roll-out if one is due.
 
@@ -159,7 +159,7 @@
         return True
 
     def _still_drives(
-        self, service: str, drive: rollout_drive.DrivenRollout
+        self, service: str, drive: driven_rollout.DrivenRollout
     ) -> bool:
         """Returns True if this process is still the driver of the newest order.
 
@@ -176,7 +176,7 @@
 
     async def _perform_step(
         self,
-        drive: rollout_drive.DrivenRollout,
+        drive: driven_rollout.DrivenRollout,
         step: policy.PhaseChange,
         situation: policy.RolloutState,
     ) -> None:
@@ -189,7 +189,7 @@
         """
         reducing_phases = (
             rollout_types.Phase.ROLLED_BACK,
-            rollout_drive.TRIAL,
+            driven_rollout.TRIAL,
         )
         if step.phase in reducing_phases and drive.phase is not step.phase:
             # Calls to the new version are reduced at once, even if the write
@@ -201,7 +201,7 @@
             phase=step.phase,
             reason=step.reason,
         )
-        if step.phase is rollout_drive.MOVING:
+        if step.phase is driven_rollout.MOVING:
             # From now on, calls are no longer granted individually.
             reserved = max(new_record.reserved, situation.allowed)
             new_record = dataclasses.replace(new_record, reserved=reserved)
@@ -244,7 +244,7 @@
 
     async def _write_record(
         self,
-        drive: rollout_drive.DrivenRollout,
+        drive: driven_rollout.DrivenRollout,
         new_record: rollout_types.Record,
     ) -> bool:
         """Replaces the record in the store if it has the known revision.
@@ -269,7 +269,7 @@
 
     def _handle_written(
         self,
-        drive: rollout_drive.DrivenRollout,
+        drive: driven_rollout.DrivenRollout,
         record: rollout_types.Record,
         revision: int,
     ) -> None:
--- a/src/azureramp/controllers/forwarding/rollout_grants.py
+++ b/src/azureramp/controllers/forwarding/rollout_grants.py
@@ -14,7 +14,7 @@
 
 from azureramp import errors
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import rollout_drive, rollout_situations
+from azureramp.controllers.forwarding import driven_rollout, rollout_situations
 from azureramp.policy import exposure
 from azureramp.ports.rollouts import api
 from azureramp.ports.web import api as web_api
@@ -48,7 +48,7 @@
         """
         self._board = board
         self._situations = situations
-        self.driven_rollouts: dict[str, rollout_drive.DrivenRollout] = {}
+        self.driven_rollouts: dict[str, driven_rollout.DrivenRollout] = {}
 
     async def handle(self, request: web_api.Request) -> web_api.Response:
         """Handles another VM's report.
@@ -104,7 +104,7 @@
             drive.moved.pop(report.vm, None)
         grant_s = self._board.bounds.exposure.get_grant_s()
         additional_calls = 0
-        if drive.phase is rollout_drive.TRIAL:
+        if drive.phase is driven_rollout.TRIAL:
             additional_calls = exposure.compute_share(
                 drive.ledger,
                 report.process,
@@ -121,7 +121,7 @@
         )
 
     def _may_grant(
-        self, drive: rollout_drive.DrivenRollout, now_s: float
+        self, drive: driven_rollout.DrivenRollout, now_s: float
     ) -> bool:
         """Returns True if this process may still decide on a roll-out."""
         contact_lost = (
--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -8,7 +8,7 @@
 
 from azureramp import catalog, rollout_types
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import rollout_drive, rollouts
+from azureramp.controllers.forwarding import driven_rollout, rollouts
 from azureramp.policy import exposure
 from azureramp.policy import rollouts as policy
 
@@ -57,7 +57,7 @@
         self._clock = clock
 
     def describe(
-        self, drive: rollout_drive.DrivenRollout, now_s: float
+        self, drive: driven_rollout.DrivenRollout, now_s: float
     ) -> policy.RolloutState:
         """Describes a roll-out for the decision on its next step.
 
@@ -115,7 +115,7 @@
         """
         versions = self._rollouts.get_versions_at_order(order.service)
         old, barred = policy.list_initial_versions(order, before, versions)
-        phase = rollout_drive.TRIAL
+        phase = driven_rollout.TRIAL
         reason = "it begins"
         if policy.is_already_running(order, before, versions):
             phase = rollout_types.Phase.COMPLETED
@@ -154,7 +154,7 @@
         )
 
     def make_current_record(
-        self, drive: rollout_drive.DrivenRollout, now_s: float
+        self, drive: driven_rollout.DrivenRollout, now_s: float
     ) -> rollout_types.Record:
         """Returns a driven roll-out's record with the current state.
 
@@ -170,7 +170,7 @@
         )
         used = drive.ledger.count_used()
         reserved = record.reserved
-        if drive.phase is rollout_drive.TRIAL:
+        if drive.phase is driven_rollout.TRIAL:
             ahead = max(MIN_RESERVED_CALLS, round(RESERVE_SHARE * allowed))
             reserved = max(reserved, min(allowed, used + ahead))
         return dataclasses.replace(
@@ -182,7 +182,7 @@
         )
 
     def count_canary_calls(
-        self, drive: rollout_drive.DrivenRollout, now_s: float
+        self, drive: driven_rollout.DrivenRollout, now_s: float
     ) -> int:
         """Returns the calls that the canary phase may have made by now.
 
@@ -199,7 +199,7 @@
         )
 
     def count_grantable_calls(
-        self, drive: rollout_drive.DrivenRollout, now_s: float
+        self, drive: driven_rollout.DrivenRollout, now_s: float
     ) -> int:
         """Returns the calls that can be granted now to all VMs together.
 
@@ -213,7 +213,7 @@
         return max(0, limit - drive.ledger.count_used())
 
     def needs_larger_reservation(
-        self, drive: rollout_drive.DrivenRollout, now_s: float
+        self, drive: driven_rollout.DrivenRollout, now_s: float
     ) -> bool:
         """Returns True if more calls must be reserved before they are granted.
 
@@ -221,7 +221,7 @@
             drive: The roll-out.
             now_s: The current time, in seconds.
         """
-        if drive.phase is not rollout_drive.TRIAL:
+        if drive.phase is not driven_rollout.TRIAL:
             return False
         return self.count_canary_calls(drive, now_s) > drive.record.reserved
 
@@ -246,7 +246,7 @@
         return max(age_s, min(wall_clock_age_s, age_s + MAX_DOWNTIME_S))
 
     def _have_all_moved(
-        self, drive: rollout_drive.DrivenRollout, now_s: float
+        self, drive: driven_rollout.DrivenRollout, now_s: float
     ) -> bool:
         """Returns True if no VM has running calls to old searchers.
 
