--- a/src/azureramp/controllers/forwarding/rollout_claims.py
+++ b/src/azureramp/controllers/forwarding/rollout_claims.py
@@ -12,7 +12,7 @@
 from azureramp.controllers.forwarding import (
     active_rollout,
     rollout_reports,
-    rollout_situations,
+    rollout_states,
     rollout_writer,
     rollouts,
 )
@@ -52,7 +52,7 @@
         board: board_module.Board,
         rollout_registry: rollouts.Rollouts,
         reports: rollout_reports.Reporter,
-        situations: rollout_situations.RolloutStateBuilder,
+        situations: rollout_states.RolloutStateBuilder,
         writer: rollout_writer.RecordWriter,
         drives: Container[str],
         on_claimed: OnClaimed,
--- a/src/azureramp/controllers/forwarding/rollout_driver.py
+++ b/src/azureramp/controllers/forwarding/rollout_driver.py
@@ -19,7 +19,7 @@
     driven_rollout,
     rollout_grants,
     rollout_reports,
-    rollout_situations,
+    rollout_states,
     rollout_writer,
     rollouts,
 )
@@ -57,7 +57,7 @@
         rollout_registry: rollouts.Rollouts,
         reports: rollout_reports.Reporter,
         grants: rollout_grants.GrantHandler,
-        situations: rollout_situations.RolloutStateBuilder,
+        situations: rollout_states.RolloutStateBuilder,
         writer: rollout_writer.RecordWriter,
     ) -> None:
         """Makes a driver without roll-outs; see `start_driving`.
--- a/src/azureramp/controllers/forwarding/rollout_grants.py
+++ b/src/azureramp/controllers/forwarding/rollout_grants.py
@@ -14,7 +14,7 @@
 
 from azureramp import errors
 from azureramp.controllers.forwarding import board as board_module
-from azureramp.controllers.forwarding import driven_rollout, rollout_situations
+from azureramp.controllers.forwarding import driven_rollout, rollout_states
 from azureramp.policy import exposure
 from azureramp.ports.rollouts import api
 from azureramp.ports.web import api as web_api
@@ -38,7 +38,7 @@
     def __init__(
         self,
         board: board_module.Board,
-        situations: rollout_situations.RolloutStateBuilder,
+        situations: rollout_states.RolloutStateBuilder,
     ) -> None:
         """Makes a controller without driven roll-outs.
 
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -28,7 +28,7 @@
     rollout_driver,
     rollout_grants,
     rollout_reports,
-    rollout_situations,
+    rollout_states,
     rollout_writer,
     rollouts,
     roster,
@@ -103,7 +103,7 @@
         process_settings: settings.Settings,
         log_writer: logs.LineWriter | None = None,
         seed: int | None = None,
-        clock: rollout_situations.Clock = time.time,
+        clock: rollout_states.Clock = time.time,
     ) -> None:
         """Wires the components; nothing runs until `run` or `start`.
 
@@ -182,7 +182,7 @@
         )
         self._applying.on_configuration = self._follow_configuration
         self._relay = relay.Relay(board, store_copy, self._roster, contacts)
-        situations = rollout_situations.RolloutStateBuilder(
+        situations = rollout_states.RolloutStateBuilder(
             board, self.rollouts, clock
         )
         self._grants = rollout_grants.GrantHandler(board, situations)
