--- a/src/azureramp/ports/forwarding/pool.py
+++ b/src/azureramp/ports/forwarding/pool.py
@@ -10,7 +10,7 @@
 
 from azureramp.ports.forwarding import api
 from azureramp.ports.forwarding import link as link_module
-from azureramp.ports.forwarding import ticket as ticket_module
+from azureramp.ports.forwarding import pending_call as pending_call_module
 from azureramp.ports.web import connection as web_connection
 
 CONNECT_S = 1.0
@@ -111,7 +111,7 @@
         self._links: set[link_module.SearcherConnection] = set()
         self._opening: set[asyncio.Task[None]] = set()
         self._opening_s = 0.0
-        self._waiting: collections.deque[ticket_module.PendingCall] = (
+        self._waiting: collections.deque[pending_call_module.PendingCall] = (
             collections.deque()
         )
         self._probe_receivers: list[Callable[[ProbeResult], None]] = []
@@ -125,7 +125,7 @@
 
     def submit(
         self, call: api.Call, receiver: api.Receiver
-    ) -> ticket_module.PendingCall:
+    ) -> pending_call_module.PendingCall:
         """Sends a call as soon as a connection is available.
 
         Args:
@@ -136,7 +136,7 @@
         Returns:
             The submitted call.
         """
-        pending_call = ticket_module.PendingCall(call, receiver)
+        pending_call = pending_call_module.PendingCall(call, receiver)
         link = self._pop_idle()
         if link is not None:
             self._send(link, pending_call)
@@ -226,7 +226,7 @@
     def _send(
         self,
         link: link_module.SearcherConnection,
-        pending_call: ticket_module.PendingCall,
+        pending_call: pending_call_module.PendingCall,
     ) -> None:
         """Writes a call and sets the time at which its connection is cut."""
         receiver = pending_call.receiver
