--- a/src/azureramp/ports/forwarding/pending_call.py
+++ b/src/azureramp/ports/forwarding/pending_call.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from azureramp.ports.forwarding import api
-from azureramp.ports.forwarding import link as link_module
+from azureramp.ports.forwarding import api, searcher_connection
 
 
 class PendingCall:
@@ -22,7 +21,7 @@
         """Creates a call that waits for a connection."""
         self.call = call
         self.receiver: api.Receiver | None = receiver
-        self.link: link_module.SearcherConnection | None = None
+        self.link: searcher_connection.SearcherConnection | None = None
 
     def is_sent(self) -> bool:
         """Returns True if the call was written to a connection."""
--- a/src/azureramp/ports/forwarding/pool.py
+++ b/src/azureramp/ports/forwarding/pool.py
@@ -8,8 +8,7 @@
 import math
 from collections.abc import Callable
 
-from azureramp.ports.forwarding import api
-from azureramp.ports.forwarding import link as link_module
+from azureramp.ports.forwarding import api, searcher_connection
 from azureramp.ports.forwarding import pending_call as pending_call_module
 from azureramp.ports.web import connection as web_connection
 
@@ -107,8 +106,8 @@
         self._on_unreachable = on_unreachable
         self._full_backoff_s = 0.0
         self._full_until_s = 0.0
-        self._idle: list[link_module.SearcherConnection] = []
-        self._links: set[link_module.SearcherConnection] = set()
+        self._idle: list[searcher_connection.SearcherConnection] = []
+        self._links: set[searcher_connection.SearcherConnection] = set()
         self._opening: set[asyncio.Task[None]] = set()
         self._opening_s = 0.0
         self._waiting: collections.deque[pending_call_module.PendingCall] = (
@@ -213,7 +212,7 @@
             task.cancel()
         self._fail_waiting(api.LossReason.NO_CONNECTION)
 
-    def _pop_idle(self) -> link_module.SearcherConnection | None:
+    def _pop_idle(self) -> searcher_connection.SearcherConnection | None:
         """Removes and returns the usable idle connection that was used last."""
         now_s = asyncio.get_running_loop().time()
         while self._idle:
@@ -225,7 +224,7 @@
 
     def _send(
         self,
-        link: link_module.SearcherConnection,
+        link: searcher_connection.SearcherConnection,
         pending_call: pending_call_module.PendingCall,
     ) -> None:
         """Writes a call and sets the time at which its connection is cut."""
@@ -294,9 +293,9 @@
         self._links.add(link)
         self._idle.append(link)
 
-    def _make_link(self) -> link_module.SearcherConnection:
+    def _make_link(self) -> searcher_connection.SearcherConnection:
         """Creates the protocol of a new connection."""
-        return link_module.SearcherConnection(
+        return searcher_connection.SearcherConnection(
             self._codec, self._handle_idle, self._handle_closed
         )
 
@@ -334,7 +333,9 @@
         """Returns True while the backoff for a full searcher lasts."""
         return asyncio.get_running_loop().time() < self._full_until_s
 
-    def _handle_idle(self, link: link_module.SearcherConnection) -> None:
+    def _handle_idle(
+        self, link: searcher_connection.SearcherConnection
+    ) -> None:
         """Reuses a connection whose call has ended."""
         self._full_backoff_s = self._full_until_s = 0.0
         if self.unavailable:
@@ -347,7 +348,7 @@
         self._serve_waiting()
 
     def _handle_closed(
-        self, link: link_module.SearcherConnection, refused: bool
+        self, link: searcher_connection.SearcherConnection, refused: bool
     ) -> None:
         """Removes a connection that has closed."""
         if refused:
