--- a/src/azureramp/daemon/process.py
+++ b/src/azureramp/daemon/process.py
@@ -8,7 +8,7 @@
 
 import logbook
 
-from azureramp import sending, settings, timelines
+from azureramp import settings, statsd_metrics, timelines
 from azureramp.daemon import wiring
 from azureramp.ports.peers import nng
 from azureramp.ports.searchers import http as searchers_http
@@ -32,7 +32,7 @@
     Returns:
         The exit code of the process.
     """
-    counters = sending.make_metrics(daemon_settings.statsd_address)
+    counters = statsd_metrics.make_metrics(daemon_settings.statsd_address)
     timeline = timelines.Timeline(daemon_settings.vm)
     incarnation = time.time_ns() // 1000
     ports = wiring.Ports(
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -11,7 +11,7 @@
 import logbook
 import msgspec
 
-from azureramp import catalog, logs, sending
+from azureramp import catalog, logs, statsd_metrics
 from azureramp.controllers.forwarding import (
     board as board_module,
 )
@@ -118,7 +118,7 @@
         loop = asyncio.get_running_loop()
         start = time.time_ns() if seed is None else seed
         rng = random.Random(f"{process_settings.identity.vm}/{start}")
-        counters = sending.make_metrics(
+        counters = statsd_metrics.make_metrics(
             process_settings.environment.statsd_address
         )
         board = board_module.Board(
