--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -17,7 +17,7 @@
     responses,
 )
 from azureramp.controllers import (
-    admitting,
+    admission_control,
     dispatching,
     execution,
     gathering,
@@ -65,7 +65,7 @@
         self,
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
-        admission: admitting.AdmissionController,
+        admission: admission_control.AdmissionController,
         executor: execution.Executor,
         log: request_log.RequestLog,
     ) -> None:
@@ -116,7 +116,7 @@
             The answer, complete or marked as incomplete, or the failure.
         """
         started_s = asyncio.get_running_loop().time()
-        asked = admitting.AdmissionRequest(
+        asked = admission_control.AdmissionRequest(
             query.request_id,
             query.caller,
             query.service,
@@ -137,8 +137,8 @@
 
     async def _run(
         self,
-        asked: admitting.AdmissionRequest,
-        admitted: admitting.Admitted,
+        asked: admission_control.AdmissionRequest,
+        admitted: admission_control.Admitted,
         started_s: float,
     ) -> Answered:
         """Gathers the results of an admitted query's parts."""
@@ -196,7 +196,7 @@
     """
     measured = measurements.Measurements(rng)
     dispatcher = dispatching.Dispatcher(board, outbox, measured)
-    admission = admitting.AdmissionController(board, dispatcher)
+    admission = admission_control.AdmissionController(board, dispatcher)
     log = request_log.RequestLog(board)
     executor = execution.Executor(board, dispatcher, admission, records, log)
     return Coordinator(board, dispatcher, admission, executor, log)
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -22,7 +22,7 @@
     responses,
 )
 from azureramp.controllers import (
-    admitting,
+    admission_control,
     dispatching,
     idempotency,
     request_log,
@@ -87,7 +87,7 @@
         self,
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
-        admission: admitting.AdmissionController,
+        admission: admission_control.AdmissionController,
         records: Records,
         log: request_log.RequestLog,
     ) -> None:
@@ -143,7 +143,7 @@
             The answer, and the index version on which the request ran; 0 if
             it didn't run.
         """
-        asked = admitting.AdmissionRequest(
+        asked = admission_control.AdmissionRequest(
             request.request_id,
             request.caller,
             request.service,
--- a/src/azureramp/controllers/request_log.py
+++ b/src/azureramp/controllers/request_log.py
@@ -12,7 +12,7 @@
     events,
     responses,
 )
-from azureramp.controllers import admitting, dispatching
+from azureramp.controllers import admission_control, dispatching
 
 
 class RequestLog:
@@ -26,7 +26,7 @@
 
     def record_admission(
         self,
-        request: admitting.AdmissionRequest,
+        request: admission_control.AdmissionRequest,
         header: dispatching.RequestHeader,
         version: int,
         idempotency_key: str = "",
