--- a/src/azureramp/controllers/configuration.py
+++ b/src/azureramp/controllers/configuration.py
@@ -18,7 +18,7 @@
 
 from azureramp import blackboard, messages, resources
 from azureramp.controllers import (
-    applied,
+    applied_event,
     changes,
     majority,
     serving,
@@ -308,7 +308,9 @@
             return
         self._recorded_revision = revision
         board.timeline.record(
-            applied.make_applied_event(board.configuration, changed, source),
+            applied_event.make_applied_event(
+                board.configuration, changed, source
+            ),
             asyncio.get_running_loop().time(),
         )
         self._changed.set()
