--- a/src/azureramp/controllers/caller_api.py
+++ b/src/azureramp/controllers/caller_api.py
@@ -15,7 +15,7 @@
     resources,
     responses,
 )
-from azureramp.controllers import answers, caller_input
+from azureramp.controllers import caller_input, http_responses
 from azureramp.controllers import coordinator as coordinator_controller
 from azureramp.policy import addresses, identity
 from azureramp.ports.web import api as web_api
@@ -72,7 +72,7 @@
         """Dispatches a request by its method and path."""
         match request.method, request.path:
             case web_api.UNREADABLE, path:
-                return answers.make_error(_make_server_failure(path))
+                return http_responses.make_error(_make_server_failure(path))
             case "POST", "/v1/query":
                 return await self._query(request)
             case "POST", "/v1/execute":
@@ -81,10 +81,10 @@
                 return self._answer_addresses(request)
             case _, "/v1/query" | "/v1/execute" | "/v1/addresses":
                 kind = errors.Kind.METHOD_NOT_ALLOWED
-                return answers.make_error(errors.Failure(kind))
+                return http_responses.make_error(errors.Failure(kind))
             case _:
                 kind = errors.Kind.NOT_FOUND
-                return answers.make_error(errors.Failure(kind))
+                return http_responses.make_error(errors.Failure(kind))
 
     async def _query(self, request: web_api.Request) -> web_api.Response:
         """Answers POST /v1/query."""
@@ -149,7 +149,7 @@
         identified = self._identify(request)
         if identified.is_error():
             return self._make_error(identified.error, None)
-        return answers.make_ok(
+        return http_responses.make_ok(
             responses.AddressAnswer(
                 addresses=self._order_addresses(identified.ok),
                 lifetime_ms=self._board.settings.address_lifetime_ms,
@@ -240,7 +240,7 @@
         """Makes the response to a request that the coordinator has run."""
         match result:
             case expression.Result(tag="ok", ok=answer):
-                return answers.make_ok(answer)
+                return http_responses.make_ok(answer)
             case expression.Result(error=failure):
                 return self._make_error(failure, caller, request_id)
 
@@ -255,7 +255,7 @@
         wanted = failure.get_answer().retry is errors.Retry.OTHER_ADDRESS
         if caller is not None and wanted:
             others = self._order_addresses(caller)
-        return answers.make_error(
+        return http_responses.make_error(
             failure, request_id=request_id, addresses=others
         )
 
--- a/src/azureramp/controllers/dry_run.py
+++ b/src/azureramp/controllers/dry_run.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from azureramp import errors, resources, responses
-from azureramp.controllers import answers, resource_answers
+from azureramp.controllers import http_responses, resource_answers
 from azureramp.policy import rules, validation
 
 
@@ -42,11 +42,11 @@
     problems = validation.check_resource(resource, scratch)
     revision = before.revision if before else 0
     if problems:
-        error = answers.make_error_body(
+        error = http_responses.make_error_body(
             make_failure(problems), problems=problems
         )
     elif item.expected is not None and item.expected != revision:
-        error = answers.make_error_body(
+        error = http_responses.make_error_body(
             errors.Failure(errors.Kind.CONFLICT), current=before
         )
     else:
--- a/src/azureramp/controllers/resource_api.py
+++ b/src/azureramp/controllers/resource_api.py
@@ -10,9 +10,9 @@
 
 from azureramp import blackboard, errors, resources
 from azureramp.controllers import (
-    answers,
     changes,
     dry_run,
+    http_responses,
     resource_answers,
     vm_status,
 )
@@ -111,7 +111,7 @@
             if entry.kind == kind and entry.resource is not None
         ]
         entries.sort(key=lambda entry: entry.name)
-        return answers.make_ok(
+        return http_responses.make_ok(
             resource_answers.ListAnswer(
                 revision=configuration.revision, entries=tuple(entries)
             )
@@ -121,7 +121,7 @@
         entry = self._board.configuration.entries.get((kind, name))
         if entry is None or entry.resource is None:
             return _refuse(errors.Kind.NOT_FOUND, f"no {kind} {name!r}")
-        return answers.make_ok(entry)
+        return http_responses.make_ok(entry)
 
     async def _put(
         self, request: web_api.Request, kind: str, name: str
@@ -170,7 +170,7 @@
             )
         except msgspec.DecodeError as error:
             return _refuse_problems([_make_problem(error)])
-        return answers.make_ok(
+        return http_responses.make_ok(
             dry_run.check(self._board.configuration, requested.resources)
         )
 
@@ -182,7 +182,7 @@
         entries = tuple(
             entry for entry in part.entries if entry.revision <= part.revision
         )
-        return answers.make_ok(
+        return http_responses.make_ok(
             resource_answers.ListAnswer(
                 revision=max(part.revision, after),
                 whole=part.after < after,
@@ -194,14 +194,14 @@
         requested = None
         if "revision" in request.query:
             requested = _get_int(request, "revision", 0)
-        return answers.make_ok(
+        return http_responses.make_ok(
             vm_status.make_status(self._board, self._configuration, requested)
         )
 
     def _get_timeline(self, request: web_api.Request) -> web_api.Response:
         timeline = self._board.timeline
         records = timeline.get_records(_get_int(request, "after", 0))
-        return answers.make_ok(
+        return http_responses.make_ok(
             resource_answers.TimelineAnswer(
                 vm=timeline.vm,
                 dropped=timeline.dropped,
@@ -239,13 +239,13 @@
 def _refuse_problems(
     problems: Sequence[rules.Problem],
 ) -> web_api.Response:
-    return answers.make_error(
+    return http_responses.make_error(
         dry_run.make_failure(problems), problems=problems[:MAX_PROBLEMS]
     )
 
 
 def _make_stored(entry: resources.Versioned) -> web_api.Response:
-    return answers.make_ok(
+    return http_responses.make_ok(
         resource_answers.ChangeAnswer(
             state=resource_answers.ChangeState.STORED, entry=entry
         )
@@ -253,11 +253,11 @@
 
 
 def _refuse(kind: errors.Kind, detail: str = "") -> web_api.Response:
-    return answers.make_error(errors.Failure(kind, detail))
+    return http_responses.make_error(errors.Failure(kind, detail))
 
 
 def _make_refusal(refusal: changes.Refusal) -> web_api.Response:
-    return answers.make_error(refusal.failure, current=refusal.current)
+    return http_responses.make_error(refusal.failure, current=refusal.current)
 
 
 def make(
--- a/src/azureramp/daemon/wiring.py
+++ b/src/azureramp/daemon/wiring.py
@@ -23,10 +23,10 @@
     timelines,
 )
 from azureramp.controllers import (
-    answers,
     caller_api,
     configuration,
     coordinator,
+    http_responses,
     idempotency,
     inbox,
     membership,
@@ -183,7 +183,7 @@
         except Exception:
             _logger.exception("unhandled exception in a request handler")
             failure = errors.Failure(errors.Kind.INTERNAL)
-            return answers.make_error(failure)
+            return http_responses.make_error(failure)
 
     async def stop(self, aborting: asyncio.Event) -> int:
         """Stops gracefully.
