--- a/src/azureramp/controllers/admission_control.py
+++ b/src/azureramp/controllers/admission_control.py
@@ -9,7 +9,7 @@
 import expression
 
 from azureramp import blackboard, errors, resources
-from azureramp.controllers import dispatching
+from azureramp.controllers import part_dispatcher
 from azureramp.policy import (
     admission,
     deadlines,
@@ -59,7 +59,7 @@
 
     service: resources.Service
     snapshot: snapshots.Snapshot
-    header: dispatching.RequestHeader
+    header: part_dispatcher.RequestHeader
     allowed_ms: float
 
 
@@ -71,7 +71,7 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        dispatcher: dispatching.Dispatcher,
+        dispatcher: part_dispatcher.Dispatcher,
     ) -> None:
         """Creates a gate."""
         self._board = board
@@ -114,7 +114,7 @@
         refused = self._check_load(asked, pinned.ok, answer_s - now_s)
         if refused is not None:
             return expression.Error(refused)
-        header = dispatching.RequestHeader(
+        header = part_dispatcher.RequestHeader(
             request_id=asked.request_id,
             index=asked.index,
             version=pinned.ok.shard_map.version,
--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Iterable
 
 from azureramp import blackboard, errors, events, messages, resources
-from azureramp.controllers import dispatching, searcher_view
+from azureramp.controllers import part_dispatcher, searcher_view
 from azureramp.policy import assembly, hedging, outcomes, snapshots
 
 
@@ -33,8 +33,8 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        dispatcher: dispatching.Dispatcher,
-        header: dispatching.RequestHeader,
+        dispatcher: part_dispatcher.Dispatcher,
+        header: part_dispatcher.RequestHeader,
         state: assembly.Assembly,
     ) -> None:
         """Creates it without attempts."""
--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -18,10 +18,10 @@
 )
 from azureramp.controllers import (
     admission_control,
-    dispatching,
     execution,
     gathering,
     measurements,
+    part_dispatcher,
     request_log,
 )
 from azureramp.controllers import outbox as outbox_controller
@@ -64,7 +64,7 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        dispatcher: dispatching.Dispatcher,
+        dispatcher: part_dispatcher.Dispatcher,
         admission: admission_control.AdmissionController,
         executor: execution.Executor,
         log: request_log.RequestLog,
@@ -195,7 +195,7 @@
         rng: Source of randomness for load shedding and equal choices.
     """
     measured = measurements.Measurements(rng)
-    dispatcher = dispatching.Dispatcher(board, outbox, measured)
+    dispatcher = part_dispatcher.Dispatcher(board, outbox, measured)
     admission = admission_control.AdmissionController(board, dispatcher)
     log = request_log.RequestLog(board)
     executor = execution.Executor(board, dispatcher, admission, records, log)
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -23,8 +23,8 @@
 )
 from azureramp.controllers import (
     admission_control,
-    dispatching,
     idempotency,
+    part_dispatcher,
     request_log,
     single_run,
 )
@@ -86,7 +86,7 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        dispatcher: dispatching.Dispatcher,
+        dispatcher: part_dispatcher.Dispatcher,
         admission: admission_control.AdmissionController,
         records: Records,
         log: request_log.RequestLog,
--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from azureramp import blackboard, errors, messages, resources
-from azureramp.controllers import attempts, dispatching, lateness
+from azureramp.controllers import attempts, lateness, part_dispatcher
 from azureramp.policy import assembly, coverage, outcomes, snapshots
 
 NOT_OWNER_WAIT_S = 0.025
@@ -51,8 +51,8 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        dispatcher: dispatching.Dispatcher,
-        header: dispatching.RequestHeader,
+        dispatcher: part_dispatcher.Dispatcher,
+        header: part_dispatcher.RequestHeader,
         snapshot: snapshots.Snapshot,
         permits: Permits,
         minimum_coverage: float,
--- a/src/azureramp/controllers/request_log.py
+++ b/src/azureramp/controllers/request_log.py
@@ -12,7 +12,7 @@
     events,
     responses,
 )
-from azureramp.controllers import admission_control, dispatching
+from azureramp.controllers import admission_control, part_dispatcher
 
 
 class RequestLog:
@@ -27,7 +27,7 @@
     def record_admission(
         self,
         request: admission_control.AdmissionRequest,
-        header: dispatching.RequestHeader,
+        header: part_dispatcher.RequestHeader,
         version: int,
         idempotency_key: str = "",
     ) -> None:
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from azureramp import blackboard, errors, messages, resources
-from azureramp.controllers import attempts, dispatching, idempotency
+from azureramp.controllers import attempts, idempotency, part_dispatcher
 from azureramp.policy import assembly, outcomes, snapshots
 
 LATE_RESULT_S = 2.0
@@ -60,9 +60,9 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        dispatcher: dispatching.Dispatcher,
+        dispatcher: part_dispatcher.Dispatcher,
         records: Recorder,
-        header: dispatching.RequestHeader,
+        header: part_dispatcher.RequestHeader,
         snapshot: snapshots.Snapshot,
         shard: resources.Shard,
     ) -> None:
