--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -19,9 +19,9 @@
 from azureramp.controllers import (
     admission_control,
     execution,
-    gathering,
     measurements,
     part_dispatcher,
+    query_run,
     request_log,
 )
 from azureramp.controllers import outbox as outbox_controller
@@ -148,7 +148,7 @@
             self._log.record_admission(asked, admitted.header, version)
 
         record_pinned(admitted.header.version)
-        running = gathering.Gathering(
+        running = query_run.Gathering(
             self._board,
             self._dispatcher,
             admitted.header,
