--- a/src/azureramp/controllers/query_run.py
+++ b/src/azureramp/controllers/query_run.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from azureramp import blackboard, errors, messages, resources
-from azureramp.controllers import attempts, lateness, part_dispatcher
+from azureramp.controllers import attempt_monitor, attempts, part_dispatcher
 from azureramp.policy import assembly, coverage, outcomes, snapshots
 
 NOT_OWNER_WAIT_S = 0.025
@@ -84,7 +84,7 @@
             header,
             assembly.Assembly(snapshot.shard_map, permits),
         )
-        self._monitor = lateness.AttemptMonitor(
+        self._monitor = attempt_monitor.AttemptMonitor(
             board, self._attempts, self._handle_lost_owner
         )
         self._finished = asyncio.get_running_loop().create_future()
