--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -13,7 +13,7 @@
     handoffs,
     late_notices,
     owned_searcher,
-    ownership_changes,
+    ownership_reconciler,
     part_runner,
     poisoning,
     probing,
@@ -89,7 +89,7 @@
                 DEDUPLICATION_S, MAX_DEDUPLICATION_KEYS
             )
         )
-        self._reconciler = ownership_changes.OwnershipReconciler(
+        self._reconciler = ownership_reconciler.OwnershipReconciler(
             board,
             port,
             self._directory,
@@ -128,7 +128,7 @@
         else:
             # This VM started without the handoff, but the former owner's
             # running calls still occupy slots.
-            ownership_changes.reserve_slots(owned, sender, message)
+            ownership_reconciler.reserve_slots(owned, sender, message)
 
     def receive_handoff_done(
         self, sender: str, message: messages.HandoffDone
