--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -6,7 +6,7 @@
 import dataclasses
 
 from azureramp import blackboard, errors
-from azureramp.controllers import owned_searcher, poisoning, probing
+from azureramp.controllers import owned_searcher, poison_detection, probing
 from azureramp.policy import queues
 
 LEASE_MARGIN_S = 0.05
@@ -62,7 +62,7 @@
         self,
         board: blackboard.Blackboard,
         holdings: owned_searcher.Holdings,
-        detector: poisoning.PoisonDetector,
+        detector: poison_detection.PoisonDetector,
         prober: probing.Prober,
     ) -> None:
         """Creates the rules of a process."""
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -15,7 +15,7 @@
     owned_searcher,
     ownership_reconciler,
     part_runner,
-    poisoning,
+    poison_detection,
     probing,
     replies,
 )
@@ -69,7 +69,7 @@
         self._prober = probing.Prober(
             board, port, self._holdings, rng, self._handle_probe
         )
-        self._detector = poisoning.PoisonDetector(
+        self._detector = poison_detection.PoisonDetector(
             board, outbox, port, self._directory, self._holdings
         )
         self._runner = part_runner.PartRunner(
--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -7,7 +7,7 @@
 import expression
 
 from azureramp import blackboard, errors, messages
-from azureramp.controllers import owned_searcher, poisoning, probing
+from azureramp.controllers import owned_searcher, poison_detection, probing
 from azureramp.ports.searchers import api as searchers_api
 
 ABANDONED_CALL_S = 0.05
@@ -28,7 +28,7 @@
     def __init__(
         self,
         board: blackboard.Blackboard,
-        detector: poisoning.PoisonDetector,
+        detector: poison_detection.PoisonDetector,
         prober: probing.Prober,
     ) -> None:
         """Creates the handler of one process."""
--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from azureramp.controllers import parts, poisoning
+from azureramp.controllers import parts, poison_detection
 
 Part = parts.Part
 
@@ -15,7 +15,7 @@
 
     __slots__ = ("_detector", "_waiting")
 
-    def __init__(self, detector: poisoning.PoisonDetector) -> None:
+    def __init__(self, detector: poison_detection.PoisonDetector) -> None:
         """Creates an empty queue."""
         self._detector = detector
         self._waiting: dict[int, list[Part]] = {}
