--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -6,7 +6,11 @@
 import dataclasses
 
 from azureramp import blackboard, errors
-from azureramp.controllers import owned_searcher, poison_detection, probing
+from azureramp.controllers import (
+    health_probes,
+    owned_searcher,
+    poison_detection,
+)
 from azureramp.policy import queues
 
 LEASE_MARGIN_S = 0.05
@@ -63,7 +67,7 @@
         board: blackboard.Blackboard,
         holdings: owned_searcher.Holdings,
         detector: poison_detection.PoisonDetector,
-        prober: probing.Prober,
+        prober: health_probes.Prober,
     ) -> None:
         """Creates the rules of a process."""
         self._board = board
--- a/src/azureramp/controllers/owner.py
+++ b/src/azureramp/controllers/owner.py
@@ -11,12 +11,12 @@
 from azureramp.controllers import (
     directory,
     handoffs,
+    health_probes,
     late_notices,
     owned_searcher,
     ownership_reconciler,
     part_runner,
     poison_detection,
-    probing,
     replies,
 )
 from azureramp.controllers import outbox as outbox_module
@@ -66,7 +66,7 @@
         self._directory = directory.SearcherDirectory(board)
         self._holdings = owned_searcher.Holdings()
         self._handoffs = handoffs.Handoffs(board, outbox)
-        self._prober = probing.Prober(
+        self._prober = health_probes.Prober(
             board, port, self._holdings, rng, self._handle_probe
         )
         self._detector = poison_detection.PoisonDetector(
--- a/src/azureramp/controllers/ownership_reconciler.py
+++ b/src/azureramp/controllers/ownership_reconciler.py
@@ -8,9 +8,9 @@
 from azureramp.controllers import (
     directory,
     handoffs,
+    health_probes,
     owned_searcher,
     part_runner,
-    probing,
 )
 from azureramp.policy import connections
 from azureramp.ports.searchers import api as searchers_api
@@ -47,7 +47,7 @@
         places: directory.SearcherDirectory,
         holdings: owned_searcher.Holdings,
         transfers: handoffs.Handoffs,
-        prober: probing.Prober,
+        prober: health_probes.Prober,
         runner: part_runner.PartRunner,
     ) -> None:
         """Creates it without owned searchers."""
--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -7,7 +7,11 @@
 import expression
 
 from azureramp import blackboard, errors, messages
-from azureramp.controllers import owned_searcher, poison_detection, probing
+from azureramp.controllers import (
+    health_probes,
+    owned_searcher,
+    poison_detection,
+)
 from azureramp.ports.searchers import api as searchers_api
 
 ABANDONED_CALL_S = 0.05
@@ -29,7 +33,7 @@
         self,
         board: blackboard.Blackboard,
         detector: poison_detection.PoisonDetector,
-        prober: probing.Prober,
+        prober: health_probes.Prober,
     ) -> None:
         """Creates the handler of one process."""
         self._board = board
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -11,11 +11,11 @@
 from azureramp.controllers import (
     directory,
     dispatch_rules,
+    health_probes,
     late_notices,
     owned_searcher,
     part_outcomes,
     poison_detection,
-    probing,
     replies,
     trial_queue,
 )
@@ -58,7 +58,7 @@
         places: directory.SearcherDirectory,
         holdings: owned_searcher.Holdings,
         detector: poison_detection.PoisonDetector,
-        prober: probing.Prober,
+        prober: health_probes.Prober,
         answers: replies.Replies,
         late: late_notices.LateNotices,
     ) -> None:
