--- a/src/azureramp/controllers/idempotency.py
+++ b/src/azureramp/controllers/idempotency.py
@@ -15,8 +15,8 @@
 
 from azureramp import blackboard, errors, events
 from azureramp.controllers import (
+    record_cache,
     record_claimer,
-    record_memory,
     record_outcomes,
     record_releases,
     record_writer,
@@ -37,8 +37,8 @@
 )
 
 
-Claimed = record_memory.Claim
-Recorded = record_memory.RecordedOutcome
+Claimed = record_cache.Claim
+Recorded = record_cache.RecordedOutcome
 
 Answer = expression.Result[Claimed | Recorded, errors.Failure]
 
@@ -87,7 +87,7 @@
         self._pace = record_limits.ClaimRateLimit()
         self._quota = record_limits.RecordQuota()
         self._number = 0
-        self._memory = record_memory.RecordMemory()
+        self._memory = record_cache.RecordMemory()
 
     async def claim(
         self, caller: str, key: str, request_hash: int, request_id: str
