--- a/src/azureramp/cli/apply.py
+++ b/src/azureramp/cli/apply.py
@@ -10,7 +10,7 @@
 from azureramp.cli import (
     changing,
     checking,
-    exits,
+    exit_codes,
     files,
     options,
     output,
@@ -71,7 +71,7 @@
     declared: list[files.DeclaredResource],
     shows_diff: bool = False,
     wait_s: float | None = None,
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Writes resources in the given order; stops at the first refusal.
 
     Args:
@@ -112,4 +112,4 @@
         )
     if last_revision and wait_s is not None:
         return await changing.wait_in_force(client, last_revision, wait_s)
-    return exits.ExitCode.OK
+    return exit_codes.ExitCode.OK
--- a/src/azureramp/cli/changing.py
+++ b/src/azureramp/cli/changing.py
@@ -10,7 +10,7 @@
 
 from azureramp import errors, resources, responses
 from azureramp.cli import client as client_module
-from azureramp.cli import exits, output
+from azureramp.cli import exit_codes, output
 from azureramp.controllers import resource_answers
 
 POLL_INTERVAL_S = 0.1
@@ -65,7 +65,7 @@
 
 async def wait_in_force(
     client: client_module.Client, revision: int, wait_s: float
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Polls until a revision is in force, printing each change of state.
 
     Any VM may answer. One that has not received the revision yet reports
@@ -97,7 +97,7 @@
                 output.print_state(code, client.common, *words)
                 shown = (code, *words)
             if status.state is resource_answers.ChangeState.IN_FORCE:
-                return exits.ExitCode.OK
+                return exit_codes.ExitCode.OK
         if loop.time() >= deadline_s:
             output.print_state(
                 "not_in_force",
@@ -106,7 +106,7 @@
                 f"wait_s={wait_s:g}",
                 err=True,
             )
-            return exits.ExitCode.NOT_IN_FORCE
+            return exit_codes.ExitCode.NOT_IN_FORCE
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
--- a/src/azureramp/cli/checking.py
+++ b/src/azureramp/cli/checking.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from azureramp.cli import client as client_module
-from azureramp.cli import exits, files, options, output
+from azureramp.cli import exit_codes, files, options, output
 from azureramp.controllers import resource_answers
 
 
@@ -14,7 +14,7 @@
     common: options.CommonOptions,
     declared: list[files.DeclaredResource],
     shows_diff: bool,
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Validates resources together on a VM, as if written in this order.
 
     Args:
@@ -42,7 +42,7 @@
     )
     if result.is_error():
         return output.print_error(result.error, common)
-    code = exits.ExitCode.OK
+    code = exit_codes.ExitCode.OK
     for checked in result.ok.results:
         entry = checked.entry
         subject = f"{entry.kind}/{entry.name}"
--- a/src/azureramp/cli/delete.py
+++ b/src/azureramp/cli/delete.py
@@ -7,7 +7,7 @@
 import click
 
 from azureramp import errors, resources
-from azureramp.cli import changing, exits, options, output, waiting
+from azureramp.cli import changing, exit_codes, options, output, waiting
 from azureramp.cli import client as client_module
 
 
@@ -40,7 +40,7 @@
     name: str,
     revision: int | None = None,
     wait_s: float | None = None,
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Deletes a resource.
 
     Args:
@@ -72,4 +72,4 @@
     output.print_state("stored", common, subject, f"revision={written}")
     if wait_s is not None:
         return await changing.wait_in_force(client, written, wait_s)
-    return exits.ExitCode.OK
+    return exit_codes.ExitCode.OK
--- a/src/azureramp/cli/explain.py
+++ b/src/azureramp/cli/explain.py
@@ -8,7 +8,7 @@
 import click
 
 from azureramp import explanations, log_lines, timelines
-from azureramp.cli import exits
+from azureramp.cli import exit_codes
 
 
 @click.command("explain")
@@ -19,7 +19,9 @@
     required=True,
     type=click.Path(exists=True, dir_okay=False, path_type=pathlib.Path),
 )
-def command(request: str, files: tuple[pathlib.Path, ...]) -> exits.ExitCode:
+def command(
+    request: str, files: tuple[pathlib.Path, ...]
+) -> exit_codes.ExitCode:
     """Explains why a request failed, from the logs of all VMs.
 
     REQUEST is the request id. FILES are the log files of the VMs, in any
@@ -34,10 +36,10 @@
             " or its line was dropped (counted by azureramp_log_dropped)",
             err=True,
         )
-        return exits.ExitCode.NOT_FOUND
+        return exit_codes.ExitCode.NOT_FOUND
     for row in format_explanation(explanation):
         click.echo(row)
-    return exits.ExitCode.OK
+    return exit_codes.ExitCode.OK
 
 
 def format_explanation(explanation: explanations.Explanation) -> Iterator[str]:
--- a/src/azureramp/cli/get.py
+++ b/src/azureramp/cli/get.py
@@ -7,7 +7,7 @@
 import click
 
 from azureramp import errors, resources
-from azureramp.cli import changing, exits, options, output
+from azureramp.cli import changing, exit_codes, options, output
 from azureramp.cli import client as client_module
 from azureramp.controllers import resource_answers
 
@@ -39,7 +39,7 @@
     kind: str,
     name: str = "",
     output_format: str = "yaml",
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Prints resources.
 
     Args:
@@ -72,4 +72,4 @@
         output.print_json(documents)
     elif documents:
         click.echo(output.format_yaml(documents), nl=False)
-    return exits.ExitCode.OK
+    return exit_codes.ExitCode.OK
--- a/src/azureramp/cli/losses.py
+++ b/src/azureramp/cli/losses.py
@@ -10,7 +10,7 @@
 
 from azureramp import log_lines, timelines
 from azureramp import losses as losses_module
-from azureramp.cli import exits
+from azureramp.cli import exit_codes
 
 MAX_NAMES = 4
 """Maximum number of shards, searchers or VMs named in a row."""
@@ -38,7 +38,7 @@
 )
 def command(
     logs: tuple[pathlib.Path, ...], span_s: float, worst: int | None
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Shows when requests were late, short, refused or failed, and why.
 
     LOGS are the log files of all VMs, in any order. Each row covers a time
@@ -56,7 +56,7 @@
     for span in spans:
         for row in format_losses(span, losses_by_span[span]):
             click.echo(row)
-    return exits.ExitCode.OK
+    return exit_codes.ExitCode.OK
 
 
 def format_losses(
--- a/src/azureramp/cli/main.py
+++ b/src/azureramp/cli/main.py
@@ -11,7 +11,7 @@
     apply,
     delete,
     drain_zone,
-    exits,
+    exit_codes,
     explain,
     get,
     losses,
@@ -64,13 +64,13 @@
         )
     except click.exceptions.NoArgsIsHelpError as error:
         error.show()
-        return exits.ExitCode.USAGE
+        return exit_codes.ExitCode.USAGE
     except click.ClickException as error:
         click.echo(f"azureramp: {format_usage_error(error)}", err=True)
-        return exits.ExitCode.USAGE
+        return exit_codes.ExitCode.USAGE
     except click.Abort:
         return 130
-    return code if isinstance(code, int) else exits.ExitCode.OK
+    return code if isinstance(code, int) else exit_codes.ExitCode.OK
 
 
 def format_usage_error(error: click.ClickException) -> str:
--- a/src/azureramp/cli/output.py
+++ b/src/azureramp/cli/output.py
@@ -10,7 +10,7 @@
 import yaml
 
 from azureramp import resources, responses, texts
-from azureramp.cli import exits, options
+from azureramp.cli import exit_codes, options
 
 
 def print_json(value: Any) -> None:
@@ -43,7 +43,7 @@
     answer: responses.ErrorAnswer,
     common: options.CommonOptions,
     subject: str = "",
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Prints an error answer to stderr, its code first.
 
     Args:
@@ -69,7 +69,7 @@
         click.echo(line.rstrip(), err=True)
     if answer.present is not None:
         click.echo(format_entry(answer.present), err=True)
-    return exits.get_exit_code(answer.code)
+    return exit_codes.get_exit_code(answer.code)
 
 
 def format_entry(entry: resources.Versioned) -> str:
--- a/src/azureramp/cli/rollouts.py
+++ b/src/azureramp/cli/rollouts.py
@@ -9,7 +9,7 @@
 import click
 
 from azureramp import log_lines, rollout_steps, timelines
-from azureramp.cli import exits
+from azureramp.cli import exit_codes
 
 POLL_INTERVAL_S = 1.0
 """Time between two reads of the logs with `--watch`, in seconds."""
@@ -32,7 +32,7 @@
 )
 def command(
     logs: tuple[pathlib.Path, ...], service: str | None, watch: bool
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Shows the steps of roll-outs, from the logs of all VMs.
 
     LOGS are the log files of the VMs, in any order. Each step has a row with
@@ -51,8 +51,8 @@
         time.sleep(POLL_INTERVAL_S)
     if not printed:
         click.echo("no roll-out in these logs", err=True)
-        return exits.ExitCode.NOT_FOUND
-    return exits.ExitCode.OK
+        return exit_codes.ExitCode.NOT_FOUND
+    return exit_codes.ExitCode.OK
 
 
 def format_steps(
--- a/src/azureramp/cli/status.py
+++ b/src/azureramp/cli/status.py
@@ -7,7 +7,7 @@
 import click
 
 from azureramp.cli import client as client_module
-from azureramp.cli import exits, options, output
+from azureramp.cli import exit_codes, options, output
 from azureramp.controllers import resource_answers
 
 
@@ -37,7 +37,7 @@
     common: options.CommonOptions,
     revision: int | None = None,
     output_format: str = "text",
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Prints the state of all VMs.
 
     Args:
@@ -59,7 +59,7 @@
     status = result.ok
     if output_format == "json":
         output.print_json(status)
-        return exits.ExitCode.OK
+        return exit_codes.ExitCode.OK
     output.print_state(
         status.state.value,
         common,
@@ -79,7 +79,7 @@
             f"revision={member.revision} "
             f"heard_age_ms={_format_age(member.heard_age_ms)}"
         )
-    return exits.ExitCode.OK
+    return exit_codes.ExitCode.OK
 
 
 def _format_age(age_ms: float | None) -> str:
--- a/src/azureramp/cli/timeline.py
+++ b/src/azureramp/cli/timeline.py
@@ -12,7 +12,7 @@
 
 from azureramp import timelines
 from azureramp.cli import client as client_module
-from azureramp.cli import exits, options, output, selecting
+from azureramp.cli import exit_codes, options, output, selecting
 from azureramp.controllers import resource_answers
 
 MAX_CONCURRENT_VMS = 16
@@ -104,7 +104,7 @@
     common: options.CommonOptions,
     wanted: selecting.EventFilter | None = None,
     output_format: str = "text",
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Prints the events that match the criteria.
 
     Args:
@@ -126,7 +126,7 @@
     for record in selecting.select(merged, wanted or selecting.EventFilter()):
         click.echo(format_record(record, output_format))
     _print_gaps(common, collected, output_format)
-    return exits.ExitCode.OK
+    return exit_codes.ExitCode.OK
 
 
 async def collect(
--- a/src/azureramp/cli/watch.py
+++ b/src/azureramp/cli/watch.py
@@ -7,7 +7,7 @@
 import click
 
 from azureramp.cli import client as client_module
-from azureramp.cli import exits, options, output
+from azureramp.cli import exit_codes, options, output
 from azureramp.controllers import resource_answers
 
 LONG_POLL_MS = 20_000
@@ -45,7 +45,7 @@
 
 async def run(
     common: options.CommonOptions, after: int = 0, count: int = 0
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Prints changes after a revision.
 
     Args:
@@ -82,5 +82,5 @@
             click.echo(output.format_entry(entry))
             printed += 1
             if printed == count:
-                return exits.ExitCode.OK
+                return exit_codes.ExitCode.OK
         after = max(after, result.ok.revision)
--- a/src/azureramp/cli/zones.py
+++ b/src/azureramp/cli/zones.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from azureramp import errors, resources
-from azureramp.cli import changing, exits, options, output
+from azureramp.cli import changing, exit_codes, options, output
 from azureramp.cli import client as client_module
 
 KIND = "availability_zone"
@@ -14,7 +14,7 @@
     name: str,
     state: resources.ZoneState,
     wait_s: float | None = None,
-) -> exits.ExitCode:
+) -> exit_codes.ExitCode:
     """Writes the state of a zone and optionally waits until it is in force.
 
     Args:
@@ -51,4 +51,4 @@
         )
     if wait_s is not None:
         return await changing.wait_in_force(client, revision, wait_s)
-    return exits.ExitCode.OK
+    return exit_codes.ExitCode.OK
--- a/src/azureramp_standins/reference.py
+++ b/src/azureramp_standins/reference.py
@@ -8,7 +8,7 @@
 import click
 
 from azureramp import errors, metrics, settings, texts
-from azureramp.cli import exits, main
+from azureramp.cli import exit_codes, main
 
 DIRECTORY = pathlib.Path(__file__).parents[2] / "docs" / "reference"
 
@@ -35,8 +35,12 @@
         make_table(
             ["code", "name", "meaning"],
             (
-                [str(code.value), code.name.lower(), exits.DESCRIPTIONS[code]]
-                for code in exits.ExitCode
+                [
+                    str(code.value),
+                    code.name.lower(),
+                    exit_codes.DESCRIPTIONS[code],
+                ]
+                for code in exit_codes.ExitCode
             ),
         ),
     ]
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -16,7 +16,7 @@
     checking,
     client,
     delete,
-    exits,
+    exit_codes,
     files,
     get,
     options,
@@ -106,13 +106,14 @@
         deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         assert (
-            await apply.run(common, declared, wait_s=5.0) == exits.ExitCode.OK
+            await apply.run(common, declared, wait_s=5.0)
+            == exit_codes.ExitCode.OK
         )
         lines = capsys.readouterr().out.splitlines()
         assert [line.split()[0] for line in lines[:4]] == ["stored"] * 4
         assert lines[-1].startswith("in_force revision=")
         assert "in_force_on=3/3" in lines[-1]
-        assert await apply.run(common, declared) == exits.ExitCode.OK
+        assert await apply.run(common, declared) == exit_codes.ExitCode.OK
         assert capsys.readouterr().out.count("unchanged") == 4
 
     run(scenario)
@@ -125,13 +126,13 @@
         deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
         code = await checking.run(common, declared, True)
-        assert code == exits.ExitCode.OK
+        assert code == exit_codes.ExitCode.OK
         out = capsys.readouterr().out
         assert out.count("valid ") == 4
         assert "+  - name: oltás-1-a" in out or "+- name: oltás-1-a" in out
         assert not deployment.processes[0].board.configuration.get_zones()
         code = await checking.run(common, declared[2:], False)
-        assert code == exits.ExitCode.REFUSED
+        assert code == exit_codes.ExitCode.REFUSED
         err = capsys.readouterr().err
         assert "zone: unknown_reference" in err
 
@@ -160,8 +161,8 @@
         path = tmp_path / "zone.yaml"
         path.write_text(text.replace("in_service", "out"))
         changed = files.read(str(path)).ok
-        assert await apply.run(common, changed) == exits.ExitCode.OK
-        assert await apply.run(common, changed) == exits.ExitCode.CONFLICT
+        assert await apply.run(common, changed) == exit_codes.ExitCode.OK
+        assert await apply.run(common, changed) == exit_codes.ExitCode.CONFLICT
         err = capsys.readouterr().err
         assert err.startswith("conflict availability_zone/d not_run - ")
         assert '"state":"out"' in err
@@ -177,15 +178,15 @@
     ) -> None:
         await apply.run(common, declared)
         code = await zones.change_state(common, "d", OUT, 5.0)
-        assert code == exits.ExitCode.OK
+        assert code == exit_codes.ExitCode.OK
         for process in deployment.processes:
             assert process.get_zones_out() == {"d"}
         code = await zones.change_state(common, "misspelt", OUT, 5.0)
-        assert code == exits.ExitCode.NOT_FOUND
+        assert code == exit_codes.ExitCode.NOT_FOUND
         code = await zones.change_state(
             common, "d", resources.ZoneState.IN_SERVICE, 5.0
         )
-        assert code == exits.ExitCode.OK
+        assert code == exit_codes.ExitCode.OK
         assert deployment.processes[2].get_zones_out() == set()
 
     run(scenario)
@@ -209,7 +210,8 @@
         deployment.set_down(2)
         capsys.readouterr()
         assert (
-            await zones.change_state(common, "d", OUT, 5.0) == exits.ExitCode.OK
+            await zones.change_state(common, "d", OUT, 5.0)
+            == exit_codes.ExitCode.OK
         )
         assert not deployment.processes[2].may_work()
         lines = capsys.readouterr().out.splitlines()
@@ -238,7 +240,10 @@
         short_timeout = options.CommonOptions(
             common.addresses, common.token, "en", 0.5
         )
-        assert await apply.run(short_timeout, declared[:1]) == exits.ExitCode.OK
+        assert (
+            await apply.run(short_timeout, declared[:1])
+            == exit_codes.ExitCode.OK
+        )
 
     run(scenario)
 
@@ -254,11 +259,11 @@
             common.addresses, common.token, "hu", 5.0
         )
         code = await delete.run(hungarian, "availability_zone", "d")
-        assert code == exits.ExitCode.REFUSED
+        assert code == exit_codes.ExitCode.REFUSED
         err = capsys.readouterr().err
         assert "name: still_referenced - Még hivatkozik rá:" in err
         code = await delete.run(common, "shard_map", "arrears.1", wait_s=5.0)
-        assert code == exits.ExitCode.OK
+        assert code == exit_codes.ExitCode.OK
 
     run(scenario)
 
@@ -271,7 +276,7 @@
     ) -> None:
         await apply.run(common, declared, wait_s=5.0)
         capsys.readouterr()
-        assert await watch.run(common, count=4) == exits.ExitCode.OK
+        assert await watch.run(common, count=4) == exit_codes.ExitCode.OK
         lines = capsys.readouterr().out.splitlines()
         after = json.loads(lines[-1])["revision"]
         task = asyncio.create_task(watch.run(common, after, 1))
@@ -331,7 +336,7 @@
         await asyncio.sleep(5.0)
         capsys.readouterr()
         wanted = selecting.EventFilter(zone="d")
-        assert await timeline.run(common, wanted) == exits.ExitCode.OK
+        assert await timeline.run(common, wanted) == exit_codes.ExitCode.OK
         printed = capsys.readouterr()
         assert "no_answer vms=vm-2" in printed.err
         assert "configuration.accepted resource_kind=availability_zone" in (
@@ -366,7 +371,7 @@
             addresses or common.addresses, token, "en", 1.0
         )
         ended = await status.run(wrong)
-        assert ended == exits.get_exit_code(code)
+        assert ended == exit_codes.get_exit_code(code)
         assert capsys.readouterr().err.startswith(f"{code} {ran} - ")
 
     run(scenario)
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from azureramp.cli import exits, main
+from azureramp.cli import exit_codes, main
 
 CONNECTED = ["--address", "127.0.0.1:1", "--token", "t"]
 
@@ -15,7 +15,7 @@
     monkeypatch.setenv("AZURERAMP_ADDRESS", "10.0.0.1:1, here")
     monkeypatch.setenv("AZURERAMP_TOKEN", "t")
 
-    assert main.run(["status"]) == exits.ExitCode.USAGE
+    assert main.run(["status"]) == exit_codes.ExitCode.USAGE
     assert "AZURERAMP_ADDRESS): 'here' is not" in capsys.readouterr().err
 
 
@@ -50,7 +50,7 @@
     code = main.run(arguments)
 
     lines = capsys.readouterr().err.splitlines()
-    assert code == exits.ExitCode.USAGE
+    assert code == exit_codes.ExitCode.USAGE
     assert len(lines) == 1
     for word in words:
         assert word in lines[0]
--- a/tests/test_rollout_steps.py
+++ b/tests/test_rollout_steps.py
@@ -9,7 +9,7 @@
 import pytest
 
 from azureramp import log_lines, rollout_steps
-from azureramp.cli import exits, main
+from azureramp.cli import exit_codes, main
 
 STEP = {
     "at": "2026-07-14T04:46:01.000Z",
@@ -61,7 +61,7 @@
 ) -> None:
     path = tmp_path / "log"
     path.write_text(write() + "\n" + write(service="other"), "utf-8")
-    assert run(path, "--service", "statements") == exits.ExitCode.OK
+    assert run(path, "--service", "statements") == exit_codes.ExitCode.OK
     output = capsys.readouterr().out
     assert "rolled_back after 3.2 s, 12 of 120 calls (10.0%)" in output
     assert "by vm-3: the new version answers worse" in output
@@ -74,5 +74,5 @@
 ) -> None:
     path = tmp_path / "log"
     path.write_text(write(channel="x"), "utf-8")
-    assert run(path) == exits.ExitCode.NOT_FOUND
+    assert run(path) == exit_codes.ExitCode.NOT_FOUND
     assert "no roll-out" in capsys.readouterr().err
