--- a/src/azureramp/cli/apply.py
+++ b/src/azureramp/cli/apply.py
@@ -8,12 +8,12 @@
 
 from azureramp import resources
 from azureramp.cli import (
-    changing,
     checking,
     exit_codes,
     files,
     options,
     output,
+    resource_calls,
     waiting,
 )
 from azureramp.cli import client as client_module
@@ -90,7 +90,7 @@
         resource = item.resource
         kind = resources.get_kind(resource)
         subject = f"{kind}/{resource.name}"
-        found = await changing.get(client, kind, resource.name)
+        found = await resource_calls.get(client, kind, resource.name)
         if found.is_error():
             return output.print_error(found.error, common, subject)
         current = found.ok
@@ -100,7 +100,7 @@
         elif current is not None and current.resource == resource:
             output.print_state("unchanged", common, subject)
             continue
-        written = await changing.put(client, resource, expected)
+        written = await resource_calls.put(client, resource, expected)
         if written.is_error():
             return output.print_error(written.error, common, subject)
         last_revision = written.ok.revision
@@ -111,5 +111,5 @@
             "stored", common, subject, f"revision={last_revision}"
         )
     if last_revision and wait_s is not None:
-        return await changing.wait_in_force(client, last_revision, wait_s)
+        return await resource_calls.wait_in_force(client, last_revision, wait_s)
     return exit_codes.ExitCode.OK
--- a/src/azureramp/cli/delete.py
+++ b/src/azureramp/cli/delete.py
@@ -7,8 +7,8 @@
 import click
 
 from azureramp import errors, resources
-from azureramp.cli import changing, exit_codes, options, output, waiting
 from azureramp.cli import client as client_module
+from azureramp.cli import exit_codes, options, output, resource_calls, waiting
 
 
 @click.command("delete")
@@ -58,18 +58,18 @@
     client = client_module.Client(common)
     subject = f"{kind}/{name}"
     if revision is None:
-        found = await changing.get(client, kind, name)
+        found = await resource_calls.get(client, kind, name)
         if found.is_error():
             return output.print_error(found.error, common, subject)
         if found.ok is None:
             missing = client_module.make_error_answer(errors.Kind.NOT_FOUND)
             return output.print_error(missing, common, subject)
         revision = found.ok.revision
-    result = await changing.delete(client, kind, name, revision)
+    result = await resource_calls.delete(client, kind, name, revision)
     if result.is_error():
         return output.print_error(result.error, common, subject)
     written = result.ok.revision
     output.print_state("stored", common, subject, f"revision={written}")
     if wait_s is not None:
-        return await changing.wait_in_force(client, written, wait_s)
+        return await resource_calls.wait_in_force(client, written, wait_s)
     return exit_codes.ExitCode.OK
--- a/src/azureramp/cli/get.py
+++ b/src/azureramp/cli/get.py
@@ -7,8 +7,8 @@
 import click
 
 from azureramp import errors, resources
-from azureramp.cli import changing, exit_codes, options, output
 from azureramp.cli import client as client_module
+from azureramp.cli import exit_codes, options, output, resource_calls
 from azureramp.controllers import resource_answers
 
 
@@ -53,7 +53,7 @@
     """
     client = client_module.Client(common)
     if name:
-        found = await changing.get(client, kind, name)
+        found = await resource_calls.get(client, kind, name)
         if found.is_error():
             return output.print_error(found.error, common)
         if found.ok is None:
--- a/src/azureramp/cli/zones.py
+++ b/src/azureramp/cli/zones.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from azureramp import errors, resources
-from azureramp.cli import changing, exit_codes, options, output
 from azureramp.cli import client as client_module
+from azureramp.cli import exit_codes, options, output, resource_calls
 
 KIND = "availability_zone"
 
@@ -31,7 +31,7 @@
     """
     client = client_module.Client(common)
     subject = f"{KIND}/{name}"
-    found = await changing.get(client, KIND, name)
+    found = await resource_calls.get(client, KIND, name)
     if found.is_error():
         return output.print_error(found.error, common, subject)
     if found.ok is None:
@@ -42,7 +42,7 @@
     if found.ok.resource == wanted:
         output.print_state("unchanged", common, subject, state.value)
     else:
-        written = await changing.put(client, wanted, revision)
+        written = await resource_calls.put(client, wanted, revision)
         if written.is_error():
             return output.print_error(written.error, common, subject)
         revision = written.ok.revision
@@ -50,5 +50,5 @@
             "stored", common, subject, state.value, f"revision={revision}"
         )
     if wait_s is not None:
-        return await changing.wait_in_force(client, revision, wait_s)
+        return await resource_calls.wait_in_force(client, revision, wait_s)
     return exit_codes.ExitCode.OK
