--- a/src/azureramp/cli/apply.py
+++ b/src/azureramp/cli/apply.py
@@ -7,8 +7,11 @@
 import click
 
 from azureramp import resources
+from azureramp.cli import client as client_module
+from azureramp.cli import (
+    dry_run as dry_run_module,
+)
 from azureramp.cli import (
-    checking,
     exit_codes,
     files,
     options,
@@ -16,7 +19,6 @@
     resource_calls,
     waiting,
 )
-from azureramp.cli import client as client_module
 
 
 @click.command("apply")
@@ -61,7 +63,7 @@
         declared += result.ok
     declared.sort(key=lambda item: files.get_dependency_rank(item.resource))
     if dry_run:
-        return asyncio.run(checking.run(common, declared, shows_diff))
+        return asyncio.run(dry_run_module.run(common, declared, shows_diff))
     wait_s = wait_ms / 1000 if waits else None
     return asyncio.run(run(common, declared, shows_diff, wait_s))
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -13,9 +13,9 @@
 from azureramp import resources, responses
 from azureramp.cli import (
     apply,
-    checking,
     client,
     delete,
+    dry_run,
     exit_codes,
     files,
     get,
@@ -125,13 +125,13 @@
     async def scenario(
         deployment: configured.Deployment, common: options.CommonOptions
     ) -> None:
-        code = await checking.run(common, declared, True)
+        code = await dry_run.run(common, declared, True)
         assert code == exit_codes.ExitCode.OK
         out = capsys.readouterr().out
         assert out.count("valid ") == 4
         assert "+  - name: oltás-1-a" in out or "+- name: oltás-1-a" in out
         assert not deployment.processes[0].board.configuration.get_zones()
-        code = await checking.run(common, declared[2:], False)
+        code = await dry_run.run(common, declared[2:], False)
         assert code == exit_codes.ExitCode.REFUSED
         err = capsys.readouterr().err
         assert "zone: unknown_reference" in err
