--- a/src/azureramp/cli/apply.py
+++ b/src/azureramp/cli/apply.py
@@ -17,7 +17,7 @@
     options,
     output,
     resource_calls,
-    waiting,
+    wait_options,
 )
 
 
@@ -38,7 +38,7 @@
 @click.option(
     "--diff", "shows_diff", is_flag=True, help="Print a diff of each change."
 )
-@waiting.add_wait_options
+@wait_options.add_wait_options
 @options.add_common_options
 def command(
     common: options.CommonOptions,
--- a/src/azureramp/cli/delete.py
+++ b/src/azureramp/cli/delete.py
@@ -8,7 +8,13 @@
 
 from azureramp import errors, resources
 from azureramp.cli import client as client_module
-from azureramp.cli import exit_codes, options, output, resource_calls, waiting
+from azureramp.cli import (
+    exit_codes,
+    options,
+    output,
+    resource_calls,
+    wait_options,
+)
 
 
 @click.command("delete")
@@ -19,7 +25,7 @@
     type=options.IntegerRange(1, 2**63 - 1),
     help="Delete only if this is still the current revision.",
 )
-@waiting.add_wait_options
+@wait_options.add_wait_options
 @options.add_common_options
 def command(
     common: options.CommonOptions,
--- a/src/azureramp/cli/drain_zone.py
+++ b/src/azureramp/cli/drain_zone.py
@@ -7,12 +7,12 @@
 import click
 
 from azureramp import resources
-from azureramp.cli import options, waiting, zones
+from azureramp.cli import options, wait_options, zones
 
 
 @click.command("drain-zone")
 @click.argument("zone")
-@waiting.add_wait_options
+@wait_options.add_wait_options
 @options.add_common_options
 def command(
     common: options.CommonOptions, zone: str, waits: bool, wait_ms: int
