--- a/src/azureramp/cli/timeline.py
+++ b/src/azureramp/cli/timeline.py
@@ -12,7 +12,7 @@
 
 from azureramp import timelines
 from azureramp.cli import client as client_module
-from azureramp.cli import exit_codes, options, output, selecting
+from azureramp.cli import event_filter, exit_codes, options, output
 from azureramp.controllers import resource_answers
 
 MAX_CONCURRENT_VMS = 16
@@ -96,13 +96,13 @@
     An event never precedes the event that caused it, even if the clocks of
     the VMs differ. VMs that did not answer are listed at the end.
     """
-    wanted = selecting.EventFilter(request, key, zone, since, until)
+    wanted = event_filter.EventFilter(request, key, zone, since, until)
     return asyncio.run(run(common, wanted, output_format))
 
 
 async def run(
     common: options.CommonOptions,
-    wanted: selecting.EventFilter | None = None,
+    wanted: event_filter.EventFilter | None = None,
     output_format: str = "text",
 ) -> exit_codes.ExitCode:
     """Prints the events that match the criteria.
@@ -123,7 +123,9 @@
         return output.print_error(status.error, common)
     collected = await collect(common, status.ok.members)
     merged = timelines.merge(collected.timelines)
-    for record in selecting.select(merged, wanted or selecting.EventFilter()):
+    for record in event_filter.select(
+        merged, wanted or event_filter.EventFilter()
+    ):
         click.echo(format_record(record, output_format))
     _print_gaps(common, collected, output_format)
     return exit_codes.ExitCode.OK
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -16,11 +16,11 @@
     client,
     delete,
     dry_run,
+    event_filter,
     exit_codes,
     files,
     get,
     options,
-    selecting,
     status,
     timeline,
     watch,
@@ -335,7 +335,7 @@
         )
         await asyncio.sleep(5.0)
         capsys.readouterr()
-        wanted = selecting.EventFilter(zone="d")
+        wanted = event_filter.EventFilter(zone="d")
         assert await timeline.run(common, wanted) == exit_codes.ExitCode.OK
         printed = capsys.readouterr()
         assert "no_answer vms=vm-2" in printed.err
