--- a/src/azureramp/cli/apply.py
+++ b/src/azureramp/cli/apply.py
@@ -13,10 +13,10 @@
 )
 from azureramp.cli import (
     exit_codes,
-    files,
     options,
     output,
     resource_calls,
+    resource_files,
     wait_options,
 )
 
@@ -55,13 +55,15 @@
     stops at the first resource that is refused; resources written before it
     are kept.
     """
-    declared: list[files.DeclaredResource] = []
+    declared: list[resource_files.DeclaredResource] = []
     for path in paths:
-        result = files.read(path)
+        result = resource_files.read(path)
         if result.is_error():
             raise click.UsageError(f"--file: {result.error}")
         declared += result.ok
-    declared.sort(key=lambda item: files.get_dependency_rank(item.resource))
+    declared.sort(
+        key=lambda item: resource_files.get_dependency_rank(item.resource)
+    )
     if dry_run:
         return asyncio.run(dry_run_module.run(common, declared, shows_diff))
     wait_s = wait_ms / 1000 if waits else None
@@ -70,7 +72,7 @@
 
 async def run(
     common: options.CommonOptions,
-    declared: list[files.DeclaredResource],
+    declared: list[resource_files.DeclaredResource],
     shows_diff: bool = False,
     wait_s: float | None = None,
 ) -> exit_codes.ExitCode:
--- a/src/azureramp/cli/dry_run.py
+++ b/src/azureramp/cli/dry_run.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from azureramp.cli import client as client_module
-from azureramp.cli import exit_codes, files, options, output
+from azureramp.cli import exit_codes, options, output, resource_files
 from azureramp.controllers import resource_answers
 
 
 async def run(
     common: options.CommonOptions,
-    declared: list[files.DeclaredResource],
+    declared: list[resource_files.DeclaredResource],
     shows_diff: bool,
 ) -> exit_codes.ExitCode:
     """Validates resources together on a VM, as if written in this order.
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -18,9 +18,9 @@
     dry_run,
     event_filter,
     exit_codes,
-    files,
     get,
     options,
+    resource_files,
     status,
     timeline,
     watch,
@@ -90,17 +90,18 @@
 
 
 @pytest.fixture
-def declared(tmp_path: pathlib.Path) -> list[files.DeclaredResource]:
+def declared(tmp_path: pathlib.Path) -> list[resource_files.DeclaredResource]:
     path = tmp_path / "file.yaml"
     path.write_text(FILE, encoding="utf-8")
     return sorted(
-        files.read(str(path)).ok,
-        key=lambda item: files.get_dependency_rank(item.resource),
+        resource_files.read(str(path)).ok,
+        key=lambda item: resource_files.get_dependency_rank(item.resource),
     )
 
 
 def test_apply_writes_in_dependency_order_and_waits_until_in_force(
-    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
+    declared: list[resource_files.DeclaredResource],
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def scenario(
         deployment: configured.Deployment, common: options.CommonOptions
@@ -120,7 +121,8 @@
 
 
 def test_dry_run_resolves_references_within_the_file_and_changes_nothing(
-    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
+    declared: list[resource_files.DeclaredResource],
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def scenario(
         deployment: configured.Deployment, common: options.CommonOptions
@@ -140,7 +142,7 @@
 
 
 def test_output_of_get_can_be_edited_and_applied(
-    declared: list[files.DeclaredResource],
+    declared: list[resource_files.DeclaredResource],
     capsys: pytest.CaptureFixture[str],
     tmp_path: pathlib.Path,
 ) -> None:
@@ -160,7 +162,7 @@
         assert yaml.safe_load(text)["revision"] > 0
         path = tmp_path / "zone.yaml"
         path.write_text(text.replace("in_service", "out"))
-        changed = files.read(str(path)).ok
+        changed = resource_files.read(str(path)).ok
         assert await apply.run(common, changed) == exit_codes.ExitCode.OK
         assert await apply.run(common, changed) == exit_codes.ExitCode.CONFLICT
         err = capsys.readouterr().err
@@ -171,7 +173,8 @@
 
 
 def test_zone_is_drained_and_restored(
-    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
+    declared: list[resource_files.DeclaredResource],
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def scenario(
         deployment: configured.Deployment, common: options.CommonOptions
@@ -193,7 +196,8 @@
 
 
 def test_change_missing_on_unreachable_vm_is_in_force_once_that_vm_stops_work(
-    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
+    declared: list[resource_files.DeclaredResource],
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     """vm-2 is disconnected when a zone is taken out of service.
 
@@ -224,7 +228,7 @@
 
 
 def test_change_with_lost_answer_is_confirmed_by_next_vm(
-    declared: list[files.DeclaredResource],
+    declared: list[resource_files.DeclaredResource],
 ) -> None:
     """The first VM's replies from the store are lost, so it never answers.
 
@@ -249,7 +253,8 @@
 
 
 def test_deletion_of_referenced_resource_is_refused(
-    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
+    declared: list[resource_files.DeclaredResource],
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def scenario(
         deployment: configured.Deployment, common: options.CommonOptions
@@ -269,7 +274,8 @@
 
 
 def test_watch_resumed_after_revision_includes_deletions(
-    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
+    declared: list[resource_files.DeclaredResource],
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def scenario(
         deployment: configured.Deployment, common: options.CommonOptions
@@ -292,7 +298,8 @@
 
 
 def test_watch_resumed_on_restarted_vm_begins_with_reset(
-    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
+    declared: list[resource_files.DeclaredResource],
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     """A restarted VM does not know which resources were deleted before.
 
@@ -323,7 +330,8 @@
 
 
 def test_timeline_merges_all_vms_and_names_missing_ones(
-    declared: list[files.DeclaredResource], capsys: pytest.CaptureFixture[str]
+    declared: list[resource_files.DeclaredResource],
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def scenario(
         deployment: configured.Deployment, common: options.CommonOptions
