--- a/src/azureramp/controllers/forwarding/entry_applier.py
+++ b/src/azureramp/controllers/forwarding/entry_applier.py
@@ -59,7 +59,7 @@
         decode: Decode,
         searcher_registry: searchers.Searchers,
         crash_registry: crashes.CrashTracker,
-        member_registry: members.Membership,
+        member_registry: members.MemberTracker,
         contacts: store_contact.StoreContactTracker,
         log: change_log.ChangeLog,
         rollout_registry: rollouts.Rollouts,
--- a/src/azureramp/controllers/forwarding/leaving.py
+++ b/src/azureramp/controllers/forwarding/leaving.py
@@ -24,7 +24,7 @@
 
 async def leave(
     board: board_module.Board,
-    member_registry: members.Membership,
+    member_registry: members.MemberTracker,
     front: web_server.Server,
 ) -> int:
     """Stops serving callers, and lets running requests finish.
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -41,7 +41,7 @@
 _logger = logbook.Logger("azureramp.members")
 
 
-class Membership:
+class MemberTracker:
     """Announces this VM and maintains the list of VMs on the blackboard."""
 
     __slots__ = (
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -154,7 +154,7 @@
             msgspec.json.encode,
             contacts,
         )
-        self._members = members.Membership(
+        self._members = members.MemberTracker(
             board,
             self._store,
             store_copy,
--- a/src/azureramp_standins/soak/mutants.py
+++ b/src/azureramp_standins/soak/mutants.py
@@ -126,7 +126,7 @@
 
 def name_the_dead() -> None:
     """Never removes a VM from the members."""
-    patch(members.Membership, "remove", lambda self, vm, settled: None)
+    patch(members.MemberTracker, "remove", lambda self, vm, settled: None)
 
 
 class _Anything:
