--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -148,7 +148,7 @@
             self._log.record_admission(asked, admitted.header, version)
 
         record_pinned(admitted.header.version)
-        running = query_run.Gathering(
+        running = query_run.QueryRun(
             self._board,
             self._dispatcher,
             admitted.header,
--- a/src/azureramp/controllers/query_run.py
+++ b/src/azureramp/controllers/query_run.py
@@ -22,7 +22,7 @@
 Permits = Callable[[resources.Shard], bool]
 
 
-class Gathering:
+class QueryRun:
     """A query from its first sub-request to its answer.
 
     Results and timers change its state directly instead of through tasks, so
