--- a/src/azureramp/controllers/majority.py
+++ b/src/azureramp/controllers/majority.py
@@ -1,7 +1,8 @@
 """Contact with a majority of VMs, and what this VM may do as a result.
 
 Reads the acknowledged heartbeats that the membership controller records, and
-sets the time until which this VM may start new work; see `policy.contact`.
+sets the time until which this VM may start new work; see
+`policy.quorum_contact`.
 """
 
 from __future__ import annotations
