--- a/src/azureramp/policy/admission.py
+++ b/src/azureramp/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: accepts a request, or rejects it at once as not run.
+"""Admission control: accepts a request, or rejects it before it runs.
 
 Requests do not queue here: each is either forwarded or rejected, and the
 owners' queues are bounded in length and time. The decision therefore only
@@ -17,7 +17,8 @@
     resources.Priority.NORMAL: 384,
     resources.Priority.DEFERRABLE: 256,
 }
-"""Maximum concurrent requests on a VM when a request of a priority arrives."""
+"""Number of requests running on a VM from which on it rejects new ones, by
+their priority."""
 
 WINDOW_S = 0.1
 """Length of the window over which waits are averaged, in seconds."""
@@ -27,7 +28,7 @@
 of the waits to their limit."""
 
 MAX_RATIO = 4.0
-"""Maximum of that ratio; also the ratio of a sub-request that a queue refused.
+"""Maximum of that ratio; also used for a sub-request that a queue refused.
 """
 
 LEVEL_INCREASE = 0.02
@@ -80,7 +81,7 @@
     def observe(
         self, priority: resources.Priority, ratio: float, now_s: float
     ) -> None:
-        """Records how long the parts of a request waited.
+        """Records how long the sub-requests of a request waited.
 
         Args:
             priority: The request's priority.
@@ -156,7 +157,7 @@
     __slots__ = ("_service_ms", "_waits")
 
     def __init__(self) -> None:
-        """Creates an object without measurements."""
+        """Creates an instance without measurements."""
         self._service_ms: dict[str, float] = {}
         self._waits: dict[tuple[str, resources.Priority], _Wait] = {}
 
@@ -168,7 +169,7 @@
         wait_ms: float,
         now_s: float,
     ) -> None:
-        """Records the mean times of a request's parts.
+        """Records the mean times of a request's sub-requests.
 
         Args:
             index: The index.
@@ -234,7 +235,7 @@
 
 
 def compute_retry_ms(drain_ms: float, draw: float) -> int:
-    """Computes the retry delay in milliseconds from the time queues drain in.
+    """Computes the retry delay, in milliseconds, from the queues' drain time.
 
     Args:
         drain_ms: The drain time, in milliseconds.
@@ -251,7 +252,7 @@
     """Computes a wait as a ratio of the longest wait without overload.
 
     Args:
-        wait_ms: The mean wait of a request's parts, in milliseconds.
+        wait_ms: The mean wait of a request's sub-requests, in milliseconds.
         allowed_ms: The time from the request's admission to its deadline, in
             milliseconds.
         queue_ms: The longest time that a sub-request may be queued, in
--- a/src/azureramp/policy/advertising.py
+++ b/src/azureramp/policy/advertising.py
@@ -22,7 +22,8 @@
 
 MIN_ZONES = 2
 """Minimum number of availability zones with advertised VMs, if there are as
-many, so that after the loss of one zone advertised, warm VMs remain."""
+many. After the loss of one zone, advertised VMs with open connections
+remain."""
 
 USUAL_CONNECTIONS_PER_VM = 8
 """Connections that a VM should be able to hold to each searcher: two for the
@@ -31,8 +32,8 @@
 MIN_CONNECTIONS_PER_VM = 3
 """Minimum connections per VM to each searcher, however many VMs are busy: one
 for a call, one for its late answer and one for the next call. With fewer, calls
-wait for each other, and VMs with differing views together exceed the limit of
-a searcher, which resets the connections beyond it."""
+wait for each other. While the VMs have different views, they together also
+exceed the limit of a searcher, which resets the connections beyond it."""
 
 LARGE_VM_SHARE = 0.5
 """A VM with less than this share of the largest VM's cores is advertised only
@@ -52,10 +53,10 @@
     """Selects the VMs to advertise.
 
     VMs in availability zones that hold many searchers are preferred, since
-    their calls need not cross zones, and among them those with most cores. Two
-    VMs replace each busy one: if that VM is slow, others do its work; if all
-    are loaded, twice as many share the load. Busy VMs are advertised only if
-    there are too few others.
+    their calls need not cross zones, and among them those with most cores. Each
+    busy VM is replaced by two others: if only that VM is slow, they do its
+    work; if all are loaded, twice as many VMs share the load. Busy VMs are
+    advertised only if there are too few others.
 
     Args:
         members: The known VMs.
--- a/src/azureramp/policy/caller_delay.py
+++ b/src/azureramp/policy/caller_delay.py
@@ -12,18 +12,18 @@
 import collections
 
 MAX_SAMPLES = 128
-"""Number of recent requests kept for a route."""
+"""Number of recent requests kept per route."""
 
 MIN_QUANTILE_SAMPLES = 5
-"""With fewer requests than this the maximum is used: each VM of a large
-deployment gets one request per second of a route, and an estimate that is too
-small does no harm. From this number on, `INITIAL_QUANTILE` excludes the largest
-one."""
+"""Minimum number of requests for a quantile; with fewer, the maximum is used.
+Each VM of a large deployment gets only one request per second of a route, and
+an estimate that is too small does no harm. From this number on,
+`INITIAL_QUANTILE` excludes the largest timeout."""
 
 INITIAL_QUANTILE = 0.9
 """The initial timeout of callers is estimated as this quantile of the stated
 timeouts. The maximum may come from a single outlier; at least a tenth of the
-requests arrive on open connections and have spent nothing."""
+requests arrive on open connections, so their callers have spent no time yet."""
 
 REFRESH_SAMPLES = 4
 """Number of requests after which the quantile is recomputed."""
@@ -61,9 +61,9 @@
 
         Args:
             stated_s: The caller's remaining timeout, in seconds.
-            max_wait_s: The longest plausible wait, in seconds. A longer one
-                gives 0: it is a late attempt or a caller that started with a
-                shorter timeout.
+            max_wait_s: The longest plausible wait, in seconds. If the estimate
+                is longer, 0 is returned: the request is a late retry, or its
+                caller started with a shorter timeout.
         """
         if self._initial_s is None:
             return 0.0
--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -106,7 +106,7 @@
 
 
 class Acceptance:
-    """Determines which changes a majority holds at one and the same moment.
+    """Determines which changes a majority of the VMs has at the same moment.
 
     A VM that acknowledged a change may restart at once and lose it. So a
     majority must acknowledge it twice: when the second round was requested,
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -1,7 +1,7 @@
-"""Determines when a sub-request is late enough for a second attempt.
+"""Determines when a sub-request is late enough for a hedge or a retry.
 
-The delay is measured for each shard separately: a second attempt does not help
-if the whole shard is slow.
+The delay is measured for each shard separately: an extra call does not help if
+the whole shard is slow.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 
 LOST_DELAY_FACTOR = 3.0
 """A sub-request later than this many hedge delays is treated as lost and may
-also be retried. An unresponsive VM or link loses an eighth of a query's parts
-at once, which is more than the hedge budget covers.
+also be retried. An unresponsive VM or link loses an eighth of a query's
+sub-requests at once, which is more than the hedge budget covers.
 """
 
 MIN_DELAY_MS = 1.0
@@ -138,7 +138,7 @@
     """Maximum number of places kept; the oldest one is dropped first."""
 
     def __init__(self) -> None:
-        """Creates an object without measurements."""
+        """Creates an instance without measurements."""
         self._by_place: dict[DelayKey, QuantileSketch] = {}
         self._by_index: dict[
             tuple[str, resources.Priority], QuantileSketch
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -38,8 +38,9 @@
 """After how long another VM treats a claim's outcome as unknown, in seconds.
 
 This counts from when that VM first read the claim, which is after the claim was
-sent. It is much longer than `DISPATCH_WINDOW_S`, so that no caller is told to
-check before sending another request while the holder may still dispatch.
+sent. It is much longer than `DISPATCH_WINDOW_S`, so that no caller is
+advised to check the effects and send another request while the holder may still
+dispatch.
 """
 
 MAX_RESULT_BYTES = 4096
--- a/src/azureramp/policy/lists.py
+++ b/src/azureramp/policy/lists.py
@@ -1,9 +1,10 @@
 """The VM lists that a VM has read recently, and their majorities.
 
-Two VMs that have read different lists could each find a majority of its own
-list without a VM in common. So a majority must be a majority of every list
-read within the window, and a voter counts only if the claimant knows all lists
-that the voter has read. See docs/design/leases.md for the bound.
+Two VMs that have read different lists could each find a majority of their own
+list, and the two majorities could have no VM in common. So a majority must be a
+majority of every list read within the window, and a vote counts only if the
+claimant knows all lists that the voter has read. See docs/design/leases.md for
+the bound.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 import xxhash
 
 MAX_LISTS = 16
-"""Maximum size of the window up to which lists are inherited. Further lists are
-not added, so voters that have read them don't count."""
+"""Maximum number of lists in the window up to which lists of peers are added.
+VMs that have read a list that was not added don't count as voters."""
 
 
 def compute_hash(names: Iterable[str]) -> int:
--- a/src/azureramp/policy/membership.py
+++ b/src/azureramp/policy/membership.py
@@ -28,7 +28,7 @@
         leaving: True if it announced its shutdown.
         suspects: The VMs from which it reports no heartbeats.
         may_own_until_s: Until when its lease may stay valid, according to the
-            promises of this VM, in seconds.
+            grants of this VM, in seconds.
     """
 
     last_heartbeat_s: float
--- a/src/azureramp/policy/merging.py
+++ b/src/azureramp/policy/merging.py
@@ -1,4 +1,4 @@
-"""Merges the largest records of several parts."""
+"""Merges the largest records of several shards' answers."""
 
 from __future__ import annotations
 
--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -24,18 +24,18 @@
 
 @dataclasses.dataclass(slots=True)
 class PartStatistics:
-    """Statistics of a query's parts, over all its attempts.
+    """Statistics of a query's sub-requests, over all its attempts.
 
     Attributes:
-        ran: True if any searcher may have worked on any part.
+        ran: True if any searcher may have worked on any sub-request.
         crashes: The number of backend servers that crashed during the query.
-        results: The number of parts with a result.
-        unanswered: The number of parts without a result at the deadline.
+        results: The number of sub-requests with a result.
+        unanswered: The number of sub-requests without a result at the deadline.
         service_ms: The sum of the results' service times, in milliseconds.
-        wait_ms: The sum of all other time of parts with and without a result,
-            in milliseconds.
+        wait_ms: The sum of all other time of sub-requests with and without a
+            result, in milliseconds.
         refused: The number of attempts that a queue refused.
-        last_failure: The error kind of the last failed part.
+        last_failure: The error kind of the last failed sub-request.
         retry_after_ms: The longest retry delay stated by a failure, in
             milliseconds.
     """
@@ -63,17 +63,17 @@
         self.wait_ms += took_ms - service_ms
 
     def add_unanswered(self, elapsed_ms: float) -> None:
-        """Counts a part without a result."""
+        """Counts a sub-request without a result."""
         self.ran = True
         self.unanswered += 1
         self.wait_ms += elapsed_ms
 
     def get_mean_wait_ms(self) -> float:
-        """Returns the mean wait of a part, in milliseconds."""
+        """Returns the mean wait of a sub-request, in milliseconds."""
         return self.wait_ms / max(1, self.results + self.unanswered)
 
     def get_mean_service_ms(self) -> float:
-        """Returns the mean service time of a part, in milliseconds."""
+        """Returns the mean service time of a sub-request, in milliseconds."""
         return self.service_ms / max(1, self.results)
 
     def add_failed(self, failed: assembly.Failed) -> None:
@@ -117,7 +117,7 @@
     Args:
         ledger: The merged results.
         minimum: The minimum coverage that the caller accepts.
-        tally: The statistics of the parts.
+        tally: The statistics of the sub-requests.
         permitted: False if the service may query none of the shards.
 
     Returns:
--- a/src/azureramp/policy/queues.py
+++ b/src/azureramp/policy/queues.py
@@ -20,7 +20,7 @@
     Attributes:
         priority: The request's priority.
         deadline_s: When the caller stops waiting for the result.
-        expires_s: When the item expires from the queue; at most `deadline_s`.
+        expires_s: When the item expires in the queue; at most `deadline_s`.
         item: The item itself.
     """
 
--- a/src/azureramp/policy/record_bounds.py
+++ b/src/azureramp/policy/record_bounds.py
@@ -98,7 +98,7 @@
         self._bucket = TokenBucket()
 
     def acquire(self, now_s: float, vms: int) -> float:
-        """Takes the permission for one claim.
+        """Takes the token for one claim.
 
         Args:
             now_s: The current time, in seconds.
--- a/src/azureramp/policy/second_calls.py
+++ b/src/azureramp/policy/second_calls.py
@@ -3,7 +3,7 @@
 A request to many shards waits for the slowest of them, and some searchers pause
 for longer than the request's time limit. The delay is computed from the
 durations of the route's calls and the time left for the answer. A hedge that is
-sent only when nearly all first calls have ended often comes too late itself.
+sent only once nearly all first calls have ended is often answered too late.
 Therefore it is sent while a usual answer can still arrive in time, but not
 before a usual first call has ended.
 """
--- a/src/azureramp/policy/selection.py
+++ b/src/azureramp/policy/selection.py
@@ -13,9 +13,9 @@
 from collections.abc import Iterable
 
 SMOOTHING = 0.2
-"""Weight of the latest time in a searcher's moving average. It covers about the
-last five calls, so that a searcher that becomes slow is avoided within a few
-calls."""
+"""Weight of the latest call's duration in a searcher's moving average. It
+covers about the last five calls, so that a searcher that becomes slow is
+avoided within a few calls."""
 
 CROSS_ZONE_COST = 0.8
 """Extra cost of a searcher in another availability zone, as a multiple of a
@@ -31,7 +31,7 @@
 
 OVERDUE_COST = 4.0
 """Extra cost per overdue call, as a multiple of a usual call: a searcher that
-pauses delays all calls that it has."""
+pauses delays all calls in flight on it."""
 
 MAX_REPORT_AGE_S = 0.25
 """Age after which a searcher's load report is ignored, in seconds."""
@@ -57,8 +57,8 @@
 """Weight of the latest outcome in a searcher's share of failed calls."""
 
 FAILURES_TO_BACKOFF = 2
-"""Number of consecutive failures that starts a searcher's backoff. A single
-answer may be lost without a fault of the searcher."""
+"""Number of consecutive failures that start a searcher's backoff. A single
+answer may be lost although the searcher is healthy."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -75,9 +75,8 @@
         updated_s: When a call last updated the measurements, in seconds.
         failures: Number of consecutive failures.
         responsive: False if the last failure shows that the searcher may be
-            down: it could not be reached, or did not respond for long. True
-                after an
-            error or a lost answer.
+            down: it could not be reached, or did not respond for a long time.
+            True after an error or a lost answer.
         failure_rate: Moving average of the share of failed calls, 0 to 1.
         backoff_until_s: When its backoff ends, in seconds.
         probing: True while a single call probes whether it has recovered.
@@ -127,7 +126,7 @@
             sent: False if the searcher could not be reached. Such a failure
                 does not count in the share of failed calls, since it does not
                 predict the searcher's behavior once it is up again.
-            silent: True if the searcher did not respond for long.
+            silent: True if the searcher did not respond for a long time.
         """
         self.failures += 1
         self.responsive = sent and not silent
@@ -185,13 +184,13 @@
 
 
 def _compute_decay(record: SearcherStats, now_s: float) -> float:
-    """Returns the weight of the measurements by their age, 0 to 1."""
+    """Returns the weight of measurements of this age, 0 to 1."""
     idle_s = max(0.0, now_s - record.updated_s)
     return math.pow(0.5, idle_s / HALF_LIFE_S)
 
 
 def _get_load(record: SearcherStats, now_s: float) -> float:
-    """Returns the known number of calls that a searcher has."""
+    """Returns a searcher's number of calls, as far as this VM knows it."""
     load = float(record.in_flight)
     if now_s - record.reported_s < MAX_REPORT_AGE_S:
         load += record.reported_load
@@ -272,7 +271,7 @@
 
     If all searchers of a service lose some of their answers, each soon fails
     twice in a row, and requests would be rejected although most of them could
-    be answered. Searchers that may be down are left out.
+    be answered. Searchers that may be down are excluded.
 
     Args:
         records: The ids and records of the candidates.
--- a/src/azureramp/policy/shares.py
+++ b/src/azureramp/policy/shares.py
@@ -18,13 +18,13 @@
 STALE_CONTACT_S = 3.0
 """A VM that has not reached the store for this time, in seconds, uses half its
 share. This is how long its lease stays valid, so other VMs may have replaced it
-without its knowledge. They may also not have, if no VM can reach the store."""
+without its knowledge. If no VM can reach the store, however, they have not."""
 
 STALE_FACTOR = 0.5
 
 MAX_UPDATE_DELAY_S = 3.0
-"""Maximum delay with which a VM receives a change later than others, in
-seconds; beyond that its contact is stale."""
+"""Maximum time by which a VM receives a change later than others, in seconds. A
+VM that lags further behind counts as stale; see `STALE_CONTACT_S`."""
 
 
 class LimitShare:
--- a/src/azureramp/policy/snapshots.py
+++ b/src/azureramp/policy/snapshots.py
@@ -147,7 +147,8 @@
 
 
 def _has_replicas(snapshot: Snapshot, required: int) -> bool:
-    """Returns True if every shard has that many replicas, or all declared."""
+    """Returns True if every shard has that many replicas, or all declared
+    ones."""
     return all(
         len(snapshot.replicas[shard.name])
         >= max(1, min(required, len(shard.searchers)))
--- a/src/azureramp/policy/version_evidence.py
+++ b/src/azureramp/policy/version_evidence.py
@@ -1,4 +1,4 @@
-"""Statistical test whether a new version answers worse than the old one.
+"""Statistical test of whether a new version answers worse than the old one.
 
 Some answers of a faulty version fail or take several times as long as usual,
 from its start, later, under load, or on one route only. The test's inputs are
