--- a/src/azureramp/policy/snapshots.py
+++ b/src/azureramp/policy/snapshots.py
@@ -147,8 +147,10 @@
 
 
 def _has_replicas(snapshot: Snapshot, required: int) -> bool:
-    """Returns True if every shard has that many replicas, or all declared
-    ones."""
+    """Returns True if every shard has the required replicas.
+
+    A shard with fewer declared searchers needs all of them, but at least one.
+    """
     return all(
         len(snapshot.replicas[shard.name])
         >= max(1, min(required, len(shard.searchers)))
