--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -73,7 +73,7 @@
         board: blackboard.Blackboard,
         dispatcher: dispatching.Dispatcher,
     ) -> None:
-        """Creates a gate."""
+        """Creates the admission control of a process."""
         self._board = board
         self._dispatcher = dispatcher
 
@@ -136,7 +136,7 @@
         snapshot: snapshots.Snapshot,
         left_s: float,
     ) -> errors.Failure | None:
-        """Refuses requests that can't meet their deadline; sheds load."""
+        """Refuses a request that would miss its deadline or must be shed."""
         now_s = asyncio.get_running_loop().time()
         measured = self._dispatcher.measurements
         priority = asked.caller.priority
--- a/src/azureramp/controllers/applied.py
+++ b/src/azureramp/controllers/applied.py
@@ -15,7 +15,7 @@
     changed: Sequence[resources.Versioned],
     source: str,
 ) -> events.ConfigurationApplied:
-    """Creates the event that changed entries or a new revision took effect.
+    """Creates the event for changed entries or a new revision in force.
 
     Args:
         configuration: The configuration in force.
--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -37,7 +37,7 @@
         header: dispatching.RequestHeader,
         state: assembly.Assembly,
     ) -> None:
-        """Creates it without attempts."""
+        """Creates an instance without attempts."""
         self._board = board
         self._next_part = 0
         self.dispatcher = dispatcher
@@ -46,7 +46,7 @@
         self.tally = outcomes.PartStatistics()
 
     def restart(self, state: assembly.Assembly) -> None:
-        """Switches to another version; its parts get new numbers."""
+        """Switches to another version; its sub-requests get new numbers."""
         self.cancel(self.state.get_running_attempts())
         self.state = state
         version = state.ledger.shard_map.version
@@ -186,7 +186,7 @@
         self.cancel(ended)
 
     def restore(self, state: assembly.Assembly) -> None:
-        """Returns to the results that were kept of another version."""
+        """Restores the results that were kept from another version."""
         self.state = state
         version = state.ledger.shard_map.version
         self.header = dataclasses.replace(self.header, version=version)
--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -39,7 +39,7 @@
         index: The index's name.
         body: The query, JSON.
         deadline_s: Loop time at which the caller stops waiting, in seconds.
-        minimum_coverage: The minimum coverage that it accepts, 0 to 1.
+        minimum_coverage: The minimum coverage that the caller accepts, 0 to 1.
     """
 
     request_id: str
@@ -141,7 +141,7 @@
         admitted: admitting.Admitted,
         started_s: float,
     ) -> Answered:
-        """Gathers the results of an admitted query's parts."""
+        """Gathers the results of an admitted query's sub-requests."""
         service = admitted.service
 
         def record_pinned(version: int) -> None:
@@ -192,7 +192,7 @@
         board: The process's state.
         outbox: Sends messages to the owners.
         records: The idempotency records.
-        rng: Source of randomness for load shedding and equal choices.
+        rng: Source of randomness for load shedding and for breaking ties.
     """
     measured = measurements.Measurements(rng)
     dispatcher = dispatching.Dispatcher(board, outbox, measured)
--- a/src/azureramp/controllers/dispatch_rules.py
+++ b/src/azureramp/controllers/dispatch_rules.py
@@ -16,7 +16,7 @@
 MIN_TIME_SHARE = 0.8
 """Minimum share of the expected service time that must remain before the
 deadline for a sub-request to be started, or after its estimated wait for it to
-be queued. With less it would only take a slot from a sub-request that can
+be queued. With less time, it would only take a slot from a sub-request that can
 still finish in time."""
 
 OwnedSearcher = owned_searcher.OwnedSearcher
--- a/src/azureramp/controllers/dispatching.py
+++ b/src/azureramp/controllers/dispatching.py
@@ -210,7 +210,7 @@
     def cancel(
         self, request_id: str, attempts: Collection[assembly.Attempt]
     ) -> None:
-        """Tells the owners that attempts' results are no longer needed."""
+        """Notifies the owners that attempts' results are no longer needed."""
         by_owner: dict[str, list[int]] = {}
         for attempt in attempts:
             by_owner.setdefault(attempt.owner, []).append(attempt.part)
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -1,4 +1,4 @@
-"""Runs non-repeatable requests at most once and reports their real outcome.
+"""Runs non-repeatable requests at most once and reports their actual outcome.
 
 The idempotency key is claimed before any byte is sent, and only the holder of
 the claim dispatches. The request runs in its own task: neither a disconnect of
--- a/src/azureramp/controllers/gathering.py
+++ b/src/azureramp/controllers/gathering.py
@@ -11,9 +11,9 @@
 from azureramp.policy import assembly, coverage, outcomes, snapshots
 
 NOT_OWNER_WAIT_S = 0.025
-"""Initial delay before a retry on the same searcher, in seconds, when its
-owner refused and no other replica is left: the time for this VM to learn of
-the new owner. It doubles with each attempt.
+"""Initial delay before a retry on the same searcher, in seconds, when its owner
+refused and no other replica is left: the time in which this VM receives the
+change of owner. It doubles with each attempt.
 """
 
 MAX_CRASHES = 2
@@ -150,7 +150,7 @@
             self._monitor.schedule()
 
     def _start_held_back(self) -> None:
-        """Sends the parts that waited for the first result."""
+        """Sends the sub-requests that waited for the first result."""
         held_back, self._held_back = self._held_back, []
         self._start_first(held_back, None)
 
@@ -172,17 +172,17 @@
 
         The retry doesn't use the retry budget: an attempt can lose its owner
         only once, and the loss of one of eight VMs affects an eighth of all
-        parts.
+        sub-requests.
         """
         self._replace(failed, paid=True)
         self._check_finished()
 
     def _replace(self, failed: assembly.Failed, paid: bool = False) -> None:
-        """Tries another replica after a failure, or gives up the shard.
+        """Tries another replica after a failure, or marks the shard as lost.
 
         Args:
             failed: The failure.
-            paid: True if the retry doesn't use the retry budget.
+            paid: True to retry without using the retry budget.
         """
         if self.tally.crashes >= MAX_CRASHES:
             self._stop()
@@ -234,7 +234,7 @@
         self._check_finished()
 
     def _give_up(self, progress: assembly.Progress) -> None:
-        """Gives up a shard; sends the next held-back part if none runs."""
+        """Marks a shard as lost; sends the next held-back one if none runs."""
         state = self._attempts.state
         state.mark_lost(progress)
         while self._held_back and not state.get_running_attempts():
@@ -255,7 +255,7 @@
             state.mark_lost(progress)
 
     def _restart(self) -> bool:
-        """Restarts the query on a newer version that is completely served.
+        """Restarts the query on a newer version with replicas of all shards.
 
         The results of the old version are kept separately and never mixed
         with the new ones: they may be the better answer at the deadline.
--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -57,7 +57,7 @@
     def __init__(
         self, board: blackboard.Blackboard, outbox: outbox_module.Outbox
     ) -> None:
-        """Creates it without handoffs."""
+        """Creates an instance without handoffs."""
         self._board = board
         self._outbox = outbox
         self._received: dict[str, ReceivedHandoff] = {}
--- a/src/azureramp/controllers/late_notices.py
+++ b/src/azureramp/controllers/late_notices.py
@@ -1,4 +1,4 @@
-"""An owner's notices of calls that run unusually long.
+"""Notifies coordinators of an owner's calls that run unusually long.
 
 A coordinator measures only the time from sending to result. Under load this is
 mostly the time in the queue, and a hedge would wait in another queue. The
@@ -38,7 +38,7 @@
     __slots__ = ("_outbox", "_sketches")
 
     def __init__(self, outbox: outbox_controller.Outbox) -> None:
-        """Creates it without running calls.
+        """Creates an instance without running calls.
 
         Args:
             outbox: Sends messages to the coordinators.
--- a/src/azureramp/controllers/lateness.py
+++ b/src/azureramp/controllers/lateness.py
@@ -17,7 +17,7 @@
 
 
 class AttemptMonitor:
-    """A timer that checks for attempts that are late or lost."""
+    """Checks periodically for attempts that are late or lost."""
 
     __slots__ = ("_attempts", "_board", "_on_lost", "_timer")
 
@@ -78,11 +78,11 @@
     def hedge_long_running(self, part: int) -> None:
         """Hedges a sub-request that runs long according to its owner.
 
-        This includes deferrable requests, and the hedge goes ahead of the
-        queue: the straggler occupies a slot until the hedge's result cancels
-        it, so the hedge frees more capacity than it uses, and more the earlier
-        it runs. Therefore, unlike other optional calls, it is also sent under
-        overload.
+        This includes deferrable requests, and the hedge is queued ahead of
+        other sub-requests. The straggler occupies a slot until the hedge's
+        result cancels it, so the hedge frees more capacity than it uses, and
+        the earlier it runs, the more it frees. Therefore, unlike other optional
+        calls, it is also sent under overload.
         """
         attempt = self._attempts.state.get_attempt(part)
         if attempt is None:
@@ -125,8 +125,7 @@
         """Returns True if extra calls are allowed.
 
         They are not under overload: an extra call for an attempt that only
-        waits in a queue would take a slot from the first call of another
-        request.
+        waits in a queue would take a slot from another request's first call.
         """
         if self._is_suspect():
             return False
--- a/src/azureramp/controllers/links.py
+++ b/src/azureramp/controllers/links.py
@@ -18,7 +18,7 @@
     def __init__(
         self, board: blackboard.Blackboard, outbox: outbox_module.Outbox
     ) -> None:
-        """Creates it without links."""
+        """Creates an instance without links."""
         self._board = board
         self._outbox = outbox
         self._opened_s: dict[str, float] = {}
--- a/src/azureramp/controllers/measurements.py
+++ b/src/azureramp/controllers/measurements.py
@@ -19,7 +19,7 @@
         admission_level: The share of requests that is admitted.
         service_times: Service times and waiting times.
         running: Number of requests that are running.
-        rng: Source of randomness for load shedding and equal choices.
+        rng: Source of randomness for load shedding and for breaking ties.
     """
 
     __slots__ = (
--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -1,4 +1,4 @@
-"""The blackboard's members, from the VM list and from received messages."""
+"""Maintains the blackboard's members from the VM list and from messages."""
 
 from __future__ import annotations
 
@@ -137,7 +137,7 @@
             self._set_state(self._board.members[name], state)
 
     def exclude_pause(self, pause_s: float) -> None:
-        """Excludes a pause of this process from the other VMs' silence.
+        """Excludes a pause of this process from the time without contact.
 
         Args:
             pause_s: The duration of the pause, in seconds.
@@ -172,7 +172,7 @@
         return candidates
 
     def get_unreachable(self) -> tuple[str, ...]:
-        """Returns the names of the members that this VM has no contact with."""
+        """Returns the names of the members that are not in contact."""
         return tuple(
             name
             for name, member in self._board.members.items()
--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -142,7 +142,7 @@
             self._send_heartbeats()
 
     def _start(self, now_s: float) -> None:
-        """Starts without granting any lease for one lease duration.
+        """Creates the ownership state; it grants nothing for one lease length.
 
         If `run` is called again after a failure, the state is kept, since the
         leases already granted must stay valid.
@@ -218,9 +218,10 @@
             self._next_heartbeat_s = now_s
 
     def _send_heartbeats(self) -> None:
-        """Sends a heartbeat to every other VM, and grants it for this VM.
+        """Sends a heartbeat to every other VM and applies it to this one.
 
-        Acknowledgements that waited for the heartbeat are sent with it.
+        This VM grants its own claims as it grants those of others. Pending
+        acknowledgements are sent with the heartbeat.
         """
         if self._ownership is None:
             return
@@ -264,7 +265,7 @@
         )
 
     def _is_urgent(self, owning: ownership.Ownership, now_s: float) -> bool:
-        """Returns True if a change or a lease waits for acknowledgements."""
+        """Returns True if a change or a lease depends on acknowledgements."""
         revision = self._board.configuration.revision
         changed = revision != self._announced_revision
         self._announced_revision = revision
--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -8,8 +8,8 @@
 from azureramp.ports.searchers import api as searchers_api
 
 UNCONFIRMED = -1
-"""Differs from every count of lost connections, so that the searcher is probed
-before anything is sent to it."""
+"""Initial value that differs from every count of lost connections, so that the
+searcher is probed before anything is sent to it."""
 
 Part = parts.Part
 
@@ -51,7 +51,7 @@
     )
 
     def __init__(self, place: directory.SearcherLocation) -> None:
-        """Creates the initial state of a searcher that was not probed yet."""
+        """Creates the state of a searcher that has not been probed yet."""
         searcher = place.searcher
         self.place = place
         self.ramp = ramps.Ramp(searcher.slots, searcher.cold_limit)
@@ -160,7 +160,7 @@
         )
 
     def has_state(self) -> bool:
-        """Returns True if its state was determined since this VM owns it."""
+        """Returns True if its state was determined after its acquisition."""
         return not self.reachable or bool(self.health and self.health.versions)
 
     def make_state(self, usable: bool) -> messages.SearcherState:
--- a/src/azureramp/controllers/ownership_changes.py
+++ b/src/azureramp/controllers/ownership_changes.py
@@ -1,4 +1,4 @@
-"""Acquiring and releasing searchers, and applying changes of their entries."""
+"""Acquires and releases searchers, and applies changes of their entries."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
         prober: probing.Prober,
         runner: part_runner.PartRunner,
     ) -> None:
-        """Creates it without owned searchers."""
+        """Creates an instance without owned searchers."""
         self.draining = False
         self._board = board
         self._port = port
--- a/src/azureramp/controllers/part_outcomes.py
+++ b/src/azureramp/controllers/part_outcomes.py
@@ -88,7 +88,7 @@
     async def _handle_failure(
         self, owned: OwnedSearcher, part: Part, failure: errors.Failure
     ) -> errors.Failure:
-        """Handles the failure of a call that the searcher may have got."""
+        """Handles the failure of a call that the searcher may have received."""
         match failure.kind:
             case errors.Kind.CONNECTION_LOST:
                 owned.ramp.record_failure(part.epoch)
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -76,7 +76,7 @@
         places: directory.SearcherDirectory,
         holdings: owned_searcher.Holdings,
     ) -> None:
-        """Creates it without suspect requests."""
+        """Creates an instance without suspect requests."""
         self.trials = trials.SuspectRuns()
         self.on_attributed: Callable[[int, str], None] = _ignore
         self._board = board
--- a/src/azureramp/controllers/record_releases.py
+++ b/src/azureramp/controllers/record_releases.py
@@ -67,7 +67,7 @@
     )
 
     def __init__(self, writer: record_writer.RecordWriter) -> None:
-        """Creates it without pending releases.
+        """Creates an instance without pending releases.
 
         Args:
             writer: Writes the records.
--- a/src/azureramp/controllers/replies.py
+++ b/src/azureramp/controllers/replies.py
@@ -9,12 +9,12 @@
 
 
 class Replies:
-    """Sends results of one event loop iteration together."""
+    """Sends all results of one event loop iteration together."""
 
     __slots__ = ("_outbox", "_pending")
 
     def __init__(self, outbox: outbox_module.Outbox) -> None:
-        """Creates it without pending results."""
+        """Creates an instance without pending results."""
         self._outbox = outbox
         self._pending: dict[tuple[str, str], list[messages.PartResult]] = {}
 
--- a/src/azureramp/controllers/resource_answers.py
+++ b/src/azureramp/controllers/resource_answers.py
@@ -46,7 +46,7 @@
     """The answer to a change.
 
     Attributes:
-        state: `stored`.
+        state: The change's progress; always `stored`.
         entry: The resource in its new state.
     """
 
--- a/src/azureramp/controllers/searcher_view.py
+++ b/src/azureramp/controllers/searcher_view.py
@@ -85,7 +85,7 @@
     state and the new one does not do so yet. A query would not find this
     replica in the meantime, and if two VMs are replaced shortly after each
     other, it would find no replica of a shard at all: the answer would be
-    incomplete without need. The remembered state is rarely wrong after such a
+    needlessly incomplete. The remembered state is rarely wrong after such a
     short time, and the new owner refuses sub-requests that should not run.
     """
 
--- a/src/azureramp/controllers/shutdown.py
+++ b/src/azureramp/controllers/shutdown.py
@@ -102,9 +102,9 @@
     async def _wait_for_address_expiry(self) -> None:
         """Continues to serve until no caller's address answer contains this VM.
 
-        Other VMs advertise it until they learn that it leaves, at the latest
-        from the VM list, and callers keep an answer for its lifetime. In the
-        meantime every response closes its connection, so that at the end no
+        Other VMs advertise it until they are notified that it leaves, at the
+        latest by the VM list, and callers keep an answer for its lifetime. In
+        the meantime every response closes its connection, so that at the end no
         connection is left that a caller might be using.
         """
         settings = self._board.settings
--- a/src/azureramp/controllers/single_run.py
+++ b/src/azureramp/controllers/single_run.py
@@ -14,9 +14,9 @@
 """How long after the deadline a result is still recorded, in seconds."""
 
 NOT_OWNER_WAIT_S = 0.025
-"""Initial delay before a retry on the same searcher, in seconds, when its
-owner refused and no other replica is left: the time for this VM to learn of
-the new owner. It doubles with each attempt.
+"""Initial delay before a retry on the same searcher, in seconds, when its owner
+refused and no other replica is left: the time in which this VM receives the
+change of owner. It doubles with each attempt.
 """
 
 
@@ -220,8 +220,8 @@
     ) -> None:
         """Allows another attempt on a searcher through its new owner.
 
-        Another replica is tried first. Without one, a delay gives this VM the
-        time to learn of the new owner.
+        Another replica is tried first. Without one, the attempt is delayed
+        until this VM has had time to receive the change of owner.
         """
         view = self._dispatcher.viewer.get()
         replicas = self._attempts.find_replicas(view, self._shard)
--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -29,13 +29,13 @@
         return False
 
     def remove(self, part: Part) -> None:
-        """Removes a sub-request if it waits."""
+        """Removes a sub-request if it is queued."""
         waiting = self._waiting.get(part.batch.fingerprint, [])
         if part in waiting:
             waiting.remove(part)
 
     def pop_all_of_searcher(self, searcher: str) -> list[Part]:
-        """Removes and returns all that wait for a searcher."""
+        """Removes and returns all sub-requests queued for a searcher."""
         removed = [
             part
             for waiting in self._waiting.values()
@@ -51,5 +51,5 @@
         return self._detector.trials.end(part.batch.fingerprint, part.key)
 
     def pop_all(self, fingerprint: int) -> list[Part]:
-        """Removes and returns all that waited for a request's trial."""
+        """Removes and returns a request's sub-requests that are queued."""
         return self._waiting.pop(fingerprint, [])
--- a/src/azureramp/controllers/vm_status.py
+++ b/src/azureramp/controllers/vm_status.py
@@ -1,4 +1,4 @@
-"""Status of a VM, and of the other VMs as this one sees them, for operators."""
+"""Creates the status of a VM, and of the others as it sees them."""
 
 from __future__ import annotations
 
