--- a/src/azureramp/policy/backoff.py
+++ b/src/azureramp/policy/backoff.py
@@ -1,9 +1,9 @@
 """Exponential backoff with jitter for calls to a failing service.
 
-After a few consecutive failures, calls are refused at once and only one call
-at a time probes the service. The delays double and are randomized, so that
-the VMs, which all see an outage begin and end at the same time, don't retry at
-the same time.
+After a few consecutive failures, calls are refused at once and only one call at
+a time probes the service. The delays double and are randomized: an outage
+begins and ends for all VMs at the same time, and they must not all retry at the
+same time.
 """
 
 from __future__ import annotations
--- a/src/azureramp/policy/blame.py
+++ b/src/azureramp/policy/blame.py
@@ -67,7 +67,7 @@
         return max(0.0, last_s + QUARANTINE_S - now_s)
 
     def clear(self, fingerprint: str) -> None:
-        """Clears a request that got an answer, so it crashes no searchers."""
+        """Clears a request that was answered, so it is not a poison request."""
         self._by_request.pop(fingerprint, None)
 
     def has_crashes(self, fingerprint: str) -> bool:
@@ -87,7 +87,7 @@
 def make_fingerprint(message: api.Message) -> str:
     """Returns a hash that is equal for all retries of a request.
 
-    Each retry has its own id and deadline, so these are left out.
+    Each retry has its own id and deadline, so these are omitted.
     """
     digest = hashlib.blake2b(digest_size=12)
     host = next((v for n, v in message.headers if n == b"host"), b"")
--- a/src/azureramp/policy/contact.py
+++ b/src/azureramp/policy/contact.py
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ClusterView:
-    """The state that one VM knows at one moment.
+    """The state known to one VM at one moment.
 
     Attributes:
         now_s: The current time, in seconds.
--- a/src/azureramp/policy/lists.py
+++ b/src/azureramp/policy/lists.py
@@ -67,10 +67,10 @@
         earlier ones it could find a majority that shares no VM with the
         majority of a VM that still uses one of them.
         """
-        number = compute_hash(names)
-        existing = self._lists.get(number)
+        list_hash = compute_hash(names)
+        existing = self._lists.get(list_hash)
         if existing is None and len(self._lists) < MAX_LISTS:
-            self._lists[number] = ReadList(frozenset(names), now_s, True)
+            self._lists[list_hash] = ReadList(frozenset(names), now_s, True)
         elif existing is not None and existing.inherited:
             existing.read_s = now_s
 
@@ -85,9 +85,10 @@
     def expire(self, now_s: float) -> None:
         """Removes the lists that were last read before the window."""
         self._lists = {
-            number: entry
-            for number, entry in self._lists.items()
-            if number == self._newest or entry.read_s > now_s - self._window_s
+            list_hash: entry
+            for list_hash, entry in self._lists.items()
+            if list_hash == self._newest
+            or entry.read_s > now_s - self._window_s
         }
 
     def get_hashes(self) -> tuple[int, ...]:
@@ -96,7 +97,7 @@
 
     def contains_all(self, hashes: Iterable[int]) -> bool:
         """Returns True if all the given lists are in the window."""
-        return all(number in self._lists for number in hashes)
+        return all(list_hash in self._lists for list_hash in hashes)
 
     def compute_majority_s(self, times: Mapping[str, float]) -> float | None:
         """Computes the latest time at which a majority of every list agreed.
--- a/src/azureramp/policy/sampling.py
+++ b/src/azureramp/policy/sampling.py
@@ -7,7 +7,7 @@
     """A token bucket that counts the log lines it rejects.
 
     Attributes:
-        skipped: Lines left out since `pop_skipped_count` was last called.
+        skipped: Lines omitted since `pop_skipped_count` was last called.
     """
 
     __slots__ = ("_burst", "_per_s", "_tokens", "_updated_s", "skipped")
@@ -37,6 +37,6 @@
         return True
 
     def pop_skipped_count(self) -> int:
-        """Returns the number of lines left out and resets it to 0."""
+        """Returns the number of omitted lines and resets it to 0."""
         left_out, self.skipped = self.skipped, 0
         return left_out
