--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -26,9 +26,9 @@
 
 WATCH_TIMEOUT_S = 10.0
 """Maximum duration of one watch, in seconds. Keepalive probes end a watch
-within about 3 s when its connection goes dead, so a longer limit would save
-calls without delaying detection; it is bounded for stores that limit the
-number of waiting calls."""
+within about 3 s if its connection is lost, so a longer limit would save calls
+without delaying detection; it is bounded for stores that limit the number of
+waiting calls."""
 
 OUTAGE_WATCH_TIMEOUT_S = 0.3
 """Maximum duration of a watch while the store may be unreachable, in seconds.
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -16,7 +16,7 @@
 from azureramp.ports.store import api as store_api
 
 LEASE_S = 3.0
-"""Length of the lease on this VM's entry, in seconds. A VM that dies is
+"""Length of the lease on this VM's entry, in seconds. A VM that crashes is
 advertised to callers for at most this long plus the propagation of the
 change."""
 
@@ -257,7 +257,8 @@
         """Writes this VM's entry and replaces a conflicting one.
 
         A conflicting entry comes from this VM's previous process, from the VM
-        that announced this one, or from an own write whose answer was lost.
+        that announced this one, or from an earlier write by this VM whose
+        answer was lost.
         """
         board = self._board
         member = board.make_member()
--- a/src/azureramp/controllers/forwarding/rollout_claims.py
+++ b/src/azureramp/controllers/forwarding/rollout_claims.py
@@ -158,10 +158,10 @@
         board = self._board
         if board.leaving or not board.contact.reachable:
             return False
-        silent_vm = ""
+        unresponsive_vm = ""
         wait_s = 0.0
         if record is not None:
-            silent_vm = get_vm_of_process(record.driver)
+            unresponsive_vm = get_vm_of_process(record.driver)
             wait_s = DRIVER_TIMEOUT_S
             if record.driver == self._process:
                 # This process claimed it earlier; the write's answer was lost.
@@ -169,7 +169,7 @@
                 self._on_claimed(stored.record, stored.revision)
                 return False
         vm = board.identity.vm
-        ranked = policy.rank_drivers(board.members.values(), silent_vm)
+        ranked = policy.rank_drivers(board.members.values(), unresponsive_vm)
         rank = ranked.index(vm) if vm in ranked else len(ranked)
         wait_s += rank * CLAIM_STAGGER_S
         return now_s - running.driver_seen_s >= wait_s
--- a/src/azureramp/controllers/forwarding/rollout_reports.py
+++ b/src/azureramp/controllers/forwarding/rollout_reports.py
@@ -162,8 +162,8 @@
     ) -> None:
         """Sends one report, and applies the grant."""
         loop = asyncio.get_running_loop()
-        asked_s = loop.time()
-        report = self._make_report(running, asked_s)
+        sent_s = loop.time()
+        report = self._make_report(running, sent_s)
         result = (
             self.handle_locally(report)
             if self.handle_locally is not None
@@ -176,7 +176,7 @@
             return
         if result.ok.order == running.order.revision:
             running.driver_seen_s = loop.time()
-            running.apply_grant(result.ok, asked_s)
+            running.apply_grant(result.ok, sent_s)
 
     def _signal_missing_driver(
         self, running: rollout_view.ActiveRollout
--- a/src/azureramp/controllers/forwarding/rollout_situations.py
+++ b/src/azureramp/controllers/forwarding/rollout_situations.py
@@ -13,7 +13,7 @@
 from azureramp.policy import rollouts as policy
 
 MOVED_REPORT_VALID_S = 0.8
-"""Time for which a VM's report that it has no running calls to old searchers is
+"""Time for which a VM's report that it no longer uses the old searchers is
 valid, in seconds. It is shorter than a grant's validity, since a VM whose grant
 expires returns to the old searchers."""
 
--- a/src/azureramp/controllers/forwarding/shared_bounds.py
+++ b/src/azureramp/controllers/forwarding/shared_bounds.py
@@ -12,7 +12,7 @@
 
 MIN_PAUSE_S = 1.0
 """Minimum delay of a timer that shows that the process was paused, in seconds.
-A searcher that was down for less can hardly have restarted."""
+A searcher that was down for less is unlikely to have restarted."""
 
 UPDATE_INTERVAL_S = 0.5
 """Interval between two updates of this VM's shares, in seconds; any loss of
