--- a/src/azureramp/controllers/admitting.py
+++ b/src/azureramp/controllers/admitting.py
@@ -78,12 +78,12 @@
         self._dispatcher = dispatcher
 
     def admit(
-        self, asked: AdmissionRequest
+        self, request: AdmissionRequest
     ) -> expression.Result[Admitted, errors.Failure]:
         """Checks a request and pins its snapshot.
 
         Args:
-            asked: The request.
+            request: The request.
 
         Returns:
             The admitted request, or the failure if it is refused.
@@ -91,38 +91,40 @@
         now_s = asyncio.get_running_loop().time()
         checked = identity.check_service(
             self._dispatcher.get_topology(),
-            asked.caller,
-            asked.service,
-            asked.index,
+            request.caller,
+            request.service,
+            request.index,
         )
         if checked.is_error():
             return expression.Error(checked.error)
-        fingerprint = fingerprints.compute_fingerprint(asked.index, asked.body)
-        blame = self._board.crash_counts
-        quarantined_ms = blame.get_quarantine_ms(fingerprint, now_s)
+        fingerprint = fingerprints.compute_fingerprint(
+            request.index, request.body
+        )
+        crash_counts = self._board.crash_counts
+        quarantined_ms = crash_counts.get_quarantine_ms(fingerprint, now_s)
         if quarantined_ms > 0:
             kind = errors.Kind.QUARANTINED
             failure = errors.Failure(kind, retry_after_ms=quarantined_ms)
             return expression.Error(failure)
-        pinned = self._dispatcher.viewer.pin(asked.index)
+        pinned = self._dispatcher.viewer.pin(request.index)
         if pinned.is_error():
             return expression.Error(pinned.error)
-        short = check_reachable_coverage(asked, checked.ok, pinned.ok)
+        short = check_reachable_coverage(request, checked.ok, pinned.ok)
         if short is not None:
             return expression.Error(errors.Failure(short))
-        answer_s = deadlines.get_answer_s(now_s, asked.deadline_s)
-        refused = self._check_load(asked, pinned.ok, answer_s - now_s)
+        answer_s = deadlines.get_answer_s(now_s, request.deadline_s)
+        refused = self._check_load(request, pinned.ok, answer_s - now_s)
         if refused is not None:
             return expression.Error(refused)
         header = dispatching.RequestHeader(
-            request_id=asked.request_id,
-            index=asked.index,
+            request_id=request.request_id,
+            index=request.index,
             version=pinned.ok.shard_map.version,
-            priority=asked.caller.priority,
+            priority=request.caller.priority,
             fingerprint=fingerprint,
-            repeatable=asked.repeatable,
-            isolated=blame.count_crashes(fingerprint, now_s) > 0,
-            body=asked.body,
+            repeatable=request.repeatable,
+            isolated=crash_counts.count_crashes(fingerprint, now_s) > 0,
+            body=request.body,
             answer_s=answer_s,
         )
         allowed_ms = (answer_s - now_s) * 1000
@@ -132,19 +134,19 @@
 
     def _check_load(
         self,
-        asked: AdmissionRequest,
+        request: AdmissionRequest,
         snapshot: snapshots.Snapshot,
         left_s: float,
     ) -> errors.Failure | None:
         """Refuses a request that would miss its deadline or must be shed."""
         now_s = asyncio.get_running_loop().time()
         measured = self._dispatcher.measurements
-        priority = asked.caller.priority
+        priority = request.caller.priority
         demand = admission.Request(
             priority=priority,
             left_ms=left_s * 1000,
             needed_ms=measured.service_times.estimate_ms(
-                asked.index, priority, now_s
+                request.index, priority, now_s
             ),
             running=measured.running,
             share=measured.admission_level.get_share(priority, now_s),
@@ -184,14 +186,14 @@
 
 
 def check_reachable_coverage(
-    asked: AdmissionRequest,
+    request: AdmissionRequest,
     service: resources.Service,
     snapshot: snapshots.Snapshot,
 ) -> errors.Kind | None:
     """Checks whether the minimum coverage can be reached.
 
     Args:
-        asked: The request.
+        request: The request.
         service: Its service.
         snapshot: The pinned version.
 
@@ -207,7 +209,7 @@
             permitted += shard.size
             if snapshot.replicas[shard.name]:
                 served += shard.size
-    minimum = fractions.Fraction(asked.minimum_coverage) * total
+    minimum = fractions.Fraction(request.minimum_coverage) * total
     if permitted < minimum:
         return errors.Kind.FORBIDDEN
     if served < minimum:
--- a/src/azureramp/controllers/changes.py
+++ b/src/azureramp/controllers/changes.py
@@ -3,9 +3,9 @@
 Each change has an id, which is stored with the value. A write whose reply was
 lost is retried with the same expected revision: at most one attempt can take
 effect, and a retry that finds its own id in the store shows that one did.
-Comparing values instead would treat another operator's equal change as ours,
-and could not distinguish a change that took effect from one that others made
-and reverted.
+Comparing values instead would treat another operator's equal change as this
+one, and could not distinguish a change that took effect from one that others
+made and reverted.
 """
 
 from __future__ import annotations
--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -116,7 +116,7 @@
             The answer, complete or marked as incomplete, or the failure.
         """
         started_s = asyncio.get_running_loop().time()
-        asked = admitting.AdmissionRequest(
+        request = admitting.AdmissionRequest(
             query.request_id,
             query.caller,
             query.service,
@@ -126,18 +126,18 @@
             repeatable=True,
             minimum_coverage=query.minimum_coverage,
         )
-        admitted = self._admission.admit(asked)
+        admitted = self._admission.admit(request)
         result: Answered
         if admitted.is_error():
             result = expression.Error(admitted.error)
         else:
-            result = await self._run(asked, admitted.ok, started_s)
+            result = await self._run(request, admitted.ok, started_s)
         self._log.record_query_answered(query.request_id, result, started_s)
         return result
 
     async def _run(
         self,
-        asked: admitting.AdmissionRequest,
+        request: admitting.AdmissionRequest,
         admitted: admitting.Admitted,
         started_s: float,
     ) -> Answered:
@@ -145,7 +145,7 @@
         service = admitted.service
 
         def record_pinned(version: int) -> None:
-            self._log.record_admission(asked, admitted.header, version)
+            self._log.record_admission(request, admitted.header, version)
 
         record_pinned(admitted.header.version)
         running = gathering.Gathering(
@@ -154,7 +154,7 @@
             admitted.header,
             admitted.snapshot,
             lambda shard: identity.may_query(service, shard),
-            asked.minimum_coverage,
+            request.minimum_coverage,
             record_pinned,
         )
         self._dispatcher.measurements.running += 1
@@ -168,8 +168,8 @@
         took_s = asyncio.get_running_loop().time() - started_s
         return expression.Ok(
             responses.QueryAnswer(
-                request_id=asked.request_id,
-                index=asked.index,
+                request_id=request.request_id,
+                index=request.index,
                 version=outcome.shard_map.version,
                 complete=outcome.is_complete(),
                 coverage=outcome.get_coverage(),
--- a/src/azureramp/controllers/handoffs.py
+++ b/src/azureramp/controllers/handoffs.py
@@ -39,7 +39,7 @@
         owned: The searcher's last state on this VM.
         at_s: Loop time of the handoff, in seconds.
         resends: Remaining number of times to resend the handoff.
-        done: True once this VM and former owners use no slots any more.
+        done: True once this VM and former owners no longer use any slots.
     """
 
     vm: str
@@ -64,7 +64,7 @@
         self._released: dict[str, SentHandoff] = {}
 
     def receive(self, sender: str, message: messages.Handoff) -> None:
-        """Stores a handoff until this VM sees itself as the owner.
+        """Stores a handoff until this VM is the owner in its own view.
 
         A handoff may arrive late or twice. One that belongs to an earlier
         change of owners would make this VM use the searcher at the same time
@@ -77,7 +77,7 @@
         if (
             released is not None
             and released.vm != sender
-            and _now_s() - released.at_s < self._get_memory_s()
+            and _now_s() - released.at_s < self._get_retention_s()
         ):
             return
         self._received[message.searcher] = ReceivedHandoff(
@@ -103,7 +103,7 @@
             # The VM that received it may be using it. Its lease may be valid
             # for about one lease length after a majority last saw it as the
             # owner.
-            if now_s - released.at_s < self._get_memory_s():
+            if now_s - released.at_s < self._get_retention_s():
                 return False
             del self._released[searcher]
         return may_start_s is not None and now_s >= may_start_s
@@ -131,7 +131,10 @@
             if not has_it and released.resends > 0:
                 released.resends -= 1
                 self._send(released)
-            if released.done and now_s - released.at_s > self._get_memory_s():
+            if (
+                released.done
+                and now_s - released.at_s > self._get_retention_s()
+            ):
                 del self._released[name]
 
     def receive_handoff_done(self, sender: str, searcher: str) -> None:
@@ -169,8 +172,8 @@
             ),
         )
 
-    def _get_memory_s(self) -> float:
-        """Returns how long a handoff is remembered, in seconds."""
+    def _get_retention_s(self) -> float:
+        """Returns how long a sent handoff is kept, in seconds."""
         return 2 * self._board.settings.lease_ms / 1000
 
 
--- a/src/azureramp/controllers/poisoning.py
+++ b/src/azureramp/controllers/poisoning.py
@@ -243,9 +243,9 @@
     def _record(self, notice: messages.CrashNotice) -> None:
         """Attributes a crash to the fingerprints of a notice."""
         now_s = _now_s()
-        blame = self._board.crash_counts
+        crash_counts = self._board.crash_counts
         self._crashed_s[notice.server] = now_s
-        is_new = blame.record_crash(
+        is_new = crash_counts.record_crash(
             notice.server,
             notice.crash_id.rpartition("/")[0],
             notice.crash_id,
@@ -261,12 +261,15 @@
                     server=notice.server,
                     crash_id=notice.crash_id,
                     fingerprint=fingerprint,
-                    crashes=blame.count_crashes(fingerprint, now_s),
-                    quarantined=blame.get_quarantine_ms(fingerprint, now_s) > 0,
+                    crashes=crash_counts.count_crashes(fingerprint, now_s),
+                    quarantined=crash_counts.get_quarantine_ms(
+                        fingerprint, now_s
+                    )
+                    > 0,
                 ),
                 now_s,
             )
-            if blame.count_crashes(fingerprint, now_s) > 0:
+            if crash_counts.count_crashes(fingerprint, now_s) > 0:
                 self.on_attributed(fingerprint, notice.server)
 
     def _broadcast(self, notice: messages.CrashNotice) -> None:
