--- a/src/azureramp/controllers/coordinator.py
+++ b/src/azureramp/controllers/coordinator.py
@@ -39,7 +39,7 @@
         index: The index's name.
         body: The query, JSON.
         deadline_s: Loop time at which the caller stops waiting, in seconds.
-        minimum_coverage: The minimum coverage that it accepts, 0 to 1.
+        minimum_coverage: The minimum coverage that the caller accepts, 0 to 1.
     """
 
     request_id: str
@@ -116,7 +116,7 @@
             The answer, complete or marked as incomplete, or the failure.
         """
         started_s = asyncio.get_running_loop().time()
-        asked = admission_control.AdmissionRequest(
+        request = admission_control.AdmissionRequest(
             query.request_id,
             query.caller,
             query.service,
@@ -126,26 +126,26 @@
             repeatable=True,
             minimum_coverage=query.minimum_coverage,
         )
-        admitted = self._admission.admit(asked)
+        admitted = self._admission.admit(request)
         result: Answered
         if admitted.is_error():
             result = expression.Error(admitted.error)
         else:
-            result = await self._run(asked, admitted.ok, started_s)
+            result = await self._run(request, admitted.ok, started_s)
         self._log.record_query_answered(query.request_id, result, started_s)
         return result
 
     async def _run(
         self,
-        asked: admission_control.AdmissionRequest,
+        request: admission_control.AdmissionRequest,
         admitted: admission_control.Admitted,
         started_s: float,
     ) -> Answered:
-        """Gathers the results of an admitted query's parts."""
+        """Gathers the results of an admitted query's sub-requests."""
         service = admitted.service
 
         def record_pinned(version: int) -> None:
-            self._log.record_admission(asked, admitted.header, version)
+            self._log.record_admission(request, admitted.header, version)
 
         record_pinned(admitted.header.version)
         running = query_run.QueryRun(
@@ -154,7 +154,7 @@
             admitted.header,
             admitted.snapshot,
             lambda shard: identity.may_query(service, shard),
-            asked.minimum_coverage,
+            request.minimum_coverage,
             record_pinned,
         )
         self._dispatcher.measurements.running += 1
@@ -168,8 +168,8 @@
         took_s = asyncio.get_running_loop().time() - started_s
         return expression.Ok(
             responses.QueryAnswer(
-                request_id=asked.request_id,
-                index=asked.index,
+                request_id=request.request_id,
+                index=request.index,
                 version=outcome.shard_map.version,
                 complete=outcome.is_complete(),
                 coverage=outcome.get_coverage(),
@@ -192,7 +192,7 @@
         board: The process's state.
         outbox: Sends messages to the owners.
         records: The idempotency records.
-        rng: Source of randomness for load shedding and equal choices.
+        rng: Source of randomness for load shedding and for breaking ties.
     """
     measured = measurements.Measurements(rng)
     dispatcher = part_dispatcher.Dispatcher(board, outbox, measured)
--- a/src/azureramp/controllers/forwarding/members.py
+++ b/src/azureramp/controllers/forwarding/members.py
@@ -16,7 +16,7 @@
 from azureramp.ports.store import api as store_api
 
 LEASE_S = 3.0
-"""Length of the lease on this VM's entry, in seconds. A VM that dies is
+"""Length of the lease on this VM's entry, in seconds. A VM that crashes is
 advertised to callers for at most this long plus the propagation of the
 change."""
 
@@ -72,10 +72,10 @@
         rng: random.Random,
         log: change_log.ChangeLog,
     ) -> None:
-        """Makes a controller that has announced nothing; see `run`.
+        """Creates a controller that has announced nothing; see `run`.
 
         Args:
-            board: The state.
+            board: The process's state.
             store: The store.
             copy: This VM's copy of the store's entries.
             vm_roster: The VMs that this one announces.
@@ -115,9 +115,9 @@
 
         Args:
             vm: The VM's name.
-            store_stable: False if the store was unreachable until a moment
-                ago. The entry may then have lapsed although the VM is alive,
-                so the VM is kept until `remove_expired`.
+            store_stable: False if the store was unreachable until a moment ago.
+                The entry may then have expired although the VM is alive, so the
+                VM is kept until `remove_expired`.
         """
         if vm == self._board.identity.vm:
             self._written = False
@@ -127,7 +127,7 @@
             self._log.count(change_log.Change.VM_GONE)
 
     def remove_expired(self) -> None:
-        """Removes the VMs whose lapsed entries have not been written again."""
+        """Removes the VMs whose expired entries have not been written again."""
         for vm in self._lapsed:
             if self._board.members.pop(vm, None) is not None:
                 self._log.count(change_log.Change.VM_GONE)
@@ -257,7 +257,8 @@
         """Writes this VM's entry and replaces a conflicting one.
 
         A conflicting entry comes from this VM's previous process, from the VM
-        that announced this one, or from an own write whose answer was lost.
+        that announced this one, or from an earlier write by this VM whose
+        answer was lost.
         """
         board = self._board
         member = board.make_member()
--- a/src/azureramp/controllers/forwarding/rollout_reports.py
+++ b/src/azureramp/controllers/forwarding/rollout_reports.py
@@ -28,7 +28,7 @@
 HandleReport = Callable[
     [api.Report], expression.Result[api.Grant, errors.Failure] | None
 ]
-"""Handles a report if this process drives the roll-out; None if it doesn't."""
+"""Handles a report; returns None if this process doesn't drive the roll-out."""
 
 _logger = logbook.Logger("azureramp.rollout_reports")
 
@@ -59,10 +59,10 @@
         drivers: api.DriverClient,
         process: str,
     ) -> None:
-        """Makes a controller without reports.
+        """Creates a controller without reports.
 
         Args:
-            board: The state.
+            board: The process's state.
             rollout_registry: The roll-outs; its callbacks are set.
             drivers: Client of the drivers.
             process: This process's name in reports.
@@ -164,8 +164,8 @@
     ) -> None:
         """Sends one report, and applies the grant."""
         loop = asyncio.get_running_loop()
-        asked_s = loop.time()
-        report = self._make_report(running, asked_s)
+        sent_s = loop.time()
+        report = self._make_report(running, sent_s)
         result = (
             self.handle_locally(report)
             if self.handle_locally is not None
@@ -178,12 +178,12 @@
             return
         if result.ok.order == running.order.revision:
             running.driver_seen_s = loop.time()
-            running.apply_grant(result.ok, asked_s)
+            running.apply_grant(result.ok, sent_s)
 
     def _signal_missing_driver(
         self, running: active_rollout.ActiveRollout
     ) -> None:
-        """Signals that no driver answers."""
+        """Calls `on_driver_missing`."""
         if self.on_driver_missing is not None:
             self.on_driver_missing(running)
 
--- a/src/azureramp/policy/vm_lists.py
+++ b/src/azureramp/policy/vm_lists.py
@@ -1,9 +1,10 @@
 """The VM lists that a VM has read recently, and their majorities.
 
-Two VMs that have read different lists could each find a majority of its own
-list without a VM in common. So a majority must be a majority of every list
-read within the window, and a voter counts only if the claimant knows all lists
-that the voter has read. See docs/design/leases.md for the bound.
+Two VMs that have read different lists could each find a majority of their own
+list, and the two majorities could have no VM in common. So a majority must be a
+majority of every list read within the window, and a vote counts only if the
+claimant knows all lists that the voter has read. See docs/design/leases.md for
+the bound.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 import xxhash
 
 MAX_LISTS = 16
-"""Maximum size of the window up to which lists are inherited. Further lists are
-not added, so voters that have read them don't count."""
+"""Maximum number of lists in the window up to which lists of peers are added.
+VMs that have read a list that was not added don't count as voters."""
 
 
 def compute_hash(names: Iterable[str]) -> int:
@@ -66,10 +67,10 @@
         earlier ones it could find a majority that shares no VM with the
         majority of a VM that still uses one of them.
         """
-        number = compute_hash(names)
-        existing = self._lists.get(number)
+        list_hash = compute_hash(names)
+        existing = self._lists.get(list_hash)
         if existing is None and len(self._lists) < MAX_LISTS:
-            self._lists[number] = ReadList(frozenset(names), now_s, True)
+            self._lists[list_hash] = ReadList(frozenset(names), now_s, True)
         elif existing is not None and existing.inherited:
             existing.read_s = now_s
 
@@ -84,9 +85,10 @@
     def expire(self, now_s: float) -> None:
         """Removes the lists that were last read before the window."""
         self._lists = {
-            number: entry
-            for number, entry in self._lists.items()
-            if number == self._newest or entry.read_s > now_s - self._window_s
+            list_hash: entry
+            for list_hash, entry in self._lists.items()
+            if list_hash == self._newest
+            or entry.read_s > now_s - self._window_s
         }
 
     def get_hashes(self) -> tuple[int, ...]:
@@ -95,7 +97,7 @@
 
     def contains_all(self, hashes: Iterable[int]) -> bool:
         """Returns True if all the given lists are in the window."""
-        return all(number in self._lists for number in hashes)
+        return all(list_hash in self._lists for list_hash in hashes)
 
     def compute_majority_s(self, times: Mapping[str, float]) -> float | None:
         """Computes the latest time at which a majority of every list agreed.
