--- a/src/azureramp/platform/__init__.py
+++ b/src/azureramp/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter to the users' platform: its settings, wire names and calls.
+"""The adapter to the users' platform: its settings, wire format and calls.
 
-They are used in this package only, and only the daemon's entry point imports
-the package.
+No other package depends on these details: only the daemon's entry point imports
+this package.
 """
--- a/src/azureramp/platform/answers.py
+++ b/src/azureramp/platform/answers.py
@@ -16,8 +16,8 @@
 
 ADDRESS_LIFETIME_S = 5
 """How long callers may cache the advertised addresses, in whole seconds. Some
-cache them three times as long, and keep using a VM that has just died for that
-time."""
+callers cache them three times as long, and keep using a VM for that time after
+it has died."""
 
 
 class Answers:
@@ -65,7 +65,7 @@
     async def handle_resolve(
         self, request: web_api.Request
     ) -> web_api.Response:
-        """Handles a caller's look-up of the addresses to connect to."""
+        """Handles a caller's lookup of the addresses to connect to."""
         if request.path != RESOLVE_PATH:
             return web_api.Response(404)
         board = self._board
--- a/src/azureramp/platform/bodies.py
+++ b/src/azureramp/platform/bodies.py
@@ -13,8 +13,10 @@
     """A route.
 
     Attributes:
-        route_type: Whether the route's requests may run more than once.
-        backend: The name of the service, unless one of the next two is given.
+        route_type: Determines whether the route's requests may run more than
+            once.
+        backend: The name of the service; used if neither `fanout_services` nor
+            `traffic_split` is given.
         traffic_split: Several services with their weights.
         fanout_services: The shards; each request goes to all of them.
         top_k: Maximum number of records in an answer.
@@ -98,7 +100,7 @@
 
 
 class RolloutOrderBody(msgspec.Struct, rename="pascal"):
-    """An operator's order of a roll-out.
+    """An operator's order for a roll-out.
 
     Attributes:
         backend: The name of the service, not of a backend server.
--- a/src/azureramp/platform/decoding.py
+++ b/src/azureramp/platform/decoding.py
@@ -20,8 +20,9 @@
 ROLLOUT_RECORD_PREFIX = "azureramp/rollouts/"
 
 REPEATABLE = "idempotent"
-"""The type of route whose requests may run more than once. The requests of any
-other type, also of an unknown one, may not."""
+"""The type of a route whose requests may run more than once. Requests of a
+route of any other type, including an unknown one, may not, unless it fans
+out."""
 
 SEARCHER_STATES = {
     "ready": catalog.SearcherState.READY,
@@ -37,8 +38,8 @@
 """The state reported to operators for each phase of a roll-out."""
 
 _HEADER_SAFE = re.compile(r"[!-~]+")
-"""Names that can be sent unchanged in a header. A name with a line break would
-let whoever writes the entry inject headers into every call."""
+"""Pattern of names that can be sent unchanged in a header. A name with a line
+break would let the writer of the entry inject headers into every call."""
 
 _configuration_decoder = msgspec.json.Decoder(bodies.ConfigurationBody)
 _searcher_decoder = msgspec.json.Decoder(bodies.SearcherBody)
@@ -112,7 +113,7 @@
 
 
 def _decode_order(entry: store_api.Entry) -> catalog.Update:
-    """Decodes an operator's order of a roll-out, or its withdrawal."""
+    """Decodes an operator's order for a roll-out, or its withdrawal."""
     service = entry.key.removeprefix(ROLLOUT_ORDER_PREFIX)
     if entry.value is None:
         return catalog.RolloutWithdrawn(service)
--- a/src/azureramp/platform/headers.py
+++ b/src/azureramp/platform/headers.py
@@ -40,11 +40,12 @@
 SET_BY_TIER = frozenset(
     (DEADLINE, TARGET_INSTANCE, b"content-length", b"expect")
 )
-"""Request headers that aren't forwarded: the tier sets them anew for each call
-or has already handled them itself."""
+"""Request headers that aren't forwarded: the tier either sets its own value for
+each call or has already processed the header."""
 
 MAX_DEADLINE_MS = 3_600_000
-"""Upper limit of a caller's deadline; the route's timeout is shorter."""
+"""Upper limit of the times read from headers, in milliseconds. It shortens no
+caller's deadline, since the route's timeout is shorter still."""
 
 
 class Codec:
@@ -168,12 +169,12 @@
         case requests.Refusal(failure=failure, request_id=request_id):
             headers = [(REQUEST_ID_NAME, request_id)] if request_id else []
             retry_after_ms = failure.get_retry_after_ms()
-            table = failure.get_answer()
-            if retry_after_ms and table.status in (429, 503):
+            error_answer = failure.get_answer()
+            if retry_after_ms and error_answer.status in (429, 503):
                 retry_after = f"{retry_after_ms / 1000:.3f}"
                 headers.append(("Retry-After", retry_after))
             return web_api.Response(
-                status=table.status,
+                status=error_answer.status,
                 body=failure.kind.value.encode("ascii"),
                 content_type="text/plain; charset=utf-8",
                 headers=tuple(headers),
@@ -198,7 +199,7 @@
     fields: Iterable[tuple[bytes, bytes]],
     excluded: frozenset[bytes] = frozenset((b"content-length",)),
 ) -> list[tuple[bytes, bytes]]:
-    """Returns the end-to-end headers, without those of one connection."""
+    """Returns the headers that apply end to end, without the excluded ones."""
     fields = list(fields)
     connection_names: set[bytes] = set()
     for name, value in fields:
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -57,7 +57,7 @@
 store and peers; the rest may be used for callers' connections."""
 
 LOOKUP_DRAIN_S = 0.5
-"""How long a shutdown waits for running address look-ups, in seconds."""
+"""How long a shutdown waits for running address lookups, in seconds."""
 
 RESTART_DELAY_S = 1.0
 """Delay before a failed background loop is restarted, in seconds."""
@@ -366,7 +366,7 @@
             self._members.check_lease()
 
     async def _watch_settings(self) -> None:
-        """Reloads the settings whenever the file changes, forever."""
+        """Reloads the settings whenever the file changes, until cancelled."""
         path = settings.get_path()
         last_change = settings.read_change_time(path)
         while True:
@@ -381,7 +381,7 @@
         result = settings.read(settings.get_path(), os.environ)
         if result.is_error():
             _logger.error(
-                "settings not reloaded, the previous ones stay in use: {}",
+                "settings not reloaded; the previous ones stay in use: {}",
                 result.error,
             )
             return
--- a/src/azureramp/platform/settings.py
+++ b/src/azureramp/platform/settings.py
@@ -36,9 +36,9 @@
     """The operators' limits that the tier itself enforces.
 
     Attributes:
-        cold_overage: Factor on the requests per second that a cold searcher
-            may get.
-        cold_slack: Requests per second added to that.
+        cold_overage: Factor applied to the requests per second that a cold
+            searcher's service permits.
+        cold_slack: Requests per second allowed in addition.
         retry_budget_ratio: Maximum extra calls per request.
         budget_window_s: The window in which extra calls are counted, in
             seconds.
@@ -49,7 +49,7 @@
             addresses, in seconds.
         exposure_share: Maximum share of a service's requests that may go to a
             new version before it has proved itself.
-        exposure_slack: Requests added to that.
+        exposure_slack: Number of requests allowed in addition.
         rollback_ms: Maximum time from a new version's 50th bad answer to its
             last request, in milliseconds.
     """
@@ -150,7 +150,7 @@
         front_address: `IP:port` for callers' requests; empty if not served.
         ready_address: `IP:port` for the platform's readiness checks; empty if
             not served.
-        directory_address: `IP:port` for callers' address look-ups; empty if
+        directory_address: `IP:port` for callers' address lookups; empty if
             not served.
         store_address: `IP:port` of the platform's store.
         seeds: The peer addresses of some VMs, `IP:port`.
--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -19,7 +19,7 @@
 
 CALL_TIMEOUT_S = 1.0
 """Timeout of a call, in seconds. The store usually answers within 4 ms, and
-within some tenths of a second when it is slow."""
+within a few tenths of a second when it is slow."""
 
 MAX_PAGES = 200
 """Maximum number of pages read for one prefix; a hundred searchers fill one or
@@ -34,7 +34,7 @@
     __slots__ = ("_pool", "_watch_pool")
 
     def __init__(self, address: str) -> None:
-        """Creates a client; it connects on first use.
+        """Creates a client that connects on first use.
 
         Args:
             address: `IP:port` of the store.
@@ -220,7 +220,7 @@
 
 
 def _to_read_failure(failure: errors.Failure) -> errors.Failure:
-    """Makes a read's failure `STORE_UNAVAILABLE`: a read has no effect."""
+    """Converts the failure of a read, whose outcome can't be unknown."""
     return errors.Failure(errors.Kind.STORE_UNAVAILABLE, failure.detail)
 
 
