--- a/src/azureramp/blackboard.py
+++ b/src/azureramp/blackboard.py
@@ -54,10 +54,10 @@
         ready: True if it serves callers.
         accepts_searchers: True once it takes over searchers.
         revision: Its configuration revision.
-        confirmed_s: The earliest time at which the platform confirmed its
-            revision, on this VM's clock.
-        lease_until_s: Until when it may treat itself as an owner, because
-            of a lease granted by this VM.
+        confirmed_s: The platform confirmed that its revision was current at
+            this time on this VM's clock, or later.
+        lease_until_s: When the lease that this VM granted it expires. Until
+            then it may act as the owner of its searchers.
         searchers: The states of the searchers that it owns.
         acknowledged_s: When this VM sent the newest heartbeat that the other
             VM acknowledged. The content of the acknowledgement was true at
@@ -96,19 +96,20 @@
         metrics: The metrics. Written by all controllers.
         configuration: The configuration in force. Written by the
             configuration controller.
-        confirmed_s: The earliest time at which the platform confirmed the
-            configuration to be current. Written by the configuration
-            controller.
+        confirmed_s: The platform confirmed that the configuration was current
+            at this time or later. Written by the configuration controller.
         serving: Whether this VM accepts new work. Written by the serving
             controller.
-        may_work_until_s: Until when new work may be sent to searchers under
-            this configuration, unless it is extended: until then no change
-            accepted elsewhere can be missing here. Checked right before each
-            write, like the lease, since a process that was paused may resume
-            in a write before any controller runs. Written by the serving
-            controller.
-        accepted_revision: A majority of the listed VMs has all changes up to
-            this revision. Written by the serving controller.
+        may_work_until_s: The time until which new work may be sent to
+            searchers under the configuration in force. Until then, no change
+            that is missing here can have been accepted elsewhere. Each new
+            contact with a majority and each new confirmation extends it. It is
+            checked right before each write, like the lease, since a process
+            that was paused may resume in a write before any controller runs.
+            Written by the serving controller.
+        accepted_revision: The newest revision that is known to be accepted: a
+            majority of the listed VMs has all changes up to it. Written by the
+            serving controller.
         members: The VMs of the cell by name, including this one. Written by
             the membership controller.
         lease_until_s: Until when this VM may send to cold searchers. Written
--- a/src/azureramp/catalog.py
+++ b/src/azureramp/catalog.py
@@ -131,7 +131,7 @@
     """One version of the operators' configuration.
 
     Attributes:
-        version: Increases with each change, not always by one.
+        version: Increases with each change, but not always by one.
         routes: The routes.
         services: The services by name.
         limits: The limits on callers' requests.
@@ -194,7 +194,8 @@
         cores: Its CPU capacity, in cores.
         leaving: True while it shuts down and callers should use other VMs.
         busy: True while its CPU load is high enough to delay requests.
-        keeper: The VM whose lease holds the entry; empty for its own lease.
+        keeper: The VM to whose lease the entry is attached; empty if it is the
+            announced VM's own lease.
     """
 
     vm: str
--- a/src/azureramp/events.py
+++ b/src/azureramp/events.py
@@ -141,7 +141,7 @@
 class ConfigurationAccepted(
     Event, frozen=True, kw_only=True, tag="configuration.accepted"
 ):
-    """An operator's change was stored and accepted."""
+    """An operator's stored change was accepted by a majority of the VMs."""
 
     resource_kind: str
     name: str
@@ -169,7 +169,7 @@
 
 
 class OwnerChanged(Event, frozen=True, kw_only=True, tag="membership.owner"):
-    """This VM became the owner of a searcher, or ceased to be it.
+    """This VM became the owner of a searcher, or is no longer its owner.
 
     Attributes:
         owned: True if this VM is the owner now.
@@ -207,7 +207,7 @@
 
 
 class StopChanged(Event, frozen=True, kw_only=True, tag="stop.changed"):
-    """This VM's shutdown reached a step.
+    """This VM's shutdown entered its next step.
 
     Attributes:
         step: `unadvertised`, `handing_off`, `draining`, `stopped` or `cut`.
--- a/src/azureramp/explanations.py
+++ b/src/azureramp/explanations.py
@@ -13,12 +13,12 @@
 from azureramp import log_lines
 
 OBSERVATION_WINDOW_S = 1.0
-"""How far in time from a request other requests are considered to be affected
-by the same problem, in seconds. Pauses of searchers take a tenth of this,
-faults some seconds."""
+"""Maximum time between the lines of two requests that are considered affected
+by the same problem, in seconds. A searcher's pause takes about a tenth of this,
+a fault a few seconds."""
 
 CRASH_WINDOW_S = 3.0
-"""How long before or after a request's line a crash is considered related, in
+"""Maximum time between a request's line and the line of a related crash, in
 seconds; a crash may be detected only some time after the request."""
 
 VM_STATE_CHANNELS = frozenset(
@@ -30,7 +30,7 @@
         "azureramp.leaving",
     )
 )
-"""Log channels about a VM's state other than that of single searchers."""
+"""Log channels that describe a VM's state, apart from individual searchers."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -104,7 +104,7 @@
 
 
 def summarize_cause(explanation: Explanation) -> str:
-    """Returns one sentence on why a request ended as it did."""
+    """Describes in one sentence why a request ended as it did."""
     outcome = str(explanation.request.fields.get("outcome", ""))
     detail = str(explanation.request.fields.get("detail", ""))
     match outcome:
--- a/src/azureramp/log_lines.py
+++ b/src/azureramp/log_lines.py
@@ -24,7 +24,7 @@
         vm: The name of the VM that wrote it.
         channel: The log channel.
         message: The message.
-        fields: All fields of the line, the above included.
+        fields: All fields of the line, including those above.
     """
 
     at_s: float
--- a/src/azureramp/loss_causes.py
+++ b/src/azureramp/loss_causes.py
@@ -1,4 +1,4 @@
-"""Finds out from the log lines of all VMs why a shard delayed a request."""
+"""Determines from the logs of all VMs why a shard delayed a request."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from azureramp import log_lines
 
 OBSERVATION_WINDOW_S = 1.0
-"""How far in time from a request other requests are considered to be affected
-by the same problem, in seconds."""
+"""Maximum time between the end of a request and calls of other requests that
+are considered affected by the same problem, in seconds."""
 
 DARK_AFTER_S = 0.3
-"""A searcher that leaves all calls unanswered for longer than this is dark (for
-example without power), not paused, in seconds."""
+"""Time without any answer after which a searcher is classified as dark (for
+example without power) instead of paused, in seconds."""
 
 REQUEST_CHANNEL = "azureramp.request"
 
--- a/src/azureramp/losses.py
+++ b/src/azureramp/losses.py
@@ -18,7 +18,7 @@
 
 
 class Loss(enum.Enum):
-    """How a request was served poorly."""
+    """A way in which a request was served poorly."""
 
     LATE = "late"
     SHORT = "short"
@@ -42,7 +42,7 @@
 """The outcomes in request lines that are losses regardless of the duration."""
 
 LOSS_WEIGHTS = {Loss.LATE: 0.9, Loss.REFUSED: 0.5, Loss.FAILED: 1.0}
-"""What share of the value of a good answer is lost by each loss. A refused
+"""The share of a good answer's value that each kind of loss costs. A refused
 request was not run, so a retry may still succeed."""
 
 DEFAULT_SHORT_SHARE = 0.5
@@ -71,13 +71,15 @@
     """The poorly served requests of a span.
 
     Attributes:
-        counts: The requests by loss. One that is late and short counts twice.
+        counts: Number of requests by loss. One that is late and short counts
+            twice.
         weight: Their total loss, in units of one good answer.
-        causes: The calls to the shards that delayed them, by cause.
-        called_once: How often such a shard was called only once.
-        shards: The requests by the service that delayed them.
-        searchers: The requests by the searcher that delayed them.
-        vms: The requests by the VM that handled them.
+        causes: Number of calls to the shards that delayed them, by cause.
+        called_once: Number of times that a request was delayed by a shard and
+            had called it only once.
+        shards: Number of requests by the service that delayed them.
+        searchers: Number of requests by the searcher that delayed them.
+        vms: Number of requests by the VM that handled them.
     """
 
     counts: collections.Counter[Loss] = dataclasses.field(
@@ -104,9 +106,10 @@
 ) -> dict[RouteSpan, SpanLosses]:
     """Collects the losses of each span.
 
-    Routes on which no logged request was answered are left out: they have no
-    route or searchers configured, which is not poor service. So are requests
-    to VMs that are not advertised: these get many checks but few callers.
+    Routes on which no logged request was answered are omitted: either no route
+    is configured or it has no searchers, which is not poor service. Requests to
+    VMs that are not advertised are omitted too: most of them are checks, which
+    are sent to every VM, and hardly any come from callers.
 
     Args:
         lines: The log lines of all VMs, by time.
@@ -202,8 +205,8 @@
 ) -> dict[str, list[log_lines.Call]]:
     """Returns the services that delayed a request, with their calls.
 
-    A service with a call that succeeded quickly is left out, even if an earlier
-    call to it failed: that didn't delay the request.
+    A service with a call that succeeded quickly is omitted, even if an earlier
+    call to it failed: that failure didn't delay the request.
     """
     took_ms = float(line.fields.get("took_ms", 0.0))
     by_service: dict[str, list[log_lines.Call]] = collections.defaultdict(list)
--- a/src/azureramp/messages.py
+++ b/src/azureramp/messages.py
@@ -276,7 +276,7 @@
 class ConfigurationRequest(
     Message, frozen=True, kw_only=True, tag="configuration_request"
 ):
-    """Requests from a peer the entries that the sender lacks.
+    """A request to a peer for the entries that the sender lacks.
 
     Attributes:
         after: The sender's revision.
@@ -311,8 +311,8 @@
         searcher: The searcher's name.
         incarnation: The searcher's incarnation to which the state belongs.
         in_use: Number of slots still in use by the previous owner. The new
-            owner keeps as many free until `HandoffDone`, or until the
-            previous owner's lease has expired.
+            owner leaves that many slots unused until `HandoffDone` arrives or
+            the previous owner's lease has expired.
         limit: The limit of the cold ramp.
         service_ms: The median service time, in milliseconds.
         running_ms: Maximum remaining time of the calls that are still
--- a/src/azureramp/metrics.py
+++ b/src/azureramp/metrics.py
@@ -101,8 +101,9 @@
 
 
 BUCKETS_MS = (1, 2, 5, 10, 20, 30, 50, 75, 100, 150, 250, 500, 1000, 2500)
-"""Upper bounds of a histogram's buckets, in milliseconds. They are closest
-around some tens of milliseconds, where callers' latency targets lie."""
+"""Upper bounds of a histogram's buckets, in milliseconds. They are most
+closely spaced around some tens of milliseconds, where callers' latency targets
+lie."""
 
 
 class Histogram:
--- a/src/azureramp/rollout_types.py
+++ b/src/azureramp/rollout_types.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Order:
-    """An operators' order to move a service's traffic to another version.
+    """An order by the operators to move a service's traffic to another version.
 
     The attributes are the keys of its encoding in the store.
 
@@ -46,13 +46,13 @@
         order: The order that the roll-out carries out.
         phase: The phase of the roll-out.
         old: The versions that serve requests until it is completed.
-        barred: The versions that get no requests, whatever the outcome.
+        barred: The versions that get no requests, regardless of the outcome.
         driver: The process that drives the roll-out.
         driver_address: The `IP:port` at which other VMs reach that process.
         age_s: Time from the order until this was written, in seconds.
         written_ms: When it was written by the writer's clock, in milliseconds
             since 1970.
-        requests: Requests to the service since the order, as far as counted.
+        requests: Number of requests to the service counted since the order.
         reserved: Upper bound of the calls that VMs may have sent to the new
             version.
         usual: The usual duration of the old version's calls by route, in
--- a/src/azureramp/sending.py
+++ b/src/azureramp/sending.py
@@ -1,4 +1,4 @@
-"""Creates metrics that are sent to statsd."""
+"""Creates the metrics of a process, which are optionally sent to statsd."""
 
 from __future__ import annotations
 
