--- a/src/azureramp/ports/forwarding/api.py
+++ b/src/azureramp/ports/forwarding/api.py
@@ -164,8 +164,8 @@
 
         A call that was not written is dropped without calling its receiver. One
         that was written keeps its connection for the given time, since an
-        answer that still arrives saves opening a new connection; then it is
-        cut.
+        answer that still arrives saves opening a new connection; then the
+        connection is closed.
 
         Args:
             linger_s: How long the answer may still arrive, in seconds.
--- a/src/azureramp/ports/forwarding/link.py
+++ b/src/azureramp/ports/forwarding/link.py
@@ -12,7 +12,8 @@
 from azureramp.ports.web import connection as web_connection
 
 MAX_BODY_BYTES = 8_000_000
-"""Maximum size of an answer's body; a searcher's page is a thousandth of it."""
+"""Maximum size of an answer's body, in bytes. A searcher's page of results is a
+thousandth of it."""
 
 KEEP_ALIVE_SHARE = 0.8
 """Share of the searcher's idle timeout for which a connection is reused. The
@@ -122,10 +123,10 @@
     def abort_after(self, seconds: float) -> None:
         """Aborts the connection unless its call ends within a delay.
 
-        One timer per call would cost more than writing the call itself, so one
-        timer serves many calls: when it fires early, because a later call moved
-        the time, it is set again, and it is replaced only if the time moves
-        closer.
+        One timer per call would cost more than writing the call itself, so
+        calls share a timer. If a later call has postponed the abort, the timer
+        fires early and is set again; it is replaced only if the new time is
+        earlier.
 
         Args:
             seconds: The delay, in seconds.
@@ -168,7 +169,7 @@
     def eof_received(self) -> bool:
         """Handles the end of the searcher's stream.
 
-        It completes an answer without a length, and truncates any other.
+        An answer without a length is complete; any other is truncated.
         """
         if self.busy:
             self._feed(b"")
@@ -261,9 +262,9 @@
         """Skips an answer to another call and continues reading.
 
         A faulty searcher may answer an earlier call twice; the second answer
-        then arrives in place of this call's, which follows it. One such answer
-        is skipped, and the connection closes after this call. After a second
-        one, nothing on the connection can be trusted.
+        then arrives before the answer to this call. One such answer is skipped,
+        and the connection closes after this call. After a second one, nothing
+        on the connection can be trusted.
         """
         self._stray_answers += 1
         if self._stray_answers > 1 or self._cannot_continue(call):
@@ -278,7 +279,7 @@
             self._feed(surplus)
 
     def _cannot_continue(self, call: api.Call) -> bool:
-        """Returns True if reading can't continue after a stray answer."""
+        """Returns True if the stray answer must end the connection."""
         return self._http.their_state is not h11.DONE or not call.message.id
 
     def _may_reuse(self) -> bool:
--- a/src/azureramp/ports/forwarding/pool.py
+++ b/src/azureramp/ports/forwarding/pool.py
@@ -27,16 +27,16 @@
 preferred, in seconds: a searcher that lost power sends no response at all."""
 
 MAX_WAITING = 64
-"""Maximum number of calls that wait for a connection; with more than a few,
-they would be answered late."""
+"""Maximum number of calls that wait for a connection; any further ones would be
+answered too late."""
 
 MIN_FULL_BACKOFF_S = 1.0
 MAX_FULL_BACKOFF_S = 8.0
-"""Initial and maximum backoff before a second connection is opened after the
-searcher closed one that it had answered nothing on, in seconds: most likely it
-already holds as many connections as it accepts. VMs that reconnect at once keep
-it, and themselves, busy with handshakes; a few seconds let idle connections of
-other VMs close."""
+"""Initial and maximum backoff after the searcher closed a connection without
+having sent anything on it, in seconds. Most likely it already has as many
+connections as it accepts, so none is opened in addition to an open one. VMs
+that reconnect at once keep it, and themselves, busy with handshakes; within a
+few seconds, idle connections of other VMs close."""
 
 ANSWER_GRACE_S = 0.1
 """How long a connection is kept after its call's time limit, in seconds: the
@@ -58,9 +58,9 @@
         address: The searcher's `IP:port`.
         limit: Maximum number of connections.
         opened_count: Number of connections opened since the pool was created.
-        unavailable: True from when the searcher refused a connection while no
-            other was open, or closed the last one unused, until it answers a
-            call again.
+        unavailable: True after the searcher refused a connection while no
+            other was open, or closed the last one without having sent anything
+            on it; False again once it has answered a call.
         available_since_s: When the searcher first answered after being
             unavailable, on the loop's clock.
         connected_since_s: Since when there has always been an open connection,
@@ -228,7 +228,7 @@
         link: link_module.SearcherConnection,
         pending_call: ticket_module.PendingCall,
     ) -> None:
-        """Writes a call and sets the time at which its connection is cut."""
+        """Writes a call and sets when its connection is aborted."""
         receiver = pending_call.receiver
         if receiver is None:
             return
@@ -301,7 +301,7 @@
         )
 
     def _handle_opened(self, task: asyncio.Task[None]) -> None:
-        """Handles the end of an attempt to open a connection."""
+        """Handles the result of an attempt to open a connection."""
         self._opening.discard(task)
         failure = None if task.cancelled() else task.exception()
         failed = task.cancelled() or failure is not None
@@ -331,7 +331,7 @@
             receiver(result)
 
     def _is_backing_off(self) -> bool:
-        """Returns True while the backoff for a full searcher lasts."""
+        """Returns True during the backoff for a full searcher."""
         return asyncio.get_running_loop().time() < self._full_until_s
 
     def _handle_idle(self, link: link_module.SearcherConnection) -> None:
--- a/src/azureramp/ports/peers/nng.py
+++ b/src/azureramp/ports/peers/nng.py
@@ -39,8 +39,8 @@
 
 TASK_THREADS = 3
 """Number of nng's message threads. By default nng starts two for each core and
-some more, which costs memory and wake-ups that the messages of a single Python
-process don't need."""
+a few more; a single Python process doesn't need them, and they cost memory and
+wake-ups."""
 
 _logger = logbook.Logger("azureramp.peers")
 
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -68,8 +68,8 @@
 
         If the process was paused after the request was encoded, the searcher
         would receive a deadline that is too late by the length of the pause,
-        and the work could outlast the lease that limits it. The clock shows
-        the pause, and the request is not written.
+        and the work could outlast the lease that limits it. The pause is
+        detected by the clock, and the request is not written.
         """
         elapsed_s = asyncio.get_running_loop().time() - self.computed_s
         if elapsed_s > MAX_ENCODE_S:
--- a/src/azureramp/ports/searchers/memory_faults.py
+++ b/src/azureramp/ports/searchers/memory_faults.py
@@ -22,8 +22,8 @@
         crossed: Number of upcoming replies with another call's id.
         truncated: Number of upcoming replies that are truncated.
         hangs: Number of upcoming calls that are never answered.
-        reports_cold: The cold start state in health reports; None for the
-            actual one.
+        reports_cold: Whether health reports claim a cold start; None to report
+            the actual state.
     """
 
     down: bool = False
--- a/src/azureramp/ports/searchers/memory_searcher.py
+++ b/src/azureramp/ports/searchers/memory_searcher.py
@@ -16,7 +16,7 @@
 
 MIN_SLOW_REPLIES = 3
 """Number of slow replies that distinguishes a searcher in cold start from one
-with stragglers. Its health reports can't, since they may be outdated or
+with stragglers. Its health reports don't, since they may be outdated or
 wrong."""
 
 SLOW_FACTOR = 3.0
@@ -61,7 +61,7 @@
         service_time_sigma: Sigma of the service time's log-normal distribution.
         connect_ms: Time to open a connection, in milliseconds.
         siblings: The searchers that crash with it, including itself.
-        served: Number of calls completed since it started or turned cold.
+        served: Number of calls completed since it started or became cold.
         running: Number of calls running or queued.
         calls: Total number of calls received.
         crashes: Total number of crashes.
@@ -76,7 +76,7 @@
         cold_detectable: True if its cold start can be detected from outside:
             its connections broke, or `MIN_SLOW_REPLIES` slow replies were
             received.
-        slow_replies: Number of slow replies received since it turned cold.
+        slow_replies: Number of slow replies received since it became cold.
         health_reads: Total number of health reads.
     """
 
--- a/src/azureramp/ports/web/connection.py
+++ b/src/azureramp/ports/web/connection.py
@@ -179,7 +179,7 @@
         if self._writer.is_closing() or self._reader.at_eof():
             raise NotSentError("closed")
         if may_write is not None and not may_write():
-            # Nothing was written, so the connection can be reused as if new.
+            # Nothing was written, so the connection can still be used.
             self._http = h11.Connection(h11.CLIENT)
             raise NotSentError("not allowed")
         try:
@@ -206,6 +206,7 @@
         body: bytes,
         host: str,
     ) -> bytes:
+        """Encodes a request with h11."""
         request = h11.Request(
             method=method,
             target=target,
