--- a/src/azureramp/cli/checking.py
+++ b/src/azureramp/cli/checking.py
@@ -15,7 +15,7 @@
     declared: list[files.DeclaredResource],
     shows_diff: bool,
 ) -> exits.ExitCode:
-    """Validates resources together on a VM, as if written in this order.
+    """Lets a VM validate resources together, as if written in this order.
 
     Args:
         common: The options shared by all commands.
--- a/src/azureramp/cli/client.py
+++ b/src/azureramp/cli/client.py
@@ -67,8 +67,8 @@
         A change whose answer was lost is sent to the next VM too. This is
         safe: the expected revision in the request allows it to take effect
         only once, and the change id of a write lets the next VM recognize
-        that it already has. If no VM confirms the change, the outcome is
-        unknown.
+        a change that has already taken effect. If no VM confirms the change,
+        the outcome is unknown.
 
         Args:
             answer: The type to decode the answer as.
--- a/src/azureramp/cli/losses.py
+++ b/src/azureramp/cli/losses.py
@@ -42,10 +42,10 @@
     """Shows when requests were late, short, refused or failed, and why.
 
     LOGS are the log files of all VMs, in any order. Each row covers a time
-    span and a route. It shows the loss of the callers, counted in good
-    answers; how many requests were late, short (answered in part), refused
-    and failed; how the calls that delayed them ended; and the shards,
-    searchers and VMs that most of them have in common.
+    span and a route. It shows the callers' loss, in units of one good answer;
+    how many requests were late, short (answered in part), refused and failed;
+    how the calls that delayed them ended; and the shards, searchers and VMs
+    that most of them have in common.
     """
     losses_by_span = losses_module.collect(log_lines.read(logs), span_s)
     spans = list(losses_by_span)
--- a/src/azureramp/cli/status.py
+++ b/src/azureramp/cli/status.py
@@ -42,8 +42,8 @@
 
     Args:
         common: The options shared by all commands.
-        revision: The revision whose progress is shown; None asks about
-            the revision of the VM that answers.
+        revision: The revision whose progress is shown; None shows that of
+            the revision in force on the VM that answers.
         output_format: The output format, `text` or `json`.
 
     Returns:
--- a/src/azureramp/invariants/answers.py
+++ b/src/azureramp/invariants/answers.py
@@ -96,7 +96,7 @@
 
 
 def check_not_run(run_history: history.History) -> Iterator[history.Violation]:
-    """Checks that a request refused as `not_run` never ran, before or after."""
+    """Checks that no request refused as `not_run` ran, before or after."""
     arrived = {arrival.request_id for arrival in run_history.arrivals}
     dispatched = {
         record.event.request_id
--- a/src/azureramp/invariants/control.py
+++ b/src/azureramp/invariants/control.py
@@ -30,7 +30,7 @@
 def check_configuration(
     run_history: history.History,
 ) -> Iterator[history.Violation]:
-    """Checks that accepted revisions come into force in time and stay so."""
+    """Checks that accepted revisions take effect in time and stay in force."""
     yield from _check_no_revert(run_history)
     yield from _check_in_force(run_history)
 
@@ -62,7 +62,7 @@
     """Yields a violation for each request admitted on an outdated revision.
 
     A VM that can't receive the newest configuration must not take work.
-    Therefore the check looks at admitted requests: once the bound
+    Therefore the check covers admitted requests: once the bound
     `in_force_s` has passed since a revision was accepted, no VM may admit a
     request with an older revision in force.
     """
--- a/src/azureramp/invariants/work.py
+++ b/src/azureramp/invariants/work.py
@@ -55,7 +55,8 @@
 
 
 Span = tuple[float, float]
-"""From the acceptance of the removal to the first VM that applies its end."""
+"""Start and end of a removal from service, in seconds: when it was accepted and
+when the first VM applied its reversal."""
 
 
 def _find_spans(
