--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -1,8 +1,8 @@
 """Runs the daemons of several VMs in one event loop, over in-memory ports.
 
 The daemons are those of the product; only their environment is replaced.
-Networks, hosts and load are modelled only as far as the faults of the ports
-go.
+Networks, hosts and load are modelled only through the faults that the ports
+inject.
 """
 
 from __future__ import annotations
@@ -51,10 +51,12 @@
 
 MAX_CHANGE_ATTEMPTS = 20
 CHANGE_RETRY_DELAY_S = 0.25
-"""Maximum number of attempts at a change, and the delay between them."""
+"""Maximum number of attempts at a change, and the delay between them in virtual
+seconds."""
 
 OPERATION_KEY_FIELD = "idempotency_key"
-"""Field of an operation with its idempotency key, for the searchers' log."""
+"""Field of an operation that holds its idempotency key, so that recorded calls
+to searchers include it."""
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/azureramp_standins/demo.py
+++ b/src/azureramp_standins/demo.py
@@ -42,7 +42,8 @@
     """Waits until a query is answered completely.
 
     Raises:
-        TimeoutError: None is within `READY_TIMEOUT_S`.
+        TimeoutError: No query is answered completely within
+            `READY_TIMEOUT_S`.
     """
     async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
@@ -135,9 +136,9 @@
 
 
 def find_last_work(running: deployment.Deployment) -> float:
-    """Returns the time of the last new work in the zone.
+    """Returns when the zone received its last new work.
 
-    The time is in seconds since the zone's change was accepted.
+    The time is in seconds after the drain of the zone was accepted.
     """
     printed = running.run_cli("timeline", "--format", "json")
     accepted_s: list[float] = []
--- a/src/azureramp_standins/fleet/deployment.py
+++ b/src/azureramp_standins/fleet/deployment.py
@@ -64,7 +64,7 @@
         await self.store.start()
 
     async def add_searchers(self, service: str, count: int = 2) -> None:
-        """Starts searchers of a new service, in two zones by turns."""
+        """Starts searchers of a new service, alternating between two zones."""
         self.configuration["Services"].append(
             {
                 "Name": service,
@@ -100,7 +100,7 @@
     def order_rollout(
         self, service: str, target: str, duration_s: float
     ) -> int:
-        """Orders a roll-out by an operator's entry in the store.
+        """Writes an operator's order for a roll-out to the store.
 
         Args:
             service: The service.
@@ -168,7 +168,8 @@
         Args:
             vm: The VM's name.
             zone: Its availability zone.
-            first_port: The first of its ports; 0 for ports by its number.
+            first_port: The first of its ports; 0 to derive it from the number
+                of VMs started so far.
             first_start: True if the whole tier starts for the first time.
         """
         first_port = first_port or 30000 + 10 * len(self.daemons)
--- a/src/azureramp_standins/heartbeats.py
+++ b/src/azureramp_standins/heartbeats.py
@@ -5,7 +5,8 @@
 announces their states, and reports its CPU time, bytes and memory. With
 `--apart` one process is measured, and all other VMs share a second process:
 they exchange messages in memory among themselves, and with the measured VM over
-the real links. One process for each VM would compete for CPU time.
+the real links. With one process for each VM, the processes would compete for
+CPU time.
 """
 
 from __future__ import annotations
--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -34,16 +34,19 @@
 
 CHANGE_AT_S = 0.5
 REPLACE_AT_S = 1.0
-"""Times after `WARMUP_S` at which a resource changes and a VM is replaced."""
+"""Times after `WARMUP_S` at which a resource changes and a VM is replaced, in
+seconds."""
 
 VM_START_S = 0.5
 """Time for the replaced VM to reach the steps of its start, in seconds."""
 
 MAX_RECOVERY_S = 12.0
-"""Maximum time from a fault's end until all VMs answer completely."""
+"""Maximum time from a fault's end until all VMs answer completely, in
+seconds."""
 
 SETTLE_S = 3.5
-"""Time after recovery in which late effects would become visible."""
+"""Time after recovery in which late effects would become visible, in
+seconds."""
 
 NO_AWAIT = "no await between admission and pinning"
 
--- a/src/azureramp_standins/measuring/__init__.py
+++ b/src/azureramp_standins/measuring/__init__.py
@@ -2,5 +2,5 @@
 
 The main tool offers a seeded load to an in-memory deployment and reports what
 callers and searchers observed. It is not a cluster simulator: networks and
-hosts are modelled only as far as the faults of the ports go.
+hosts are modelled only through the faults that the ports inject.
 """
--- a/src/azureramp_standins/measuring/grouped_trial.py
+++ b/src/azureramp_standins/measuring/grouped_trial.py
@@ -51,12 +51,12 @@
 
 
 class GroupedStore:
-    """Store that implements writes per key over segment logs."""
+    """Store that implements writes of single keys on top of segment logs."""
 
     def __init__(
         self, store: api.Store, vm: str, buckets: int, linger_s: float
     ) -> None:
-        """Initializes the view of empty logs."""
+        """Creates a store whose view of each log is empty."""
         self._store = store
         self._vm = vm
         self._buckets = [Bucket() for _ in range(buckets)]
@@ -67,7 +67,7 @@
     async def grant_lease(
         self, ttl_s: float
     ) -> expression.Result[str, errors.Failure]:
-        """Grants a lease of the underlying store."""
+        """Requests a lease from the underlying store."""
         return await self._store.grant_lease(ttl_s)
 
     async def write(
--- a/src/azureramp_standins/measuring/platform_calls.py
+++ b/src/azureramp_standins/measuring/platform_calls.py
@@ -75,8 +75,8 @@
         deployment: The deployment under load.
         rng: Source of the random draws.
         rate: New requests per second; 0 sends none.
-        respects_retry_after: False if callers retry after 1 s, whatever delay
-            the answer states.
+        respects_retry_after: False if callers retry after 1 s, regardless of
+            the delay that the answer states.
         served: Number of requests that were served.
         abandoned: Number of requests without success after `MAX_ATTEMPTS`.
         waiting: Number of requests that are in progress.
--- a/src/azureramp_standins/measuring/propagation.py
+++ b/src/azureramp_standins/measuring/propagation.py
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PropagationTimes:
-    """PropagationTimes of all changes, measured from the request, in seconds.
+    """Propagation times of all changes, measured from the request, in seconds.
 
     Attributes:
         answered: Time until the operator received the answer.
--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Way:
-    """One way to store the records.
+    """A method of storing the records.
 
     Attributes:
         name: Name in the table.
@@ -113,14 +113,14 @@
 
 
 async def measure(way: Way, rate: int, seed: int) -> dict[str, float | str]:
-    """Measures one way at one rate of claims per second.
+    """Measures one storage method at one rate of claims per second.
 
     Returns:
         The row of the table.
     """
     rng = random.Random(seed)
     state = store_state.State()
-    # The rate limit of claims is lifted to measure the ways without it.
+    # The rate limit of claims is lifted, so that it doesn't affect the results.
     record_bounds.MAX_RECORDS_PER_S = math.inf
     idempotency_policy.MAX_GROUP_CLAIMS = way.group
     record_outcomes.FLUSH_INTERVAL_S = way.flush_s
@@ -196,7 +196,7 @@
     help="File to which the rows are written as JSON too.",
 )
 def main(seed: int, json_path: pathlib.Path | None) -> None:
-    """Measures all ways at all rates and prints a table."""
+    """Measures all storage methods at all rates and prints a table."""
     tables.print_rows(
         (
             virtual.run(measure(way, rate, seed))
--- a/src/azureramp_standins/rollouts/versions.py
+++ b/src/azureramp_standins/rollouts/versions.py
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class AfterTime:
-    """The version is bad from a time on.
+    """The version is bad from a given time on.
 
     Attributes:
         at_s: The time, on the loop's clock.
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class OnRoute:
-    """The version is bad on paths with a prefix.
+    """The version is bad on paths with a given prefix.
 
     Attributes:
         prefix: The prefix.
--- a/src/azureramp_standins/soak/answers.py
+++ b/src/azureramp_standins/soak/answers.py
@@ -12,8 +12,9 @@
 """How far a searcher's deadline may exceed the caller's, in seconds."""
 
 CLOSE_RACE_S = 0.2
-"""A request sent at most this long before its connection closed, and received
-by no searcher, raced with the close, in seconds."""
+"""Maximum time from sending a request until its connection closed, in seconds,
+for which a request that no searcher received is attributed to a race with the
+close."""
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 """Statuses which state that the request has not run."""
@@ -153,7 +154,7 @@
         request = index.requests_by_id.get(arrival.id)
         if request is None:
             yield indexed_history.Violation(
-                "asked", arrival.at_s, f"{arrival.id}: nobody sent it"
+                "asked", arrival.at_s, f"{arrival.id}: no caller sent it"
             )
         elif arrival.deadline_s > request.deadline_s + DEADLINE_TOLERANCE_S:
             detail = f"{arrival.id}: {arrival.deadline_s} s"
@@ -179,7 +180,7 @@
             crossed = request.ended_s - request.sent_s < CLOSE_RACE_S
             if index.arrivals_by_id[request.id] or not crossed:
                 yield indexed_history.Violation(
-                    "stop", request.ended_s, f"{request.id} cut"
+                    "stop", request.ended_s, f"{request.id} aborted"
                 )
 
 
--- a/src/azureramp_standins/soak/bounds.py
+++ b/src/azureramp_standins/soak/bounds.py
@@ -181,7 +181,8 @@
                 continue
             if index.is_undisturbed(vm, end_times[ended - 1], at_s):
                 detail = (
-                    f"{vm} named {name}, dead since {end_times[ended - 1]:.2f}"
+                    f"{vm} advertised {name}, "
+                    f"dead since {end_times[ended - 1]:.2f}"
                 )
                 yield indexed_history.Violation("named", at_s, detail)
 
--- a/src/azureramp_standins/soak/mutants.py
+++ b/src/azureramp_standins/soak/mutants.py
@@ -110,7 +110,7 @@
 
 
 def take_any_answer() -> None:
-    """Accepts the next answer on a connection whatever its request id."""
+    """Accepts the next answer on a connection regardless of its request id."""
     patch(headers.Codec, "read_id", lambda self, fields: _Anything())
 
 
