--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -359,7 +359,7 @@
     def _follow_configuration(self, new: catalog.Configuration) -> None:
         """Applies a new configuration's limits on callers' requests.
 
-        Also wakes the announcement of this VM if it holds no lease yet.
+        Also triggers the announcement of this VM if it has no lease yet.
         """
         headers.apply_limits(new.limits, self._limits)
         if not self.board.lease:
--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(slots=True)
 class WritePermission:
-    """Asks once whether a call may be written and records the answer.
+    """Checks whether a call may be written and records the result.
 
     Attributes:
         may_write: Returns True if the call may be written.
--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -329,7 +329,7 @@
         await daemon.abort()
 
     def _discard_daemon(self, vm: Vm) -> None:
-        """Saves the timeline of a VM's ended daemon, and drops the daemon."""
+        """Saves the timeline of a VM's ended daemon and discards the daemon."""
         if vm.daemon is not None:
             self._ended_timelines.append(vm.daemon.board.timeline.get_records())
         vm.daemon = None
--- a/src/azureramp_standins/fleet/searcher.py
+++ b/src/azureramp_standins/fleet/searcher.py
@@ -191,10 +191,10 @@
         self.requests.append(request)
         signature = f"{self.id}.{request.id}.{len(self.requests)}"
         target_id = request.headers.get("azureramp-target-instance", self.id)
-        act = self.script(request)
+        reaction = self.script(request)
         if target_id != self.id:
-            act = Reaction(status=421, signed=False)
-        work = asyncio.ensure_future(asyncio.sleep(act.delay_s))
+            reaction = Reaction(status=421, signed=False)
+        work = asyncio.ensure_future(asyncio.sleep(reaction.delay_s))
         disconnected = asyncio.ensure_future(reader.read(1))
         self.running_requests += 1
         await asyncio.wait(
@@ -205,24 +205,26 @@
             work.cancel()
             self.cancelled_requests[request.id] += 1
             return False
-        if act.connection_action == "hang":
+        if reaction.connection_action == "hang":
             await disconnected
             return False
         disconnected.cancel()
         await asyncio.wait({disconnected})
-        if act.connection_action == "reset" and act.raw is None:
+        if reaction.connection_action == "reset" and reaction.raw is None:
             writer.transport.abort()
             return False
-        writer.write(self._encode_response(http, request, act, signature))
-        if act.extra_delay_s:
+        writer.write(self._encode_response(http, request, reaction, signature))
+        if reaction.extra_delay_s:
             asyncio.get_running_loop().call_later(
-                act.extra_delay_s, writer.write, act.extra
+                reaction.extra_delay_s, writer.write, reaction.extra
             )
         await writer.drain()
-        if act.connection_action == "reset":
+        if reaction.connection_action == "reset":
             writer.transport.abort()
         return (
-            act.connection_action == "keep" and act.framed and act.raw is None
+            reaction.connection_action == "keep"
+            and reaction.framed
+            and reaction.raw is None
         )
 
     async def _read_request(
@@ -260,27 +262,35 @@
         self,
         http: h11.Connection,
         request: ReceivedRequest,
-        act: Reaction,
+        reaction: Reaction,
         signature: str,
     ) -> bytes:
         """Encodes the response to a request."""
-        if act.raw is not None:
-            return act.raw
-        name = request.id if act.request_id is None else act.request_id
+        if reaction.raw is not None:
+            return reaction.raw
+        name = (
+            request.id if reaction.request_id is None else reaction.request_id
+        )
         headers = [("Azureramp-Request-Id", name)]
-        if act.signed:
+        if reaction.signed:
             headers.append(("Azureramp-Server-Stamp", signature))
-        if act.not_run:
+        if reaction.not_run:
             headers.append(("Azureramp-Not-Executed", "1"))
-        if act.framed:
-            headers.append(("Content-Length", str(len(act.body))))
+        if reaction.framed:
+            headers.append(("Content-Length", str(len(reaction.body))))
         else:
             headers.append(("Connection", "close"))
-        response_head = h11.Response(status_code=act.status, headers=headers)
-        if not act.framed:
-            lines = [f"HTTP/1.1 {act.status} OK"]
+        response_head = h11.Response(
+            status_code=reaction.status, headers=headers
+        )
+        if not reaction.framed:
+            lines = [f"HTTP/1.1 {reaction.status} OK"]
             lines += [f"{field}: {value}" for field, value in headers]
-            return "\r\n".join([*lines, "", ""]).encode() + act.body
-        events = (response_head, h11.Data(data=act.body), h11.EndOfMessage())
-        extra = b"" if act.extra_delay_s else act.extra
+            return "\r\n".join([*lines, "", ""]).encode() + reaction.body
+        events = (
+            response_head,
+            h11.Data(data=reaction.body),
+            h11.EndOfMessage(),
+        )
+        extra = b"" if reaction.extra_delay_s else reaction.extra
         return b"".join(http.send(event) or b"" for event in events) + extra
--- a/src/azureramp_standins/matrix/cells.py
+++ b/src/azureramp_standins/matrix/cells.py
@@ -161,8 +161,8 @@
             await fault.begin(target)
         remaining_s = end_s - asyncio.get_running_loop().time()
         await asyncio.sleep(max(0.0, remaining_s))
-        # In reverse order: ending a fault through an operator's change may
-        # need what the later fault took away.
+        # In reverse order: an operator's change that ends a fault may fail
+        # while a fault that began later is still present.
         for fault in reversed(self._faults):
             await fault.end(target)
 
@@ -274,16 +274,16 @@
         if (name, step) in IMPOSSIBLE_CELLS:
             reason = IMPOSSIBLE_CELLS[(name, step)]
             return Result(joined, step, Verdict.CANNOT_OCCUR, (reason,))
-    past, recovery_s, reached = virtual.run(Cell(names, step, seed).run())
+    recorded, recovery_s, reached = virtual.run(Cell(names, step, seed).run())
     if not reached:
         reasons = ("the step was not reached",)
         return Result(joined, step, Verdict.NOT_RUN, reasons)
     violations = [
-        f"{v.invariant}: {v.description}" for v in checker.check(past)
+        f"{v.invariant}: {v.description}" for v in checker.check(recorded)
     ]
     if recovery_s is None:
         violations.append(f"recovery: not within {MAX_RECOVERY_S} s")
-    queries = [got for got in past.outcomes if not got.idempotency_key]
+    queries = [got for got in recorded.outcomes if not got.idempotency_key]
     answered = sum(got.complete for got in queries) / max(1, len(queries))
     return Result(
         joined,
--- a/src/azureramp_standins/matrix/changes.py
+++ b/src/azureramp_standins/matrix/changes.py
@@ -55,7 +55,7 @@
 
 
 async def do_nothing(target: FaultTarget) -> None:
-    """Ends a fault that needs no undoing."""
+    """Ends a fault that ends without any action."""
 
 
 async def begin_straggler(target: FaultTarget) -> None:
@@ -183,7 +183,7 @@
 
 
 async def begin_half_open(target: FaultTarget) -> None:
-    """Makes the open connections to a searcher silent permanently."""
+    """Makes the open connections to a searcher half-open permanently."""
     for link in list(target.get_searcher().links):
         link.half_open = True
 
--- a/src/azureramp_standins/measuring/propagation.py
+++ b/src/azureramp_standins/measuring/propagation.py
@@ -66,51 +66,51 @@
         if vm.store is not None:
             vm.store.faults.delay_s = STORE_DELAY_S
     for number in range(changes):
-        asked_vm = names[number % vms]
-        cut_vm = names[(number + 1) % vms] if cuts else ""
-        if cut_vm:
-            _disconnect(deployment, cut_vm)
+        entry_vm = names[number % vms]
+        isolated_vm = names[(number + 1) % vms] if cuts else ""
+        if isolated_vm:
+            _disconnect(deployment, isolated_vm)
         state = list(resources.ZoneState)[(number + 1) % 2]
         zone = resources.Zone(name=ZONE, state=state)
-        await _measure_one(deployment, asked_vm, cut_vm, zone, times)
-        if cut_vm:
-            _reconnect(deployment, cut_vm)
+        await _measure_one(deployment, entry_vm, isolated_vm, zone, times)
+        if isolated_vm:
+            _reconnect(deployment, isolated_vm)
         await asyncio.sleep(3.0 + number * 0.0137)
     await deployment.close()
     return times
 
 
-def _disconnect(deployment: cluster.Cluster, cut_vm: str) -> None:
+def _disconnect(deployment: cluster.Cluster, isolated_vm: str) -> None:
     """Disconnects a VM from all other VMs and from the store."""
-    address = deployment.vms[cut_vm].list_entry.peer_address
+    address = deployment.vms[isolated_vm].list_entry.peer_address
     for name, vm in deployment.vms.items():
-        if name != cut_vm:
+        if name != isolated_vm:
             pair = (address, vm.list_entry.peer_address)
             deployment.network.faults.cut |= {pair, pair[::-1]}
-    store = deployment.vms[cut_vm].store
+    store = deployment.vms[isolated_vm].store
     assert store is not None
     store.faults.down = True
 
 
-def _reconnect(deployment: cluster.Cluster, cut_vm: str) -> None:
+def _reconnect(deployment: cluster.Cluster, isolated_vm: str) -> None:
     """Reverts `_disconnect`."""
     deployment.network.faults.cut.clear()
-    store = deployment.vms[cut_vm].store
+    store = deployment.vms[isolated_vm].store
     assert store is not None
     store.faults.down = False
 
 
 async def _measure_one(
     deployment: cluster.Cluster,
-    asked_vm: str,
-    cut_vm: str,
+    entry_vm: str,
+    isolated_vm: str,
     zone: resources.Zone,
     times: PropagationTimes,
 ) -> None:
     """Makes one change and records when each step is reached."""
     loop = asyncio.get_running_loop()
     start_s = loop.time()
-    response = await deployment.put_resource(asked_vm, zone)
+    response = await deployment.put_resource(entry_vm, zone)
     assert response.status == 200, response.body
     times.answered.append(loop.time() - start_s)
     answer = msgspec.json.decode(
@@ -124,19 +124,21 @@
     }
     seen: set[str] = set()
     last_s = start_s
-    while "in_force" not in seen or (cut_vm and "stopped" not in seen):
+    while "in_force" not in seen or (isolated_vm and "stopped" not in seen):
         now_s = loop.time()
         assert now_s - start_s < TIMEOUT_S
-        others = [board for name, board in boards.items() if name != cut_vm]
+        others = [
+            board for name, board in boards.items() if name != isolated_vm
+        ]
         if all(_has_applied(board, answer.entry) for board in others):
             _record_first(seen, "everywhere", times.everywhere, now_s - start_s)
-        if boards[asked_vm].accepted_revision >= revision:
+        if boards[entry_vm].accepted_revision >= revision:
             _record_first(seen, "accepted", times.accepted, now_s - start_s)
-        if await _is_in_force(deployment, asked_vm, revision):
+        if await _is_in_force(deployment, entry_vm, revision):
             _record_first(seen, "in_force", times.in_force, now_s - start_s)
-        if cut_vm and now_s < boards[cut_vm].may_work_until_s:
+        if isolated_vm and now_s < boards[isolated_vm].may_work_until_s:
             last_s = now_s
-        elif cut_vm:
+        elif isolated_vm:
             _record_first(seen, "stopped", times.last_work, last_s - start_s)
         await asyncio.sleep(SAMPLE_INTERVAL_S)
 
--- a/src/azureramp_standins/measuring/running.py
+++ b/src/azureramp_standins/measuring/running.py
@@ -79,9 +79,9 @@
 def run(scenario: scenarios.Scenario) -> Row:
     """Runs a scenario in virtual time and returns its row."""
     start_s = time.process_time()
-    samples, past = virtual.run(_run(scenario))
+    samples, run_history = virtual.run(_run(scenario))
     cpu_s = time.process_time() - start_s
-    return _summarize(scenario, samples, past, cpu_s)
+    return _summarize(scenario, samples, run_history, cpu_s)
 
 
 async def _run(
@@ -207,16 +207,16 @@
 def _summarize(
     scenario: scenarios.Scenario,
     samples: list[Sample],
-    past: history.History,
+    run_history: history.History,
     cpu_s: float,
 ) -> Row:
     """Computes the row of a scenario."""
     answered = [s for s in samples if s.received.code == "ok"]
     urgent = [s for s in answered if s.caller == "desk"]
     sent_urgent = sum(s.caller == "desk" for s in samples)
-    cold = [a for a in past.arrivals if a.cold_limit is not None]
+    cold = [a for a in run_history.arrivals if a.cold_limit is not None]
     violations: dict[str, int] = {}
-    for violation in checker.check(past):
+    for violation in checker.check(run_history):
         violations[violation.invariant] = (
             violations.get(violation.invariant, 0) + 1
         )
@@ -238,17 +238,19 @@
             sum(s.received.coverage for s in answered) / max(1, len(answered))
         ),
         coverage_min=min((s.received.coverage for s in answered), default=0.0),
-        calls_per_needed=_round(_count_calls_per_needed(past)),
+        calls_per_needed=_round(_count_calls_per_needed(run_history)),
         cold_most=max((a.in_use for a in cold), default=0),
         cold_exceeded=sum(a.in_use > (a.cold_limit or 0) for a in cold),
         refused={
             caller: _round(_get_refused_share(samples, caller))
             for caller in scenarios.PRIORITIES
         },
-        last_work_s=_find_last_work(scenario, past),
+        last_work_s=_find_last_work(scenario, run_history),
         cut=sum(not s.received.answered for s in samples),
         violations=violations,
-        cpu_ms_per_call=_round(cpu_s * 1000 / max(1, len(past.arrivals))),
+        cpu_ms_per_call=_round(
+            cpu_s * 1000 / max(1, len(run_history.arrivals))
+        ),
     )
 
 
@@ -275,18 +277,18 @@
     )
 
 
-def _count_calls_per_needed(past: history.History) -> float:
+def _count_calls_per_needed(run_history: history.History) -> float:
     """Returns the number of calls at searchers per needed sub-request."""
     needed = sum(
         isinstance(record.event, events.PartChosen)
         and record.event.reason == "first"
-        for record in past.records
+        for record in run_history.records
     )
-    return len(past.arrivals) / max(1, needed)
+    return len(run_history.arrivals) / max(1, needed)
 
 
 def _find_last_work(
-    scenario: scenarios.Scenario, past: history.History
+    scenario: scenarios.Scenario, run_history: history.History
 ) -> float | None:
     """Returns the time of the last new work in the zone while drained.
 
@@ -297,17 +299,19 @@
     zone = scenarios.LAYOUTS[scenario.layout].zones[1]
     drained_s = next(
         record.monotonic_s
-        for record in past.records
+        for record in run_history.records
         if isinstance(record.event, events.ConfigurationAccepted)
     )
     restored_s = next(
         record.monotonic_s
-        for record in past.records
+        for record in run_history.records
         if isinstance(record.event, events.ConfigurationApplied)
         and record.monotonic_s > drained_s
         and zone not in record.event.zones_out
     )
     worked = [
-        a.at_s for a in past.arrivals if a.zone == zone and a.at_s < restored_s
+        a.at_s
+        for a in run_history.arrivals
+        if a.zone == zone and a.at_s < restored_s
     ]
     return round(max(worked) - drained_s, 3)
--- a/src/azureramp_standins/rollouts/play.py
+++ b/src/azureramp_standins/rollouts/play.py
@@ -201,7 +201,7 @@
         self._succeeded.append(False)
 
     async def _run_operator(self) -> None:
-        """Starts the new searchers, later removes these or the old ones."""
+        """Starts the new searchers; removes them or the old ones at the end."""
         fleet = self._fleet
         loop = asyncio.get_running_loop()
         version = versions.draw(
@@ -290,7 +290,7 @@
                     await crashed.start()
 
     async def _poll_bad_answers(self) -> None:
-        """Records when the driver counts each bad answer until cancelled."""
+        """Records when the driver counts each bad answer, until cancelled."""
         while True:
             await asyncio.sleep(POLL_S)
             now_s = asyncio.get_running_loop().time()
@@ -374,7 +374,9 @@
         broken: list[str] = []
         if self._plan.kind is versions.Kind.GOOD:
             if outcome.aborted_calls:
-                broken.append("a call was at an old searcher at its end")
+                broken.append(
+                    "a call was running on an old searcher at its removal"
+                )
             return broken
         if outcome.calls_to_new > EXPOSURE_SHARE * all_in_time + EXPOSURE_SLACK:
             broken.append("exposure")
--- a/src/azureramp_standins/soak/callers.py
+++ b/src/azureramp_standins/soak/callers.py
@@ -137,8 +137,8 @@
 
     async def _resolve(self) -> None:
         """Requests the advertised addresses from a random VM's directory."""
-        asked = self._rng.choice(self._daemons)
-        directory = pool.Pool(asked.directory)
+        daemon = self._rng.choice(self._daemons)
+        directory = pool.Pool(daemon.directory)
         target = f"/resolve?Name={deployment.HOST}&Region=r&Zone=zone-0"
         result = await directory.exchange("GET", target, timeout_s=1.0)
         directory.close()
@@ -149,4 +149,4 @@
         names = tuple(
             each.name for each in self._daemons if each.front in self._addresses
         )
-        self._history.advertised.append((self._resolved_s, asked.name, names))
+        self._history.advertised.append((self._resolved_s, daemon.name, names))
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -46,7 +46,7 @@
         store_address = next(self._addresses)
         self._store = store.Store(store_address)
         self._searchers: list[searcher.Searcher] = []
-        self._acts: dict[str, searcher.Reaction] = {}
+        self._reactions: dict[str, searcher.Reaction] = {}
         self._entries: dict[str, dict[str, Any]] = {}
         self._links: dict[tuple[str, int], proxy.Proxy] = {}
         for service in declared.SERVICES:
@@ -202,9 +202,9 @@
                 self._draining.discard(target.id)
                 self._announce(target)
             case _:
-                self._acts[target.id] = acts.ACTS[how]
+                self._reactions[target.id] = acts.ACTS[how]
                 await asyncio.sleep(for_s)
-                self._acts.pop(target.id, None)
+                self._reactions.pop(target.id, None)
 
     async def _restart(self, target: searcher.Searcher) -> None:
         """Restarts a crashed searcher under its id, as cold."""
@@ -240,24 +240,28 @@
         name = f"{service}:{index}"
         own, advertised = next(self._addresses), next(self._addresses)
         target = searcher.Searcher(name, service, own, f"zone-{index % 2}")
-        target.script = lambda request: self._act(target, request)
+        target.script = lambda request: self._respond(target, request)
         number = len(self._searchers)
         self._links["searcher", number] = proxy.Proxy(advertised, own)
         self._searchers.append(target)
         self._entries[name] = target.make_entry(Address=advertised)
 
-    def _act(
+    def _respond(
         self, target: searcher.Searcher, request: searcher.ReceivedRequest
     ) -> searcher.Reaction:
         """Chooses a searcher's response to a request and records the call."""
-        act = self._acts.get(target.id, searcher.Reaction(delay_s=0.01))
+        reaction = self._reactions.get(
+            target.id, searcher.Reaction(delay_s=0.01)
+        )
         if target.service in declared.SHARDS:
             body = declared.make_records(target.service, request.id)
         else:
             body = (
                 f"{target.service} {request.method} {request.target}".encode()
             )
-        act = dataclasses.replace(act, body=body if act.status < 300 else b"")
+        reaction = dataclasses.replace(
+            reaction, body=body if reaction.status < 300 else b""
+        )
         target_id = request.headers.get("azureramp-target-instance", target.id)
         self.history.arrivals.append(
             history.Arrival(
@@ -265,14 +269,14 @@
                 request.id,
                 target.id,
                 target.service,
-                not act.not_run and target_id == target.id,
+                not reaction.not_run and target_id == target.id,
                 float(request.headers.get("azureramp-deadline-ms", "1e9"))
                 / 1000,
                 f"{target.id}.{request.id}.{len(target.requests)}",
                 body,
             )
         )
-        return act
+        return reaction
 
     def _make_daemons(
         self, vms: int, folder: pathlib.Path, mutant: str
