--- a/src/azureramp/cli/dry_run.py
+++ b/src/azureramp/cli/dry_run.py
@@ -15,7 +15,7 @@
     declared: list[resource_files.DeclaredResource],
     shows_diff: bool,
 ) -> exit_codes.ExitCode:
-    """Validates resources together on a VM, as if written in this order.
+    """Lets a VM validate resources together, as if written in this order.
 
     Args:
         common: The options shared by all commands.
