--- a/src/azureramp/policy/vm_lists.py
+++ b/src/azureramp/policy/vm_lists.py
@@ -31,12 +31,12 @@
     Attributes:
         names: The names of its VMs.
         read_s: When it was last read, in seconds on this VM's clock.
-        inherited: True if a peer sent it and this VM has not read it.
+        from_peer: True if a peer sent it and this VM has not read it.
     """
 
     names: frozenset[str]
     read_s: float
-    inherited: bool = False
+    from_peer: bool = False
 
 
 class ListWindow:
@@ -71,7 +71,7 @@
         existing = self._lists.get(list_hash)
         if existing is None and len(self._lists) < MAX_LISTS:
             self._lists[list_hash] = ReadList(frozenset(names), now_s, True)
-        elif existing is not None and existing.inherited:
+        elif existing is not None and existing.from_peer:
             existing.read_s = now_s
 
     def get_read_lists(self) -> tuple[tuple[str, ...], ...]:
@@ -79,7 +79,7 @@
         return tuple(
             tuple(sorted(entry.names))
             for entry in self._lists.values()
-            if not entry.inherited
+            if not entry.from_peer
         )
 
     def expire(self, now_s: float) -> None:
