--- a/src/azureramp/controllers/attempt_monitor.py
+++ b/src/azureramp/controllers/attempt_monitor.py
@@ -104,7 +104,7 @@
         if len(progress.running) == 1 and self._hedge(progress):
             return
         retries = self._attempts.dispatcher.measurements.retries
-        if step is not hedging.Action.REPLACE or not retries.can_spend():
+        if step is not hedging.Action.RETRY or not retries.can_spend():
             return
         if self._attempts.start((progress,), "retry"):
             retries.spend()
--- a/src/azureramp/policy/hedging.py
+++ b/src/azureramp/policy/hedging.py
@@ -193,7 +193,7 @@
 
     WAIT = "wait"
     HEDGE = "hedge"
-    REPLACE = "replace"
+    RETRY = "replace"
 
 
 def decide(elapsed_ms: float, delay_ms: float) -> Action:
@@ -204,7 +204,7 @@
         delay_ms: Its hedge delay, in milliseconds.
     """
     if elapsed_ms >= delay_ms * LOST_DELAY_FACTOR:
-        return Action.REPLACE
+        return Action.RETRY
     if elapsed_ms >= delay_ms:
         return Action.HEDGE
     return Action.WAIT
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -96,7 +96,7 @@
         (9.9, hedging.Action.WAIT),
         (10.0, hedging.Action.HEDGE),
         (29.9, hedging.Action.HEDGE),
-        (30.0, hedging.Action.REPLACE),
+        (30.0, hedging.Action.RETRY),
     ],
 )
 def test_a_late_part_is_hedged_and_a_very_late_one_replaced(
