--- a/src/azureramp/controllers/forwarding/board.py
+++ b/src/azureramp/controllers/forwarding/board.py
@@ -67,7 +67,7 @@
 
     Attributes:
         searcher: The searcher's newest entry.
-        record: Measurements of this VM's own calls.
+        stats: Measurements of this VM's own calls.
         pool: The connections to it.
         cold_until_s: When the cold start that the searcher announced ends.
         misdirected: True once another searcher answered at its address.
@@ -82,7 +82,7 @@
     """
 
     searcher: catalog.Searcher
-    record: searcher_selection.SearcherStats
+    stats: searcher_selection.SearcherStats
     pool: pool.Pool
     cold_until_s: float = -math.inf
     misdirected: bool = False
--- a/src/azureramp/controllers/forwarding/call_results.py
+++ b/src/azureramp/controllers/forwarding/call_results.py
@@ -30,7 +30,7 @@
         took_s: How long the call took, in seconds.
         now_s: The current time.
     """
-    record = target.record
+    record = target.stats
     if reply.misdirected:
         target.misdirected = True
         return
@@ -65,4 +65,4 @@
     silent = took_s >= MIN_SILENCE_S
     if silent:
         target.pool.close_stale(now_s - took_s)
-    target.record.record_failure(now_s, silent=silent)
+    target.stats.record_failure(now_s, silent=silent)
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -167,7 +167,7 @@
         for attempt in self._attempts:
             if not attempt.ended and not attempt.overdue:
                 attempt.overdue = True
-                attempt.target.record.overdue += 1
+                attempt.target.stats.overdue += 1
 
     def abandon(self) -> None:
         """Ends the part; late answers only keep connections reusable."""
@@ -180,7 +180,7 @@
                 self._report_end(
                     attempt, active_rollout.CallResult.UNANSWERED, now_s
                 )
-                record = attempt.target.record
+                record = attempt.target.stats
                 queues = searcher_selection.has_queued_calls(record, now_s)
                 attempt.pending_call.abandon(
                     0.0 if queues else ABANDONED_CALL_LINGER_S
@@ -257,7 +257,7 @@
         if target is None:
             return False
         if hedge_within_s is not None and not self._is_worth_hedging(
-            target.record, now_s, hedge_within_s
+            target.stats, now_s, hedge_within_s
         ):
             return False
         if instead_of is not None and not self._cancel_unsent(
@@ -273,7 +273,7 @@
         attempt = attempt_module.Attempt(target, now_s)
         self._attempts.append(attempt)
         self._tried.add(target.searcher.id)
-        record = target.record
+        record = target.stats
         record.in_flight += 1
         record.probing = record.failures > 0
         self._searchers.record_call(target, now_s)
@@ -316,7 +316,7 @@
     def _mark_ended(self, attempt: attempt_module.Attempt) -> None:
         """Marks a call as ended and updates its searcher's record."""
         attempt.ended = True
-        record = attempt.target.record
+        record = attempt.target.stats
         record.in_flight -= 1
         record.probing = False
         if attempt.overdue:
--- a/src/azureramp/controllers/forwarding/rollout_reports.py
+++ b/src/azureramp/controllers/forwarding/rollout_reports.py
@@ -218,6 +218,6 @@
         """Returns True if a call to an old version's searcher is running."""
         targets = self._board.by_service.get(running.order.service, {})
         return any(
-            each.record.in_flight and not running.is_new(each.searcher)
+            each.stats.in_flight and not running.is_new(each.searcher)
             for each in targets.values()
         )
--- a/src/azureramp/controllers/forwarding/rollout_states.py
+++ b/src/azureramp/controllers/forwarding/rollout_states.py
@@ -74,7 +74,7 @@
             if each.searcher.state is catalog.SearcherState.READY
             and each.searcher.zone not in self._board.evacuated_zones
             and not each.misdirected
-            and (each.record.responsive or not each.record.is_excluded(now_s))
+            and (each.stats.responsive or not each.stats.is_excluded(now_s))
         ]
         new_usable = usable.count(order.target)
         old = set(drive.record.old)
--- a/src/azureramp/controllers/forwarding/searchers.py
+++ b/src/azureramp/controllers/forwarding/searchers.py
@@ -76,7 +76,7 @@
         target = self._board.targets.get(searcher.id)
         if target is not None and _is_same_process(target.searcher, searcher):
             target.searcher = searcher
-            target.record.slots = searcher.slots
+            target.stats.slots = searcher.slots
             target.entry_expired = False
         else:
             self.remove(searcher.id)
@@ -182,7 +182,7 @@
         """
         targets = self._board.by_service.get(service, {})
         for target in targets.values():
-            if target.record.needs_probe(now_s):
+            if target.stats.needs_probe(now_s):
                 self._probe(target)
         for side in self.rollouts.list_version_groups(service, is_first, now_s):
             chosen = self._choose_from(
@@ -203,7 +203,7 @@
         """Chooses among a service's searchers on one side of a roll-out."""
         sides = (side,)
         usable = [
-            (name, target.record)
+            (name, target.stats)
             for name, target in targets.items()
             if name not in excluded
             and self._is_usable(target, sides)
@@ -230,9 +230,9 @@
         return sum(
             self._is_usable(target, sides)
             and (
-                target.record.responsive
-                or not target.record.is_excluded(now_s)
-                or target.record.needs_probe(now_s)
+                target.stats.responsive
+                or not target.stats.is_excluded(now_s)
+                or target.stats.needs_probe(now_s)
             )
             for target in targets.values()
         )
@@ -243,7 +243,7 @@
         def handle_probe(result: pool.ProbeResult) -> None:
             target.probing = False
             if result is pool.ProbeResult.OPENED:
-                target.record.responsive = True
+                target.stats.responsive = True
 
         if not target.probing:
             target.probing = True
--- a/tests/forwarding/test_searchers.py
+++ b/tests/forwarding/test_searchers.py
@@ -151,11 +151,11 @@
 
     async def scenario(scene: deployment.Deployment) -> None:
         board = scene.daemons["vm-0"].board
-        board.targets["statements-0"].record.relative_time = 9.0
+        board.targets["statements-0"].stats.relative_time = 9.0
         again = scene.searchers["statements-0"].make_entry(born=2_000)
         scene.store.put("servers/statements-0", again)
         await deployment.wait_for_updates()
-        assert board.targets["statements-0"].record.relative_time == 1.0
+        assert board.targets["statements-0"].stats.relative_time == 1.0
 
     scenes.run(scenario)
 
