--- a/src/azureramp/controllers/forwarding/entry_applier.py
+++ b/src/azureramp/controllers/forwarding/entry_applier.py
@@ -22,7 +22,7 @@
 from azureramp.policy import routing
 from azureramp.ports.store import api as store_api
 
-LAPSE_GRACE_S = 2.2
+EXPIRY_GRACE_S = 2.2
 """Time after the store's recovery for which searchers and VMs with expired
 entries stay in use, in seconds. Those that are alive write their entries again
 within about 2 s."""
@@ -114,7 +114,7 @@
     async def run_lapse_cleanup(self) -> None:
         """Removes expired searchers and VMs after outages. Never returns."""
         while True:
-            await self._contact.wait_until_stable(LAPSE_GRACE_S)
+            await self._contact.wait_until_stable(EXPIRY_GRACE_S)
             self._searchers.remove_expired()
             self._members.remove_expired()
             self._searchers.apply_connection_limits()
@@ -134,7 +134,7 @@
                 self._members.update_member(member)
             case catalog.MemberRemoved(vm=vm):
                 self._members.remove(
-                    vm, self._contact.has_been_reachable(LAPSE_GRACE_S)
+                    vm, self._contact.has_been_reachable(EXPIRY_GRACE_S)
                 )
             case catalog.CrashReport() as report:
                 self._crashes.record_remote_crashes(report)
@@ -170,12 +170,12 @@
 
         An entry may expire during an outage of the store although the searcher
         is alive. The searcher stays in use until the store has been reachable
-        for `LAPSE_GRACE_S`.
+        for `EXPIRY_GRACE_S`.
         """
         if entry.value is not None:
             self._skip(f"the entry of searcher {searcher} is invalid")
             self._searchers.remove(searcher)
-        elif self._contact.has_been_reachable(LAPSE_GRACE_S):
+        elif self._contact.has_been_reachable(EXPIRY_GRACE_S):
             self._searchers.remove(searcher)
         else:
             self._searchers.mark_expired(searcher)
