--- a/src/azureramp/controllers/forwarding/entry_applier.py
+++ b/src/azureramp/controllers/forwarding/entry_applier.py
@@ -111,7 +111,7 @@
         """Logs the counts of changes if the interval has passed."""
         self._log.flush(asyncio.get_running_loop().time(), self._revision)
 
-    async def run_lapse_cleanup(self) -> None:
+    async def run_expiry_cleanup(self) -> None:
         """Removes expired searchers and VMs after outages. Never returns."""
         while True:
             await self._contact.wait_until_stable(EXPIRY_GRACE_S)
--- a/src/azureramp/platform/program.py
+++ b/src/azureramp/platform/program.py
@@ -295,7 +295,7 @@
             await server.start()
         loops: dict[str, feed.Run] = {
             "feed": self._feed.run,
-            "applying": self._applying.run_lapse_cleanup,
+            "applying": self._applying.run_expiry_cleanup,
             "changes": self._applying.run_change_log,
             "settings": self._watch_settings,
         }
