--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -63,7 +63,7 @@
     asked: bool = False
     granted: bool = False
 
-    def ask(self) -> bool:
+    def check(self) -> bool:
         """Returns True if the first byte may be written now.
 
         If the process was paused after the request was encoded, the searcher
@@ -189,7 +189,9 @@
         broke = False
         try:
             return check_reply(
-                call, await link.call(call, remaining_ms, permission.ask), link
+                call,
+                await link.call(call, remaining_ms, permission.check),
+                link,
             )
         except web_connection.NotSentError:
             # The searcher closed an idle connection, or this process was
--- a/tests/ports/searchers/test_contract.py
+++ b/tests/ports/searchers/test_contract.py
@@ -271,9 +271,9 @@
         )
         prompt = calls.WritePermission(ask, computed_s=now_s)
 
-        assert not paused.ask()
+        assert not paused.check()
         assert not paused.asked
-        assert prompt.ask()
+        assert prompt.check()
         assert len(asked) == 1
 
     harness_module.run_virtual(scenario())
