--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -54,13 +54,13 @@
         may_write: Returns True if the call may be written.
         computed_s: Event loop time at which the deadline to be written was
             computed, in seconds.
-        asked: True if `may_write` was called.
+        checked: True if `may_write` was called.
         granted: The result of `may_write`.
     """
 
     may_write: Callable[[], bool]
     computed_s: float = 0.0
-    asked: bool = False
+    checked: bool = False
     granted: bool = False
 
     def check(self) -> bool:
@@ -74,7 +74,7 @@
         elapsed_s = asyncio.get_running_loop().time() - self.computed_s
         if elapsed_s > MAX_ENCODE_S:
             return False
-        self.asked = True
+        self.checked = True
         self.granted = self.may_write()
         return self.granted
 
@@ -198,7 +198,7 @@
             # paused. No byte was written, so another connection may be used
             # unless `may_write` returned False.
             broke = not link.is_reusable()
-            if not permission.asked:
+            if not permission.checked:
                 return None
             return expression.Error(
                 errors.Failure(errors.Kind.NOT_OWNER, "may not write")
--- a/tests/ports/searchers/test_contract.py
+++ b/tests/ports/searchers/test_contract.py
@@ -272,7 +272,7 @@
         prompt = calls.WritePermission(ask, computed_s=now_s)
 
         assert not paused.check()
-        assert not paused.asked
+        assert not paused.checked
         assert prompt.check()
         assert len(asked) == 1
 
