--- a/src/azureramp/controllers/forwarding/feed.py
+++ b/src/azureramp/controllers/forwarding/feed.py
@@ -184,7 +184,7 @@
         """Copies all entries of the first seed that answers."""
         request = relays_api.ChangesRequest(self._board.identity.vm, 0, 0)
         for address in self._seeds:
-            result = await self._relays.ask(address, request)
+            result = await self._relays.request_changes(address, request)
             if result.is_ok():
                 response = result.ok
                 _logger.info(
@@ -309,7 +309,9 @@
         self._set_source(address)
         loop = asyncio.get_running_loop()
         asked_s = loop.time()
-        result = await self._relays.ask(address, self._make_request())
+        result = await self._relays.request_changes(
+            address, self._make_request()
+        )
         if result.is_error() or result.ok.age_ms > MAX_RELAY_AGE_MS:
             now_s = loop.time()
             waited = now_s - asked_s > RELAY_WAIT_TIMEOUT_S
--- a/src/azureramp/ports/relays/api.py
+++ b/src/azureramp/ports/relays/api.py
@@ -60,7 +60,7 @@
     requested revision.
     """
 
-    async def ask(
+    async def request_changes(
         self, address: str, request: ChangesRequest
     ) -> expression.Result[Changes, errors.Failure]:
         """Requests changes from another VM.
--- a/src/azureramp/ports/relays/http.py
+++ b/src/azureramp/ports/relays/http.py
@@ -28,7 +28,7 @@
         """Makes a client without connections."""
         self._pools = pools.Pools(MAX_VMS)
 
-    async def ask(
+    async def request_changes(
         self, address: str, request: api.ChangesRequest
     ) -> expression.Result[api.Changes, errors.Failure]:
         """Requests changes from a VM; see `api.RelayClient`."""
--- a/tests/forwarding/test_roster.py
+++ b/tests/forwarding/test_roster.py
@@ -294,7 +294,7 @@
 class _TimingOutRelays:
     """Client of other VMs whose requests always time out."""
 
-    async def ask(
+    async def request_changes(
         self, address: str, request: relays_api.ChangesRequest
     ) -> expression.Result[relays_api.Changes, errors.Failure]:
         """Returns a timeout after the time that a VM waits."""
