--- a/src/azureramp/metrics.py
+++ b/src/azureramp/metrics.py
@@ -128,7 +128,7 @@
         self.sum_ms += took_ms
 
 
-class Sender(Protocol):
+class StatsdClient(Protocol):
     """The interface of a statsd client."""
 
     def incr(self, stat: str, count: int = 1) -> None:
@@ -152,7 +152,7 @@
 
     __slots__ = ("_sender", "counts", "gauges", "histograms")
 
-    def __init__(self, sender: Sender | None = None) -> None:
+    def __init__(self, sender: StatsdClient | None = None) -> None:
         """Creates metrics without any values.
 
         Args:
