--- a/src/azureramp/losses.py
+++ b/src/azureramp/losses.py
@@ -179,7 +179,7 @@
     lost.counts.update(losses)
     lost.weight += compute_weight(line, losses)
     lost.vms[line.vm] += 1
-    for service, calls in find_delaying_services(line).items():
+    for service, calls in find_services_causing_losses(line).items():
         lost.shards[service] += 1
         lost.called_once += len(calls) == 1 and bool(calls[0].searcher)
         lost.searchers.update({call.searcher for call in calls} - {""})
@@ -200,7 +200,7 @@
     return losses
 
 
-def find_delaying_services(
+def find_services_causing_losses(
     line: log_lines.Line,
 ) -> dict[str, list[log_lines.Call]]:
     """Returns the services that delayed a request, with their calls.
