--- a/src/azureramp_standins/soak/acts.py
+++ b/src/azureramp_standins/soak/acts.py
@@ -10,7 +10,7 @@
 )
 """An HTTP response with the id of a request that the daemon did not send."""
 
-ACTS = {
+REACTIONS = {
     "hang": searcher.Reaction(connection_action="hang"),
     "shed": searcher.Reaction(
         delay_s=0.0, status=503, signed=False, not_run=True
--- a/src/azureramp_standins/soak/harness.py
+++ b/src/azureramp_standins/soak/harness.py
@@ -202,7 +202,7 @@
                 self._draining.discard(target.id)
                 self._announce(target)
             case _:
-                self._reactions[target.id] = acts.ACTS[how]
+                self._reactions[target.id] = acts.REACTIONS[how]
                 await asyncio.sleep(for_s)
                 self._reactions.pop(target.id, None)
 
