--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Way:
+class StorageMethod:
     """A method of storing the records.
 
     Attributes:
@@ -62,15 +62,15 @@
 
 
 WAYS = (
-    Way("one write an outcome", group=1, flush_s=0.0),
-    Way("outcomes grouped, 50 ms", flush_s=0.05),
-    Way("outcomes grouped, 100 ms"),
-    Way("outcomes grouped, 250 ms", flush_s=0.25),
-    Way("log, 1 bucket, 0 ms", buckets=1),
-    Way("log, 1 bucket, 20 ms", buckets=1, linger_s=0.02),
-    Way("log, 1 bucket, 50 ms", buckets=1, linger_s=0.05),
-    Way("log, 8 buckets, 20 ms", buckets=8, linger_s=0.02),
-    Way("log, 8 buckets, 50 ms", buckets=8, linger_s=0.05),
+    StorageMethod("one write an outcome", group=1, flush_s=0.0),
+    StorageMethod("outcomes grouped, 50 ms", flush_s=0.05),
+    StorageMethod("outcomes grouped, 100 ms"),
+    StorageMethod("outcomes grouped, 250 ms", flush_s=0.25),
+    StorageMethod("log, 1 bucket, 0 ms", buckets=1),
+    StorageMethod("log, 1 bucket, 20 ms", buckets=1, linger_s=0.02),
+    StorageMethod("log, 1 bucket, 50 ms", buckets=1, linger_s=0.05),
+    StorageMethod("log, 8 buckets, 20 ms", buckets=8, linger_s=0.02),
+    StorageMethod("log, 8 buckets, 50 ms", buckets=8, linger_s=0.05),
 )
 
 
@@ -78,7 +78,11 @@
     """The idempotency records of one VM."""
 
     def __init__(
-        self, number: int, state: store_state.State, way: Way, seed: int
+        self,
+        number: int,
+        state: store_state.State,
+        way: StorageMethod,
+        seed: int,
     ) -> None:
         """Initializes the records and starts their task."""
         daemon = settings.Settings(
@@ -112,7 +116,9 @@
         self.task = asyncio.ensure_future(self.records.run())
 
 
-async def measure(way: Way, rate: int, seed: int) -> dict[str, float | str]:
+async def measure(
+    way: StorageMethod, rate: int, seed: int
+) -> dict[str, float | str]:
     """Measures one storage method at one rate of claims per second.
 
     Returns:
