--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -61,7 +61,7 @@
     linger_s: float = 0.0
 
 
-WAYS = (
+STORAGE_METHODS = (
     StorageMethod("one write an outcome", group=1, flush_s=0.0),
     StorageMethod("outcomes grouped, 50 ms", flush_s=0.05),
     StorageMethod("outcomes grouped, 100 ms"),
@@ -206,7 +206,7 @@
     tables.print_rows(
         (
             virtual.run(measure(way, rate, seed))
-            for way in WAYS
+            for way in STORAGE_METHODS
             for rate in RATES
         ),
         json_path,
