--- a/src/azureramp/controllers/forwarding/active_rollout.py
+++ b/src/azureramp/controllers/forwarding/active_rollout.py
@@ -100,7 +100,7 @@
             the old version's searchers together, under an empty name.
         driver_seen_s: Time at which a driver last answered, in seconds;
             initially the time at which the roll-out was received.
-        has_moved: True if the last report stated that all traffic uses the new
+        traffic_moved: True if the last report stated that all traffic uses the new
             version and no call to an old searcher is running.
         report_due: Set when a report should be sent now.
     """
@@ -113,10 +113,10 @@
         "call_counts",
         "calls_to_new",
         "driver_seen_s",
-        "has_moved",
         "order",
         "report_due",
         "requests",
+        "traffic_moved",
         "versions",
     )
 
@@ -139,7 +139,7 @@
         self.calls_to_new = 0
         self.call_counts: dict[tuple[str, str], CallCounts] = {}
         self.driver_seen_s = now_s
-        self.has_moved = False
+        self.traffic_moved = False
         self.report_due = asyncio.Event()
         self._measured_usual: dict[str, UsualDuration] = {}
         self._recorded_usual_s: Mapping[str, float] = {}
--- a/src/azureramp/controllers/forwarding/rollout_reports.py
+++ b/src/azureramp/controllers/forwarding/rollout_reports.py
@@ -149,7 +149,7 @@
         now_s = asyncio.get_running_loop().time()
         moving = running.get_phase(now_s) is rollout_types.Phase.MOVING
         driver_missing = now_s - running.driver_seen_s > REPORT_INTERVAL_S
-        if sends or driver_missing or (moving and not running.has_moved):
+        if sends or driver_missing or (moving and not running.traffic_moved):
             return REPORT_INTERVAL_S
         if moving and self._board.identity.vm in self._board.advertised:
             return REPORT_INTERVAL_S
@@ -202,7 +202,7 @@
             for (route, searcher), tally in running.call_counts.items()
         )
         moving = running.get_phase(now_s) is rollout_types.Phase.MOVING
-        running.has_moved = moving and not self._has_calls_at_old(running)
+        running.traffic_moved = moving and not self._has_calls_at_old(running)
         return api.Report(
             self.process,
             self._board.identity.vm,
@@ -211,7 +211,7 @@
             running.requests,
             running.calls_to_new,
             counts,
-            running.has_moved,
+            running.traffic_moved,
         )
 
     def _has_calls_at_old(self, running: active_rollout.ActiveRollout) -> bool:
