--- a/src/azureramp/controllers/members.py
+++ b/src/azureramp/controllers/members.py
@@ -19,7 +19,8 @@
 
     Attributes:
         leaving: True once this VM shuts down.
-        informed: True once this process has had time to receive heartbeats.
+        has_received_heartbeats: True once this process has had time to
+            receive heartbeats.
         pace: The intervals and timeouts for the size of the last VM list.
     """
 
@@ -27,7 +28,7 @@
         "_board",
         "_leaving_vms",
         "_suspects",
-        "informed",
+        "has_received_heartbeats",
         "leaving",
         "pace",
     )
@@ -38,7 +39,7 @@
         self._leaving_vms: set[str] = set()
         self._suspects: dict[str, frozenset[str]] = {}
         self.leaving = False
-        self.informed = False
+        self.has_received_heartbeats = False
         self.pace = self._compute_pace(1)
 
     def _compute_pace(self, vms: int) -> heartbeat_times.HeartbeatTimes:
@@ -213,7 +214,7 @@
         own.last_contact_s = now_s
         own.incarnation = self._board.incarnation
         own.accepts_searchers = (
-            self.informed
+            self.has_received_heartbeats
             and not self.leaving
             and self._board.configuration.revision > 0
         )
--- a/src/azureramp/controllers/membership.py
+++ b/src/azureramp/controllers/membership.py
@@ -132,8 +132,8 @@
         self._members.update_states()
         if not self._is_informed(now_s):
             return
-        if not self._members.informed:
-            self._members.informed = True
+        if not self._members.has_received_heartbeats:
+            self._members.has_received_heartbeats = True
             self._members.update_states()
         candidates = self._members.get_candidates()
         changed = self._ownership.update_owners(candidates, now_s)
