--- a/src/azureramp/controllers/forwarding/active_rollout.py
+++ b/src/azureramp/controllers/forwarding/active_rollout.py
@@ -100,8 +100,8 @@
             the old version's searchers together, under an empty name.
         driver_seen_s: Time at which a driver last answered, in seconds;
             initially the time at which the roll-out was received.
-        traffic_moved: True if the last report stated that all traffic uses the new
-            version and no call to an old searcher is running.
+        traffic_moved: True if the last report stated that all traffic uses the
+            new version and no call to an old searcher is running.
         report_due: Set when a report should be sent now.
     """
 
