--- a/src/azureramp/policy/allowances.py
+++ b/src/azureramp/policy/allowances.py
@@ -38,9 +38,9 @@
 
     __slots__ = ("_extras_s", "_requests_s", "_terms")
 
-    def __init__(self, terms: Limit) -> None:
+    def __init__(self, limit: Limit) -> None:
         """Creates an allowance of which nothing is used."""
-        self._terms = terms
+        self._terms = limit
         self._requests_s: collections.deque[float] = collections.deque()
         self._extras_s: collections.deque[float] = collections.deque()
 
--- a/src/azureramp/policy/assembly.py
+++ b/src/azureramp/policy/assembly.py
@@ -205,8 +205,8 @@
 
     def get_pending(self) -> Iterable[Progress]:
         """Returns the progress of the shards without a merged result."""
-        held = self.ledger.has_result
-        return [p for p in self.progress.values() if not held(p.shard)]
+        has_result = self.ledger.has_result
+        return [p for p in self.progress.values() if not has_result(p.shard)]
 
     def is_finished(self) -> bool:
         """Returns True if no further result can arrive."""
--- a/src/azureramp/policy/configuration_copy.py
+++ b/src/azureramp/policy/configuration_copy.py
@@ -150,15 +150,21 @@
             The changes since then, or the whole configuration if this copy no
             longer has every deletion since then.
         """
-        whole = after < self.floor
+        complete = after < self.floor
         entries = [
             entry
             for entry in self.configuration.entries.values()
-            if (entry.resource is not None if whole else entry.revision > after)
+            if (
+                entry.resource is not None
+                if complete
+                else entry.revision > after
+            )
         ]
         entries.sort(key=lambda entry: entry.revision)
         return Update(
-            0 if whole else after, self.configuration.revision, tuple(entries)
+            0 if complete else after,
+            self.configuration.revision,
+            tuple(entries),
         )
 
     def apply_update(self, part: Update) -> list[resources.Versioned]:
--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -56,14 +56,14 @@
         return min(GRANT_VALIDITY_S, self.stop_s / 5)
 
 
-def count_allowed_requests(terms: ExposureLimit, requests: float) -> int:
+def count_allowed_requests(limit: ExposureLimit, requests: float) -> int:
     """Returns how many requests the new version may have received so far.
 
     Args:
-        terms: The operators' bound.
+        limit: The operators' bound.
         requests: The number of requests to the service since the order.
     """
-    return math.floor(SAFETY_FACTOR * (terms.share * requests + terms.fixed))
+    return math.floor(SAFETY_FACTOR * (limit.share * requests + limit.fixed))
 
 
 @dataclasses.dataclass(slots=True)
@@ -99,16 +99,16 @@
     __slots__ = ("_accounts", "_is_first", "_reserved", "_terms", "requests")
 
     def __init__(
-        self, terms: ExposureLimit, reserved: int, requests: int
+        self, limit: ExposureLimit, reserved: int, requests: int
     ) -> None:
         """Creates a ledger.
 
         Args:
-            terms: The operators' bound.
+            limit: The operators' bound.
             reserved: The calls that earlier drivers may have granted.
             requests: The requests that earlier drivers counted.
         """
-        self._terms = terms
+        self._terms = limit
         self._reserved = reserved
         self._is_first = not reserved and not requests
         self._accounts: dict[str, Account] = {}
@@ -136,7 +136,7 @@
         account.limit = max(account.limit, account.spent)
         self.requests += added
 
-    def grant(self, process: str, wanted: int, now_s: float) -> int:
+    def grant(self, process: str, call_count: int, now_s: float) -> int:
         """Grants calls to a process that has reported.
 
         A lower limit is only counted on once the higher one has expired, since
@@ -144,14 +144,14 @@
 
         Args:
             process: The process.
-            wanted: The number of further calls that it may make.
+            call_count: The number of further calls that it may make.
             now_s: The current time, in seconds.
 
         Returns:
             The limit of its calls, as a cumulative total.
         """
         account = self._accounts[process]
-        limit = account.spent + wanted
+        limit = account.spent + call_count
         if limit >= account.limit or now_s >= account.held_until_s:
             account.limit = limit
             account.held_until_s = now_s + self._terms.get_grant_s()
@@ -179,7 +179,7 @@
 
 
 def compute_share(
-    ledger: GrantLedger, process: str, left: int, grant_s: float
+    ledger: GrantLedger, process: str, remaining: int, grant_s: float
 ) -> int:
     """Returns how many further calls a process should be allowed.
 
@@ -190,11 +190,11 @@
     Args:
         ledger: The grants.
         process: The process.
-        left: The number of calls left for all processes together.
+        remaining: The number of calls left for all processes together.
         grant_s: How long a grant stays valid, in seconds.
     """
     rate, total = ledger.get_process_rate(process), ledger.get_rate()
     fraction = rate / total if total > 0 else 1.0
-    additional = max(min(left, 1), round(left * fraction))
+    additional = max(min(remaining, 1), round(remaining * fraction))
     max_unused = max(1, math.ceil(rate * grant_s))
     return max(0, min(ledger.count_unused(process) + additional, max_unused))
--- a/src/azureramp/policy/idempotency.py
+++ b/src/azureramp/policy/idempotency.py
@@ -194,14 +194,14 @@
     return Outcome(state=State.FINISHED, result=result)
 
 
-def may_release(record: Record | None, wanted: Record) -> bool:
+def may_release(record: Record | None, release: Record) -> bool:
     """Returns True if a holder may replace the current record by its release.
 
     Args:
         record: The current record; None if it can't be decoded.
-        wanted: The released record that the holder wants to write.
+        release: The released record that the holder wants to write.
     """
-    if record is None or record.nonce != wanted.nonce:
+    if record is None or record.nonce != release.nonce:
         return False
     return record.state is State.CLAIMED
 
--- a/src/azureramp/policy/outcomes.py
+++ b/src/azureramp/policy/outcomes.py
@@ -125,14 +125,14 @@
     """
     if not permitted:
         return errors.Failure(errors.Kind.FORBIDDEN)
-    held = ledger.get_exact_coverage()
-    if held >= minimum and (held > 0 or ledger.is_complete()):
+    reached = ledger.get_exact_coverage()
+    if reached >= minimum and (reached > 0 or ledger.is_complete()):
         return None
     if not tally.ran:
         kind = tally.last_failure or errors.Kind.NO_SNAPSHOT
         retry_after_ms = tally.retry_after_ms or None
         return make_not_run(errors.Failure(kind, "", retry_after_ms))
-    if held > 0 or minimum > 0:
+    if reached > 0 or minimum > 0:
         return errors.Failure(errors.Kind.COVERAGE_TOO_LOW)
     if (
         tally.last_failure is None
--- a/src/azureramp/policy/poison.py
+++ b/src/azureramp/policy/poison.py
@@ -212,7 +212,11 @@
             fingerprint: self.get_quarantine_ms(fingerprint, now_s)
             for fingerprint in fingerprints
         }
-        return {key: left for key, left in left_ms.items() if left > 0}
+        return {
+            key: remaining_ms
+            for key, remaining_ms in left_ms.items()
+            if remaining_ms > 0
+        }
 
     def _find_reported_crash(
         self, server: str, searcher: str, now_s: float
--- a/src/azureramp/policy/quorum_contact.py
+++ b/src/azureramp/policy/quorum_contact.py
@@ -147,7 +147,9 @@
 
     def get_accepted_s(self, revision: int) -> float:
         """Returns when a revision was accepted; infinity if it was not."""
-        times = [at_s for held, at_s in self._history if held >= revision]
+        times = [
+            at_s for accepted, at_s in self._history if accepted >= revision
+        ]
         return min(times, default=math.inf)
 
     def _process_first_round(
@@ -157,11 +159,14 @@
         majority: int,
     ) -> None:
         """Starts the second round once a majority holds a newer revision."""
-        held = [view.revision, *(other.revision for other in others.values())]
-        held.sort(reverse=True)
-        if len(held) < majority:
+        revisions = [
+            view.revision,
+            *(other.revision for other in others.values()),
+        ]
+        revisions.sort(reverse=True)
+        if len(revisions) < majority:
             return
-        revision = min(held[majority - 1], view.revision)
+        revision = min(revisions[majority - 1], view.revision)
         if revision <= self.revision:
             return
         self._pending_revision = revision
--- a/src/azureramp/policy/ramps.py
+++ b/src/azureramp/policy/ramps.py
@@ -246,10 +246,10 @@
         slow = usual_ms > 0 and took_ms > usual_ms * SLOW_FACTOR
         self._latencies_ms.append(took_ms)
         self._since_median += 1
-        known = len(self._latencies_ms)
+        sample_count = len(self._latencies_ms)
         if (
             self._since_median >= MEDIAN_INTERVAL
-            or RECENT_CALLS <= known < MEDIAN_WINDOW // 2
+            or RECENT_CALLS <= sample_count < MEDIAN_WINDOW // 2
         ):
             self._since_median = 0
             self._median_ms = statistics.median_low(self._latencies_ms)
--- a/src/azureramp/policy/rollouts.py
+++ b/src/azureramp/policy/rollouts.py
@@ -159,52 +159,52 @@
     """
     duration_s = now.order.duration_s
     complete_s = get_complete_s(duration_s, now.rate, now.allowed)
-    left = now.allowed - now.used
-    if left < min(MIN_ANSWERS, MIN_ANSWER_SHARE * now.requests):
+    remaining = now.allowed - now.used
+    if remaining < min(MIN_ANSWERS, MIN_ANSWER_SHARE * now.requests):
         return math.inf
     moved_s = MAX_MOVED_SHARE * duration_s
     if now.rate > 0:
         moved_s = min(
-            moved_s, MOVE_LAG_S + MOVED_EXPOSURE_SHARE * left / now.rate
+            moved_s, MOVE_LAG_S + MOVED_EXPOSURE_SHARE * remaining / now.rate
         )
     return complete_s - max(moved_s, MIN_MOVED_SHARE * duration_s)
 
 
 def compute_allowed_calls(
-    terms: exposure.ExposureLimit, requests: float, rate: float, left_s: float
+    limit: exposure.ExposureLimit, requests: float, rate: float, left_s: float
 ) -> int:
     """Returns the total number of calls that the new version may get.
 
     Args:
-        terms: The operators' limit.
+        limit: The operators' limit.
         requests: Number of requests to the service since the order.
         rate: Recent requests per second.
         left_s: Time until the deadline, in seconds.
     """
     expected = EXPECTED_REQUESTS_SHARE * rate * max(0.0, left_s)
-    return exposure.count_allowed_requests(terms, requests + expected)
+    return exposure.count_allowed_requests(limit, requests + expected)
 
 
 def compute_canary_calls(
-    terms: exposure.ExposureLimit, requests: int, age_s: float, move_s: float
+    limit: exposure.ExposureLimit, requests: int, age_s: float, move_s: float
 ) -> int:
     """Returns the number of calls that the canary phase may have made so far.
 
     They are spread over the phase, since a version may become faulty late.
 
     Args:
-        terms: The operators' limit.
+        limit: The operators' limit.
         requests: Number of requests to the service since the order.
         age_s: Time since the order, in seconds.
         move_s: When the canary phase ends, in seconds after the order.
     """
     passed = min(1.0, max(0.0, age_s) / max(move_s, 1e-3))
     allowed = exposure.count_allowed_requests(
-        dataclasses.replace(terms, fixed=terms.fixed * passed), requests
+        dataclasses.replace(limit, fixed=limit.fixed * passed), requests
     )
-    by_terms = exposure.CANARY_SHARE * allowed
+    by_limit = exposure.CANARY_SHARE * allowed
     return max(
-        1, round(min(by_terms, exposure.MAX_CANARY_TRAFFIC_SHARE * requests))
+        1, round(min(by_limit, exposure.MAX_CANARY_TRAFFIC_SHARE * requests))
     )
 
 
--- a/src/azureramp/policy/snapshots.py
+++ b/src/azureramp/policy/snapshots.py
@@ -113,8 +113,8 @@
     """Returns the share of the documents with a usable replica, 0 to 1."""
     shards = snapshot.shard_map.shards
     total = sum(shard.size for shard in shards)
-    held = sum(s.size for s in shards if snapshot.replicas[s.name])
-    return held / total if total else 0.0
+    covered = sum(s.size for s in shards if snapshot.replicas[s.name])
+    return covered / total if total else 0.0
 
 
 def is_complete(snapshot: Snapshot) -> bool:
--- a/src/azureramp/policy/store_copy.py
+++ b/src/azureramp/policy/store_copy.py
@@ -85,8 +85,8 @@
 
     def apply(self, entry: store_api.Entry) -> bool:
         """Stores an entry; returns False if its key has a newer one."""
-        known = self._entries.get(entry.key) or self._deletions.get(entry.key)
-        if known is not None and entry.revision < known.revision:
+        current = self._entries.get(entry.key) or self._deletions.get(entry.key)
+        if current is not None and entry.revision < current.revision:
             return False
         if entry.value is not None:
             self._deletions.pop(entry.key, None)
