--- a/src/azureramp/controllers/forwarding/call_results.py
+++ b/src/azureramp/controllers/forwarding/call_results.py
@@ -1,4 +1,4 @@
-"""Updates a searcher's record from the outcomes of its calls."""
+"""Updates a searcher's statistics from the outcomes of its calls."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     took_s: float,
     now_s: float,
 ) -> None:
-    """Updates a searcher's record from its answer.
+    """Updates a searcher's statistics from its answer.
 
     Args:
         target: The searcher.
@@ -30,32 +30,32 @@
         took_s: How long the call took, in seconds.
         now_s: The current time.
     """
-    record = target.stats
+    stats = target.stats
     if reply.misdirected:
         target.misdirected = True
         return
     if reply.load is not None:
         total = reply.load.running + reply.load.waiting
-        record.reported_load = max(0, total - record.in_flight - 1)
-        record.reported_s = now_s
+        stats.reported_load = max(0, total - stats.in_flight - 1)
+        stats.reported_s = now_s
     if reply.cold_s:
         target.cold_until_s = max(target.cold_until_s, now_s + reply.cold_s)
     if reply.is_success():
-        record.record_success()
-        record.record_time(timings.record_duration(took_s), now_s)
+        stats.record_success()
+        stats.record_time(timings.record_duration(took_s), now_s)
     elif reply.ran is api.Execution.NO:
         # The searcher is full, not faulty: it is skipped briefly.
-        record.reported_load = max(record.reported_load, record.slots)
-        record.reported_s = now_s
-        record.record_time(REJECTED_SLOWNESS, now_s)
+        stats.reported_load = max(stats.reported_load, stats.slots)
+        stats.reported_s = now_s
+        stats.record_time(REJECTED_SLOWNESS, now_s)
     elif reply.status >= 500:
-        record.record_failure(now_s)
+        stats.record_failure(now_s)
 
 
 def record_loss(
     target: board_module.Target, took_s: float, now_s: float
 ) -> None:
-    """Updates a searcher's record after a call that was sent but not answered.
+    """Updates a searcher's statistics after a sent call without an answer.
 
     Args:
         target: The searcher.
--- a/src/azureramp/controllers/forwarding/driven_rollout.py
+++ b/src/azureramp/controllers/forwarding/driven_rollout.py
@@ -51,7 +51,7 @@
         self,
         record: rollout_types.Record,
         revision: int,
-        terms: exposure.ExposureLimit,
+        limit: exposure.ExposureLimit,
         now_s: float,
     ) -> None:
         """Creates the state of a roll-out without any reports.
@@ -59,13 +59,13 @@
         Args:
             record: The record as the store holds it.
             revision: The record's revision.
-            terms: The bound on the calls to the new version.
+            limit: The bound on the calls to the new version.
             now_s: The current time, in seconds.
         """
         self.record = record
         self.revision = revision
         self.ledger = exposure.GrantLedger(
-            terms, record.reserved, record.requests
+            limit, record.reserved, record.requests
         )
         self.evidence = version_evidence.Evidence(now_s)
         # A new driver has no reports from the VMs yet, without which all
--- a/src/azureramp/controllers/forwarding/part.py
+++ b/src/azureramp/controllers/forwarding/part.py
@@ -163,7 +163,7 @@
         return True
 
     def mark_overdue(self) -> None:
-        """Counts the pending calls as overdue in their searchers' records."""
+        """Counts the pending calls as overdue for their searchers."""
         for attempt in self._attempts:
             if not attempt.ended and not attempt.overdue:
                 attempt.overdue = True
@@ -180,8 +180,8 @@
                 self._report_end(
                     attempt, active_rollout.CallResult.UNANSWERED, now_s
                 )
-                record = attempt.target.stats
-                queues = searcher_selection.has_queued_calls(record, now_s)
+                stats = attempt.target.stats
+                queues = searcher_selection.has_queued_calls(stats, now_s)
                 attempt.pending_call.abandon(
                     0.0 if queues else ABANDONED_CALL_LINGER_S
                 )
@@ -273,9 +273,9 @@
         attempt = attempt_module.Attempt(target, now_s)
         self._attempts.append(attempt)
         self._tried.add(target.searcher.id)
-        record = target.stats
-        record.in_flight += 1
-        record.probing = record.failures > 0
+        stats = target.stats
+        stats.in_flight += 1
+        stats.probing = stats.failures > 0
         self._searchers.record_call(target, now_s)
         call = api.Call(self._context.message, target.searcher.id, left_s)
         attempt.pending_call = target.pool.submit(
@@ -285,16 +285,16 @@
 
     def _is_worth_hedging(
         self,
-        record: searcher_selection.SearcherStats,
+        stats: searcher_selection.SearcherStats,
         now_s: float,
         within_s: float,
     ) -> bool:
         """Returns True if a hedge is likely to be answered in time."""
         expected_s = (
             self._timings.get_usual_s()
-            * searcher_selection.estimate_relative_time(record, now_s)
+            * searcher_selection.estimate_relative_time(stats, now_s)
         )
-        return not record.overdue and expected_s <= within_s
+        return not stats.overdue and expected_s <= within_s
 
     def _cancel_unsent(
         self, attempt: attempt_module.Attempt, now_s: float
@@ -314,13 +314,13 @@
         return self.runs + self.rejections + waiting
 
     def _mark_ended(self, attempt: attempt_module.Attempt) -> None:
-        """Marks a call as ended and updates its searcher's record."""
+        """Marks a call as ended and updates its searcher's statistics."""
         attempt.ended = True
-        record = attempt.target.stats
-        record.in_flight -= 1
-        record.probing = False
+        stats = attempt.target.stats
+        stats.in_flight -= 1
+        stats.probing = False
         if attempt.overdue:
-            record.overdue -= 1
+            stats.overdue -= 1
 
     def _handle_outcome(
         self, attempt: attempt_module.Attempt, outcome: api.Outcome
@@ -387,7 +387,7 @@
         took_s: float,
         now_s: float,
     ) -> None:
-        """Updates a searcher's record after a call without an answer."""
+        """Updates a searcher's statistics after a call without an answer."""
         self._searchers.metrics.count("call.lost")
         # The pool itself reports a connection that could not be opened.
         if not lost.sent or (self.done and took_s < call_results.MIN_SILENCE_S):
--- a/src/azureramp/controllers/forwarding/store_contact.py
+++ b/src/azureramp/controllers/forwarding/store_contact.py
@@ -38,7 +38,9 @@
         self._recovered.set()
         _logger.info("the store is reachable again")
 
-    def record_relayed_contact(self, age_s: float, regained_s: float) -> None:
+    def record_relayed_contact(
+        self, age_s: float, recovered_age_s: float
+    ) -> None:
         """Records the contact of another VM, the relay, with the store.
 
         An update from a relay shows that the store's changes reach this VM. It
@@ -47,7 +49,7 @@
 
         Args:
             age_s: Time since the store last answered the relay, in seconds.
-            regained_s: Time since the relay reached the store again, in
+            recovered_age_s: Time since the relay reached the store again, in
                 seconds.
         """
         contact = self._board.contact
@@ -56,8 +58,8 @@
         if not self._board.lease:
             self.record_success()
         contact.last_answer_s = max(before_s, now_s - age_s)
-        if now_s - regained_s > contact.recovered_s:
-            contact.recovered_s = now_s - regained_s
+        if now_s - recovered_age_s > contact.recovered_s:
+            contact.recovered_s = now_s - recovered_age_s
             self._recovered.set()
 
     def get_time_since_recovery_s(self) -> float:
