--- a/src/azureramp/controllers/attempts.py
+++ b/src/azureramp/controllers/attempts.py
@@ -54,7 +54,7 @@
 
     def start(
         self,
-        wanted: Iterable[assembly.Progress],
+        pending: Iterable[assembly.Progress],
         reason: str,
         replicas: snapshots.UsableReplicas | None = None,
         ahead: bool = False,
@@ -62,7 +62,7 @@
         """Sends one more attempt for each given shard where possible.
 
         Args:
-            wanted: The shards.
+            pending: The shards.
             reason: `first`, `hedge` or `retry`.
             replicas: The usable searchers; None to determine them now.
             ahead: True to send with urgent priority.
@@ -72,7 +72,7 @@
         """
         view = self.dispatcher.viewer.get()
         attempts = []
-        for progress in wanted:
+        for progress in pending:
             shard = progress.shard
             candidates = (
                 replicas[shard.name]
@@ -125,14 +125,14 @@
             return None
         used = {attempt.server for attempt in progress.running.values()}
         sites = view.table.sites
-        left = [
+        eligible = [
             name
             for name in candidates
             if name not in progress.tried
             and name in sites
             and (reason != "hedge" or sites[name].server not in used)
         ]
-        return self.dispatcher.choose(view, left, used)
+        return self.dispatcher.choose(view, eligible, used)
 
     def apply_result(
         self, result: messages.PartResult
--- a/src/azureramp/controllers/caller_api.py
+++ b/src/azureramp/controllers/caller_api.py
@@ -252,8 +252,10 @@
     ) -> web_api.Response:
         """Makes an error response; only an identified caller gets addresses."""
         others: tuple[str, ...] = ()
-        wanted = failure.get_answer().retry is errors.Retry.OTHER_ADDRESS
-        if caller is not None and wanted:
+        retry_elsewhere = (
+            failure.get_answer().retry is errors.Retry.OTHER_ADDRESS
+        )
+        if caller is not None and retry_elsewhere:
             others = self._order_addresses(caller)
         return http_responses.make_error(
             failure, request_id=request_id, addresses=others
--- a/src/azureramp/controllers/execution.py
+++ b/src/azureramp/controllers/execution.py
@@ -143,7 +143,7 @@
             The answer, and the index version on which the request ran; 0 if
             it didn't run.
         """
-        asked = admission_control.AdmissionRequest(
+        admission_request = admission_control.AdmissionRequest(
             request.request_id,
             request.caller,
             request.service,
@@ -152,7 +152,7 @@
             request.deadline_s,
             repeatable=False,
         )
-        admitted = self._admission.admit(asked)
+        admitted = self._admission.admit(admission_request)
         if admitted.is_error():
             return expression.Error(admitted.error), 0
         shard = find_shard(admitted.ok.snapshot, request.key)
@@ -165,7 +165,7 @@
             return _refuse(errors.Kind.NO_SNAPSHOT), 0
         header = admitted.ok.header
         self._log.record_admission(
-            asked, header, header.version, request.idempotency_key
+            admission_request, header, header.version, request.idempotency_key
         )
         run = single_run.SingleRun(
             self._board,
--- a/src/azureramp/controllers/health_probes.py
+++ b/src/azureramp/controllers/health_probes.py
@@ -155,14 +155,17 @@
         before: searchers_api.ConnectionCounts,
     ) -> None:
         """Applies a searcher's health report."""
-        known = owned.health
+        last_health = owned.health
         lost_all = before.open_count == 0 and owned.confirmed_lost not in (
             before.lost_count,
             owned_searcher.UNCONFIRMED,
         )
-        if known is not None and known.incarnation != health.incarnation:
+        if (
+            last_health is not None
+            and last_health.incarnation != health.incarnation
+        ):
             owned.ramp.reset_to_cold("incarnation")
-        elif known is not None and owned.reachable and lost_all:
+        elif last_health is not None and owned.reachable and lost_all:
             owned.ramp.reset_to_cold("lost")
         owned.health = health
         owned.missed_reads = 0
--- a/src/azureramp/controllers/part_dispatcher.py
+++ b/src/azureramp/controllers/part_dispatcher.py
@@ -129,12 +129,14 @@
             The searcher's name; None if no candidate is in the configuration.
         """
         sites = view.table.sites
-        known = [name for name in candidates if name in sites]
-        apart = [n for n in known if sites[n].server not in avoided]
-        if not known:
+        configured = [name for name in candidates if name in sites]
+        on_other_servers = [
+            n for n in configured if sites[n].server not in avoided
+        ]
+        if not configured:
             return None
         return self.measurements.scoreboard.choose(
-            apart or known,
+            on_other_servers or configured,
             view.states,
             asyncio.get_running_loop().time(),
             self.measurements.rng,
--- a/src/azureramp/controllers/poison_detection.py
+++ b/src/azureramp/controllers/poison_detection.py
@@ -201,18 +201,18 @@
         incarnation. A timeout indicates neither.
         """
         server = owned.place.server.name
-        known = owned.health.incarnation if owned.health else 0
+        known_incarnation = owned.health.incarnation if owned.health else 0
         try:
             report = await self._port.read_health(
                 owned.get_address(), fresh=True
             )
             match report:
                 case expression.Result(tag="ok", ok=health):
-                    crashed = health.incarnation != known
+                    crashed = health.incarnation != known_incarnation
                 case expression.Result(error=failure):
                     crashed = failure.kind is errors.Kind.CONNECTION_LOST
             if crashed:
-                self._announce_crash(owned, known)
+                self._announce_crash(owned, known_incarnation)
             return crashed
         finally:
             del self._incidents[server]
--- a/src/azureramp/controllers/record_cache.py
+++ b/src/azureramp/controllers/record_cache.py
@@ -110,8 +110,8 @@
         A claim without an outcome is removed here once other processes may
         record it as unknown; the store still has it.
         """
-        for store_key, held in list(self._claims.items()):
-            until_s = held.may_dispatch_until_s + idempotency.UNKNOWN_AFTER_S
+        for store_key, claim in list(self._claims.items()):
+            until_s = claim.may_dispatch_until_s + idempotency.UNKNOWN_AFTER_S
             if now_s < until_s:
                 break
             del self._claims[store_key]
@@ -121,9 +121,9 @@
         self, store_key: str, request_hash: int, now_s: float
     ) -> idempotency.Record | errors.Failure | None:
         """Returns the cached answer to a claim; None if there is none."""
-        held = self._claims.get(store_key)
-        if held is not None:
-            record, until_s = held.record, math.inf
+        claim = self._claims.get(store_key)
+        if claim is not None:
+            record, until_s = claim.record, math.inf
         elif store_key in self._outcomes:
             record, until_s = self._outcomes[store_key]
         else:
--- a/src/azureramp/controllers/resource_api.py
+++ b/src/azureramp/controllers/resource_api.py
@@ -82,9 +82,11 @@
         scheme, _, token = request.headers.get("authorization", "").partition(
             " "
         )
-        given = hashlib.sha256(token.encode()).hexdigest()
-        wanted = self._board.settings.operator_token_sha256
-        return scheme.lower() == "bearer" and hmac.compare_digest(given, wanted)
+        token_hash = hashlib.sha256(token.encode()).hexdigest()
+        expected_hash = self._board.settings.operator_token_sha256
+        return scheme.lower() == "bearer" and hmac.compare_digest(
+            token_hash, expected_hash
+        )
 
     async def _handle_resource(
         self, request: web_api.Request, kind: str, name: str
@@ -232,8 +234,8 @@
     return rules.Problem(field, rules.Rule.TYPE, words)
 
 
-def _make_mismatch(field: str, wanted: str) -> rules.Problem:
-    return rules.Problem(field, rules.Rule.TYPE, f"must be {wanted}")
+def _make_mismatch(field: str, expected: str) -> rules.Problem:
+    return rules.Problem(field, rules.Rule.TYPE, f"must be {expected}")
 
 
 def _refuse_problems(
