--- a/src/azureramp/cli/event_filter.py
+++ b/src/azureramp/cli/event_filter.py
@@ -29,22 +29,22 @@
 
 
 def select(
-    records: Iterable[timelines.Record], wanted: EventFilter
+    records: Iterable[timelines.Record], criteria: EventFilter
 ) -> Iterator[timelines.Record]:
     """Yields the records that match all criteria, in their given order."""
     selected = list(records)
-    if wanted.request:
+    if criteria.request:
         selected = [
-            r for r in selected if _get(r, "request_id") == wanted.request
+            r for r in selected if _get(r, "request_id") == criteria.request
         ]
-    if wanted.key:
-        selected = _select_key(selected, wanted.key)
-    if wanted.zone:
-        selected = _select_zone(selected, wanted.zone)
+    if criteria.key:
+        selected = _select_key(selected, criteria.key)
+    if criteria.zone:
+        selected = _select_zone(selected, criteria.zone)
     for record in selected:
-        if wanted.since_s is not None and record.at_s < wanted.since_s:
+        if criteria.since_s is not None and record.at_s < criteria.since_s:
             continue
-        if wanted.until_s is not None and record.at_s >= wanted.until_s:
+        if criteria.until_s is not None and record.at_s >= criteria.until_s:
             continue
         yield record
 
--- a/src/azureramp/cli/timeline.py
+++ b/src/azureramp/cli/timeline.py
@@ -96,20 +96,20 @@
     An event never precedes the event that caused it, even if the clocks of
     the VMs differ. VMs that did not answer are listed at the end.
     """
-    wanted = event_filter.EventFilter(request, key, zone, since, until)
-    return asyncio.run(run(common, wanted, output_format))
+    criteria = event_filter.EventFilter(request, key, zone, since, until)
+    return asyncio.run(run(common, criteria, output_format))
 
 
 async def run(
     common: options.CommonOptions,
-    wanted: event_filter.EventFilter | None = None,
+    criteria: event_filter.EventFilter | None = None,
     output_format: str = "text",
 ) -> exit_codes.ExitCode:
     """Prints the events that match the criteria.
 
     Args:
         common: The options shared by all commands.
-        wanted: The criteria; None matches every event.
+        criteria: The criteria; None matches every event.
         output_format: The output format, `text` or `json`.
 
     Returns:
@@ -124,7 +124,7 @@
     collected = await collect(common, status.ok.members)
     merged = timelines.merge(collected.timelines)
     for record in event_filter.select(
-        merged, wanted or event_filter.EventFilter()
+        merged, criteria or event_filter.EventFilter()
     ):
         click.echo(format_record(record, output_format))
     _print_gaps(common, collected, output_format)
--- a/src/azureramp/cli/zones.py
+++ b/src/azureramp/cli/zones.py
@@ -38,11 +38,11 @@
         missing = client_module.make_error_answer(errors.Kind.NOT_FOUND)
         return output.print_error(missing, common, subject)
     revision = found.ok.revision
-    wanted = resources.Zone(name=name, state=state)
-    if found.ok.resource == wanted:
+    zone = resources.Zone(name=name, state=state)
+    if found.ok.resource == zone:
         output.print_state("unchanged", common, subject, state.value)
     else:
-        written = await resource_calls.put(client, wanted, revision)
+        written = await resource_calls.put(client, zone, revision)
         if written.is_error():
             return output.print_error(written.error, common, subject)
         revision = written.ok.revision
--- a/src/azureramp/invariants/answers.py
+++ b/src/azureramp/invariants/answers.py
@@ -28,13 +28,13 @@
                     f"request {answer.request_id} states version "
                     f"{answer.version} and merged version {part.version}",
                 )
-    for got in run_history.outcomes:
-        if got.code == "ok" and len(set(got.item_tags)) > 1:
+    for outcome in run_history.outcomes:
+        if outcome.code == "ok" and len(set(outcome.item_tags)) > 1:
             yield history.Violation(
                 "snapshot",
-                got.ended_s,
-                f"request {got.request_id} has items of "
-                f"{sorted(set(got.item_tags))}",
+                outcome.ended_s,
+                f"request {outcome.request_id} has items of "
+                f"{sorted(set(outcome.item_tags))}",
             )
 
 
@@ -70,28 +70,32 @@
     run_history: history.History,
 ) -> Iterator[history.Violation]:
     """Checks that each caller receives the full answer to its own request."""
-    for got in run_history.outcomes:
-        if got.code != "ok" or not got.expected_query:
+    for outcome in run_history.outcomes:
+        if outcome.code != "ok" or not outcome.expected_query:
             continue
-        name = f"{got.expected_query}@{got.version}"
+        name = f"{outcome.expected_query}@{outcome.version}"
         expected = {
             key
             for key in run_history.keys_by_tag.get(name, ())
-            if not any(low <= key < high for low, high in got.missing)
+            if not any(low <= key < high for low, high in outcome.missing)
         }
-        if any(tag != name for tag in got.item_tags):
-            words = f"has items of {sorted(set(got.item_tags))}"
-        elif len(got.item_keys) != len(set(got.item_keys)):
+        if any(tag != name for tag in outcome.item_tags):
+            words = f"has items of {sorted(set(outcome.item_tags))}"
+        elif len(outcome.item_keys) != len(set(outcome.item_keys)):
             words = "has duplicate items"
-        elif set(got.item_keys) != expected:
-            differing = sorted(set(got.item_keys) ^ expected)[:5]
+        elif set(outcome.item_keys) != expected:
+            differing = sorted(set(outcome.item_keys) ^ expected)[:5]
             words = f"does not match its ranges in the keys {differing}"
-        elif got.complete != (not got.missing):
-            words = f"states complete={got.complete}, missing {got.missing}"
+        elif outcome.complete != (not outcome.missing):
+            words = (
+                f"states complete={outcome.complete}, missing {outcome.missing}"
+            )
         else:
             continue
         yield history.Violation(
-            "whole_answer", got.ended_s, f"request {got.request_id} {words}"
+            "whole_answer",
+            outcome.ended_s,
+            f"request {outcome.request_id} {words}",
         )
 
 
@@ -104,13 +108,16 @@
         if isinstance(record.event, events.PartDispatched)
         and not run_history.arrivals
     }
-    for got in run_history.outcomes:
-        if got.ran == "not_run" and got.request_id in arrived | dispatched:
+    for outcome in run_history.outcomes:
+        if (
+            outcome.ran == "not_run"
+            and outcome.request_id in arrived | dispatched
+        ):
             yield history.Violation(
                 "not_run",
-                got.ended_s,
-                f"request {got.request_id} was refused as not run "
-                f"({got.code}), but ran",
+                outcome.ended_s,
+                f"request {outcome.request_id} was refused as not run "
+                f"({outcome.code}), but ran",
             )
 
 
--- a/src/azureramp/invariants/control.py
+++ b/src/azureramp/invariants/control.py
@@ -15,15 +15,22 @@
     for stop in run_history.stops:
         if stop.aborted_requests:
             continue
-        for got in run_history.outcomes:
-            if got.vm != stop.vm or got.answered or not got.connected:
+        for outcome in run_history.outcomes:
+            if (
+                outcome.vm != stop.vm
+                or outcome.answered
+                or not outcome.connected
+            ):
                 continue
-            if got.sent_s < stop.ended_s and got.ended_s >= stop.began_s:
+            if (
+                outcome.sent_s < stop.ended_s
+                and outcome.ended_s >= stop.began_s
+            ):
                 yield history.Violation(
                     "graceful_stop",
-                    got.ended_s,
-                    f"{stop.vm} aborted a request sent at {got.sent_s:.3f} s "
-                    f"while stopping",
+                    outcome.ended_s,
+                    f"{stop.vm} aborted a request sent at "
+                    f"{outcome.sent_s:.3f} s while stopping",
                 )
 
 
--- a/src/azureramp/platform/store.py
+++ b/src/azureramp/platform/store.py
@@ -225,14 +225,14 @@
 
 
 def _decode(
-    response: web_api.Response, wanted: type[_T]
+    response: web_api.Response, body_type: type[_T]
 ) -> expression.Result[_T, errors.Failure]:
     """Decodes the body of an answer with status 200."""
     detail = f"status {response.status}"
     if response.status == 200:
         try:
             return expression.Ok(
-                msgspec.json.decode(response.body, type=wanted)
+                msgspec.json.decode(response.body, type=body_type)
             )
         except msgspec.DecodeError as error:
             detail = str(error)
--- a/src/azureramp/ports/forwarding/pool.py
+++ b/src/azureramp/ports/forwarding/pool.py
@@ -159,15 +159,15 @@
         """Returns the number of connections that are open or being opened."""
         return len(self._links) + len(self._opening)
 
-    def open_ahead(self, wanted: int) -> None:
+    def open_ahead(self, count: int) -> None:
         """Opens connections ahead of need, unless the searcher is full.
 
         Args:
-            wanted: How many should be open, within the limit.
+            count: How many should be open, within the limit.
         """
         if self._is_backing_off():
             return
-        while self.count_open() < min(wanted, self.limit):
+        while self.count_open() < min(count, self.limit):
             self._open()
 
     def set_limit(self, limit: int) -> None:
--- a/src/azureramp/resources.py
+++ b/src/azureramp/resources.py
@@ -254,9 +254,9 @@
         """Returns the policy `default`, or one with default values."""
         return self._get(Policy).get("default") or Policy(name="default")
 
-    def _get(self, wanted: type[_T]) -> dict[str, _T]:
+    def _get(self, resource_type: type[_T]) -> dict[str, _T]:
         return {
             name: entry.resource
             for (_, name), entry in self.entries.items()
-            if isinstance(entry.resource, wanted)
+            if isinstance(entry.resource, resource_type)
         }
--- a/src/azureramp/settings.py
+++ b/src/azureramp/settings.py
@@ -143,9 +143,9 @@
 
     def __str__(self) -> str:
         """Returns one line with the flag, variable, value and rule."""
-        given = "no value" if self.value is None else f"{self.value!r}"
+        shown_value = "no value" if self.value is None else f"{self.value!r}"
         return (
-            f"{self.option.flag} ({self.option.variable}): {given}; "
+            f"{self.option.flag} ({self.option.variable}): {shown_value}; "
             f"allowed: {self.allowed}"
         )
 
