--- a/src/azureramp/policy/allowances.py
+++ b/src/azureramp/policy/allowances.py
@@ -36,11 +36,11 @@
 class Allowance:
     """The extra calls that one VM may make to one service."""
 
-    __slots__ = ("_extras_s", "_requests_s", "_terms")
+    __slots__ = ("_extras_s", "_limit", "_requests_s")
 
     def __init__(self, limit: Limit) -> None:
         """Creates an allowance of which nothing is used."""
-        self._terms = limit
+        self._limit = limit
         self._requests_s: collections.deque[float] = collections.deque()
         self._extras_s: collections.deque[float] = collections.deque()
 
@@ -57,8 +57,8 @@
             part: This VM's share of the fixed number, 0 to 1.
         """
         self._expire(now_s)
-        earned = self._terms.ratio * len(self._requests_s)
-        allowed = SAFETY_FACTOR * (earned + self._terms.fixed * part)
+        earned = self._limit.ratio * len(self._requests_s)
+        allowed = SAFETY_FACTOR * (earned + self._limit.fixed * part)
         return allowed - len(self._extras_s)
 
     def spend(self, now_s: float, part: float) -> bool:
@@ -70,7 +70,7 @@
 
     def _expire(self, now_s: float) -> None:
         """Drops the requests and calls before the window."""
-        oldest_s = now_s - self._terms.window_s
+        oldest_s = now_s - self._limit.window_s
         for times in (self._requests_s, self._extras_s):
             while times and times[0] < oldest_s:
                 times.popleft()
--- a/src/azureramp/policy/exposure.py
+++ b/src/azureramp/policy/exposure.py
@@ -96,7 +96,7 @@
         requests: The number of requests to the service since the order.
     """
 
-    __slots__ = ("_accounts", "_is_first", "_reserved", "_terms", "requests")
+    __slots__ = ("_accounts", "_is_first", "_limit", "_reserved", "requests")
 
     def __init__(
         self, limit: ExposureLimit, reserved: int, requests: int
@@ -108,7 +108,7 @@
             reserved: The calls that earlier drivers may have granted.
             requests: The requests that earlier drivers counted.
         """
-        self._terms = limit
+        self._limit = limit
         self._reserved = reserved
         self._is_first = not reserved and not requests
         self._accounts: dict[str, Account] = {}
@@ -154,7 +154,7 @@
         limit = account.spent + call_count
         if limit >= account.limit or now_s >= account.held_until_s:
             account.limit = limit
-            account.held_until_s = now_s + self._terms.get_grant_s()
+            account.held_until_s = now_s + self._limit.get_grant_s()
         return limit
 
     def count_unused(self, process: str) -> int:
