--- a/src/azureramp/controllers/owned_searcher.py
+++ b/src/azureramp/controllers/owned_searcher.py
@@ -187,7 +187,7 @@
     Attributes:
         owned: The owned searchers by name.
         parts: The unfinished sub-requests with their searchers, by key,
-            including those that wait for the end of a trial.
+            including queued ones of suspect requests.
     """
 
     __slots__ = ("owned", "parts")
--- a/src/azureramp/controllers/part_runner.py
+++ b/src/azureramp/controllers/part_runner.py
@@ -47,7 +47,7 @@
         "_prober",
         "_replies",
         "_rules",
-        "_trials",
+        "_suspect_queue",
         "on_released",
     )
 
@@ -74,7 +74,7 @@
             board, holdings, detector, prober
         )
         self._outcomes = part_outcomes.PartOutcomes(board, detector, prober)
-        self._trials = trial_queue.TrialQueue(detector)
+        self._suspect_queue = trial_queue.TrialQueue(detector)
         self.on_released: Callable[[OwnedSearcher], None] = _ignore
 
     def enqueue(self, part: Part) -> None:
@@ -88,7 +88,7 @@
             self.fail(part, refusal)
             return
         self._holdings.parts[part.key] = (owned, part)
-        if self._trials.admit(part):
+        if self._suspect_queue.admit(part):
             self._push(owned, part)
             self.start_waiting(owned)
 
@@ -105,7 +105,7 @@
         if part.task is not None:
             part.task.cancel()
             return
-        self._trials.remove(part)
+        self._suspect_queue.remove(part)
         owned.queue.remove(part)
         self.fail(part, errors.Failure(errors.Kind.CANCELLED))
 
@@ -152,7 +152,7 @@
         """Fails all sub-requests that wait for a searcher, without sending."""
         for waiting in owned.queue.clear():
             self.fail(waiting.item, failure)
-        for part in self._trials.pop_all_of_searcher(owned.get_name()):
+        for part in self._suspect_queue.pop_all_of_searcher(owned.get_name()):
             self.fail(part, failure)
 
     def fail(self, part: Part, failure: errors.Failure) -> None:
@@ -276,19 +276,19 @@
         self._remove(part)
 
     def _remove(self, part: Part) -> None:
-        """Removes a sub-request that has ended and ends its trial, if any."""
+        """Removes an ended sub-request and ends its suspect run, if any."""
         self._holdings.parts.pop(part.key, None)
-        if self._trials.end(part):
+        if self._suspect_queue.end(part):
             loop = asyncio.get_running_loop()
             loop.call_soon(self._resume_waiting, part.batch.fingerprint)
 
     def _resume_waiting(self, fingerprint: int) -> None:
-        """Admits the sub-requests that waited for the end of a trial.
+        """Admits a suspect request's queued sub-requests after a run has ended.
 
-        After a success all of them start; otherwise the first begins the next
-        trial.
+        After a success all of them start; otherwise only the first of them
+        runs and the others are queued again.
         """
-        for part in self._trials.pop_all(fingerprint):
+        for part in self._suspect_queue.pop_all(fingerprint):
             self.enqueue(part)
 
 
--- a/src/azureramp/controllers/poison_detection.py
+++ b/src/azureramp/controllers/poison_detection.py
@@ -49,7 +49,7 @@
     suspect request runs alone, one sub-request at a time; see `suspect_runs`.
 
     Attributes:
-        trials: The trials that run on this VM.
+        suspect_runs: The runs of suspect requests on this VM.
         on_attributed: Called with each fingerprint to which a crash was
             attributed and the server that crashed.
     """
@@ -65,7 +65,7 @@
         "_port",
         "_repeated_s",
         "on_attributed",
-        "trials",
+        "suspect_runs",
     )
 
     def __init__(
@@ -77,7 +77,7 @@
         holdings: owned_searcher.Holdings,
     ) -> None:
         """Creates an instance without suspect requests."""
-        self.trials = suspect_runs.SuspectRuns()
+        self.suspect_runs = suspect_runs.SuspectRuns()
         self.on_attributed: Callable[[int, str], None] = _ignore
         self._board = board
         self._outbox = outbox
--- a/src/azureramp/controllers/trial_queue.py
+++ b/src/azureramp/controllers/trial_queue.py
@@ -1,4 +1,4 @@
-"""Queue of suspect requests' sub-requests that wait for the end of a trial."""
+"""Queue of suspect requests' sub-requests that wait for another to end."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
             return True
         part.alone = part.batch.isolated or self._detector.is_suspect(part)
         fingerprint = part.batch.fingerprint
-        if self._detector.trials.try_start(fingerprint, part.key):
+        if self._detector.suspect_runs.try_start(fingerprint, part.key):
             return True
         self._waiting.setdefault(fingerprint, []).append(part)
         return False
@@ -50,8 +50,8 @@
         return removed
 
     def end(self, part: Part) -> bool:
-        """Ends a sub-request's trial; returns False if it had none."""
-        return self._detector.trials.end(part.batch.fingerprint, part.key)
+        """Ends a suspect request's run; returns False if none was running."""
+        return self._detector.suspect_runs.end(part.batch.fingerprint, part.key)
 
     def pop_all(self, fingerprint: int) -> list[Part]:
         """Removes and returns a request's sub-requests that are queued."""
