--- a/src/azureramp/policy/searcher_selection.py
+++ b/src/azureramp/policy/searcher_selection.py
@@ -161,67 +161,67 @@
         return backoff_ended and not self.responsive
 
 
-def estimate_relative_time(record: SearcherStats, now_s: float) -> float:
+def estimate_relative_time(stats: SearcherStats, now_s: float) -> float:
     """Estimates the duration of one more call, relative to the usual one.
 
     The estimate includes the wait for a slot if all are in use.
     """
-    slots = max(1, record.slots)
-    ahead = max(0.0, _get_load(record, now_s) + 1 - slots)
-    return _get_slowness(record, now_s) * (1.0 + ahead / slots)
+    slots = max(1, stats.slots)
+    ahead = max(0.0, _get_load(stats, now_s) + 1 - slots)
+    return _get_slowness(stats, now_s) * (1.0 + ahead / slots)
 
 
-def has_queued_calls(record: SearcherStats, now_s: float) -> bool:
+def has_queued_calls(stats: SearcherStats, now_s: float) -> bool:
     """Returns True if calls are waiting for a slot."""
-    return _get_load(record, now_s) > record.slots
+    return _get_load(stats, now_s) > stats.slots
 
 
-def _get_slowness(record: SearcherStats, now_s: float) -> float:
+def _get_slowness(stats: SearcherStats, now_s: float) -> float:
     """Returns a searcher's relative duration, decayed toward the usual one."""
-    if record.relative_time < 1.0:
-        return record.relative_time
-    return 1.0 + (record.relative_time - 1.0) * _compute_decay(record, now_s)
+    if stats.relative_time < 1.0:
+        return stats.relative_time
+    return 1.0 + (stats.relative_time - 1.0) * _compute_decay(stats, now_s)
 
 
-def _compute_decay(record: SearcherStats, now_s: float) -> float:
+def _compute_decay(stats: SearcherStats, now_s: float) -> float:
     """Returns the weight of measurements of this age, 0 to 1."""
-    idle_s = max(0.0, now_s - record.updated_s)
+    idle_s = max(0.0, now_s - stats.updated_s)
     return math.pow(0.5, idle_s / HALF_LIFE_S)
 
 
-def _get_load(record: SearcherStats, now_s: float) -> float:
+def _get_load(stats: SearcherStats, now_s: float) -> float:
     """Returns a searcher's number of calls, as far as this VM knows it."""
-    load = float(record.in_flight)
-    if now_s - record.reported_s < MAX_REPORT_AGE_S:
-        load += record.reported_load
+    load = float(stats.in_flight)
+    if now_s - stats.reported_s < MAX_REPORT_AGE_S:
+        load += stats.reported_load
     return load
 
 
-def compute_cost(record: SearcherStats, now_s: float) -> float:
+def compute_cost(stats: SearcherStats, now_s: float) -> float:
     """Returns a searcher's cost for one more call; lower is better."""
-    load = _get_load(record, now_s)
+    load = _get_load(stats, now_s)
     # While slots are free, concurrent calls hardly delay each other. A call
     # beyond the slots waits for the duration of a whole call.
-    slowness = _get_slowness(record, now_s)
-    if record.same_zone:
+    slowness = _get_slowness(stats, now_s)
+    if stats.same_zone:
         slowness = max(min(slowness, 1.0), slowness - SAME_ZONE_TOLERANCE)
-    cost = slowness * (1.0 + (load / max(1, record.slots)) ** 2)
-    cost += OVERDUE_COST * record.overdue
-    cost += FAILURE_COST * record.failure_rate * _compute_decay(record, now_s)
-    if not record.same_zone:
+    cost = slowness * (1.0 + (load / max(1, stats.slots)) ** 2)
+    cost += OVERDUE_COST * stats.overdue
+    cost += FAILURE_COST * stats.failure_rate * _compute_decay(stats, now_s)
+    if not stats.same_zone:
         cost += CROSS_ZONE_COST
     return cost
 
 
 def choose(
-    records: Iterable[tuple[str, SearcherStats]],
+    candidates: Iterable[tuple[str, SearcherStats]],
     now_s: float,
     rng: random.Random,
 ) -> str | None:
     """Chooses the best searcher.
 
     Args:
-        records: The ids and records of the candidates.
+        candidates: The ids and statistics of the candidates.
         now_s: The current time, in seconds.
         rng: Random source that varies the costs, to break ties.
 
@@ -230,17 +230,17 @@
     """
     best: str | None = None
     best_cost = 0.0
-    for searcher, record in records:
-        if record.is_excluded(now_s):
+    for searcher, stats in candidates:
+        if stats.is_excluded(now_s):
             continue
-        cost = compute_cost(record, now_s) * (1.0 + 0.1 * rng.random())
+        cost = compute_cost(stats, now_s) * (1.0 + 0.1 * rng.random())
         if best is None or cost < best_cost:
             best, best_cost = searcher, cost
     return best
 
 
 def choose_for_probe(
-    records: Iterable[tuple[str, SearcherStats]], now_s: float
+    candidates: Iterable[tuple[str, SearcherStats]], now_s: float
 ) -> str | None:
     """Chooses among searchers that may have recovered, if there are no others.
 
@@ -249,7 +249,7 @@
     been up again.
 
     Args:
-        records: The ids and records of the candidates.
+        candidates: The ids and statistics of the candidates.
         now_s: The current time, in seconds.
 
     Returns:
@@ -258,7 +258,7 @@
     """
     recovering = [
         (compute_cost(each, now_s), name)
-        for name, each in records
+        for name, each in candidates
         if each.needs_probe(now_s) and not each.probing
     ]
     return min(recovering)[1] if recovering else None
@@ -274,7 +274,7 @@
     be answered. Searchers that may be down are excluded.
 
     Args:
-        records: The ids and records of the candidates.
+        records: The ids and statistics of the candidates.
         now_s: The current time, in seconds.
 
     Returns:
--- a/tests/forwarding/test_dark_searchers.py
+++ b/tests/forwarding/test_dark_searchers.py
@@ -81,9 +81,9 @@
             await scene.send_request("vm-0", "/one/x")
         hanging.add(dark)
         dark.script = searcher.Reaction(connection_action="hang").always
-        record = scene.daemons["vm-0"].board.targets["statements-0"].stats
+        stats = scene.daemons["vm-0"].board.targets["statements-0"].stats
         for _ in range(300):
-            if record.is_excluded(loop.time()):
+            if stats.is_excluded(loop.time()):
                 break
             await scene.send_request("vm-0", "/one/x")
             await asyncio.sleep(0.03)
--- a/tests/forwarding/test_misdirected.py
+++ b/tests/forwarding/test_misdirected.py
@@ -25,8 +25,8 @@
             assert answer.status == 200
         refused = scene.searchers["statements-0"].requests
         assert len(refused) <= 1
-        record = scene.daemons["vm-0"].board.targets["statements-0"].stats
-        assert record.failures == 0
+        stats = scene.daemons["vm-0"].board.targets["statements-0"].stats
+        assert stats.failures == 0
 
     scenes.run(scenario)
 
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -99,7 +99,7 @@
         (30.0, hedging.Action.RETRY),
     ],
 )
-def test_a_late_part_is_hedged_and_a_very_late_one_replaced(
+def test_a_late_part_is_hedged_and_a_very_late_one_retried(
     elapsed_ms: float, step: hedging.Action
 ) -> None:
     assert hedging.decide(elapsed_ms, 10.0) is step
