--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -81,7 +81,7 @@
         self,
         number: int,
         state: store_state.State,
-        way: StorageMethod,
+        method: StorageMethod,
         seed: int,
     ) -> None:
         """Initializes the records and starts their task."""
@@ -99,9 +99,9 @@
         )
         self.grouped: grouped_trial.GroupedStore | None = None
         store = counting.CountingStore(self.memory, self.counters)
-        if way.buckets:
+        if method.buckets:
             self.grouped = grouped_trial.GroupedStore(
-                store, daemon.vm, way.buckets, way.linger_s
+                store, daemon.vm, method.buckets, method.linger_s
             )
         board = blackboard.Blackboard(
             daemon, 1, timelines.Timeline(daemon.vm), self.counters
@@ -117,7 +117,7 @@
 
 
 async def measure(
-    way: StorageMethod, rate: int, seed: int
+    method: StorageMethod, rate: int, seed: int
 ) -> dict[str, float | str]:
     """Measures one storage method at one rate of claims per second.
 
@@ -128,9 +128,9 @@
     state = store_state.State()
     # The rate limit of claims is lifted, so that it doesn't affect the results.
     record_limits.MAX_RECORDS_PER_S = math.inf
-    idempotency_policy.MAX_GROUP_CLAIMS = way.group
-    record_outcomes.FLUSH_INTERVAL_S = way.flush_s
-    vms = [VmRecords(number, state, way, seed) for number in range(VMS)]
+    idempotency_policy.MAX_GROUP_CLAIMS = method.group
+    record_outcomes.FLUSH_INTERVAL_S = method.flush_s
+    vms = [VmRecords(number, state, method, seed) for number in range(VMS)]
     loop = asyncio.get_running_loop()
     took_ms: list[float] = []
     tasks: set[asyncio.Task[None]] = set()
@@ -178,7 +178,7 @@
         vm.grouped.count_claims() if vm.grouped else 0 for vm in vms
     )
     return {
-        "way": way.name,
+        "way": method.name,
         "claims_per_s": rate,
         "records": len(took_ms),
         "refused": failures,
@@ -205,8 +205,8 @@
     """Measures all storage methods at all rates and prints a table."""
     tables.print_rows(
         (
-            virtual.run(measure(way, rate, seed))
-            for way in STORAGE_METHODS
+            virtual.run(measure(method, rate, seed))
+            for method in STORAGE_METHODS
             for rate in RATES
         ),
         json_path,
