--- a/src/azureramp/policy/searcher_selection.py
+++ b/src/azureramp/policy/searcher_selection.py
@@ -221,7 +221,7 @@
     """Chooses the best searcher.
 
     Args:
-        candidates: The ids and statistics of the candidates.
+        candidates: The searchers' ids and statistics.
         now_s: The current time, in seconds.
         rng: Random source that varies the costs, to break ties.
 
@@ -249,7 +249,7 @@
     been up again.
 
     Args:
-        candidates: The ids and statistics of the candidates.
+        candidates: The searchers' ids and statistics.
         now_s: The current time, in seconds.
 
     Returns:
@@ -265,7 +265,7 @@
 
 
 def choose_in_backoff(
-    records: Iterable[tuple[str, SearcherStats]], now_s: float
+    candidates: Iterable[tuple[str, SearcherStats]], now_s: float
 ) -> str | None:
     """Chooses among searchers in backoff, as a last resort.
 
@@ -274,7 +274,7 @@
     be answered. Searchers that may be down are excluded.
 
     Args:
-        records: The ids and statistics of the candidates.
+        candidates: The searchers' ids and statistics.
         now_s: The current time, in seconds.
 
     Returns:
@@ -282,7 +282,7 @@
     """
     failing = [
         (compute_cost(each, now_s), name)
-        for name, each in records
+        for name, each in candidates
         if each.responsive
     ]
     return min(failing)[1] if failing else None
