--- a/src/azureramp/ports/searchers/calls.py
+++ b/src/azureramp/ports/searchers/calls.py
@@ -54,16 +54,16 @@
         may_write: Returns True if the call may be written.
         computed_s: Event loop time at which the deadline to be written was
             computed, in seconds.
-        asked: True if `may_write` was called.
+        checked: True if `may_write` was called.
         granted: The result of `may_write`.
     """
 
     may_write: Callable[[], bool]
     computed_s: float = 0.0
-    asked: bool = False
+    checked: bool = False
     granted: bool = False
 
-    def ask(self) -> bool:
+    def check(self) -> bool:
         """Returns True if the first byte may be written now.
 
         If the process was paused after the request was encoded, the searcher
@@ -74,7 +74,7 @@
         elapsed_s = asyncio.get_running_loop().time() - self.computed_s
         if elapsed_s > MAX_ENCODE_S:
             return False
-        self.asked = True
+        self.checked = True
         self.granted = self.may_write()
         return self.granted
 
@@ -189,14 +189,16 @@
         broke = False
         try:
             return check_reply(
-                call, await link.call(call, remaining_ms, permission.ask), link
+                call,
+                await link.call(call, remaining_ms, permission.check),
+                link,
             )
         except web_connection.NotSentError:
             # The searcher closed an idle connection, or this process was
             # paused. No byte was written, so another connection may be used
             # unless `may_write` returned False.
             broke = not link.is_reusable()
-            if not permission.asked:
+            if not permission.checked:
                 return None
             return expression.Error(
                 errors.Failure(errors.Kind.NOT_OWNER, "may not write")
--- a/src/azureramp_standins/measuring/records.py
+++ b/src/azureramp_standins/measuring/records.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Way:
+class StorageMethod:
     """A method of storing the records.
 
     Attributes:
@@ -61,16 +61,16 @@
     linger_s: float = 0.0
 
 
-WAYS = (
-    Way("one write an outcome", group=1, flush_s=0.0),
-    Way("outcomes grouped, 50 ms", flush_s=0.05),
-    Way("outcomes grouped, 100 ms"),
-    Way("outcomes grouped, 250 ms", flush_s=0.25),
-    Way("log, 1 bucket, 0 ms", buckets=1),
-    Way("log, 1 bucket, 20 ms", buckets=1, linger_s=0.02),
-    Way("log, 1 bucket, 50 ms", buckets=1, linger_s=0.05),
-    Way("log, 8 buckets, 20 ms", buckets=8, linger_s=0.02),
-    Way("log, 8 buckets, 50 ms", buckets=8, linger_s=0.05),
+STORAGE_METHODS = (
+    StorageMethod("one write an outcome", group=1, flush_s=0.0),
+    StorageMethod("outcomes grouped, 50 ms", flush_s=0.05),
+    StorageMethod("outcomes grouped, 100 ms"),
+    StorageMethod("outcomes grouped, 250 ms", flush_s=0.25),
+    StorageMethod("log, 1 bucket, 0 ms", buckets=1),
+    StorageMethod("log, 1 bucket, 20 ms", buckets=1, linger_s=0.02),
+    StorageMethod("log, 1 bucket, 50 ms", buckets=1, linger_s=0.05),
+    StorageMethod("log, 8 buckets, 20 ms", buckets=8, linger_s=0.02),
+    StorageMethod("log, 8 buckets, 50 ms", buckets=8, linger_s=0.05),
 )
 
 
@@ -78,7 +78,11 @@
     """The idempotency records of one VM."""
 
     def __init__(
-        self, number: int, state: store_state.State, way: Way, seed: int
+        self,
+        number: int,
+        state: store_state.State,
+        method: StorageMethod,
+        seed: int,
     ) -> None:
         """Initializes the records and starts their task."""
         daemon = settings.Settings(
@@ -95,9 +99,9 @@
         )
         self.grouped: grouped_trial.GroupedStore | None = None
         store = counting.CountingStore(self.memory, self.counters)
-        if way.buckets:
+        if method.buckets:
             self.grouped = grouped_trial.GroupedStore(
-                store, daemon.vm, way.buckets, way.linger_s
+                store, daemon.vm, method.buckets, method.linger_s
             )
         board = blackboard.Blackboard(
             daemon, 1, timelines.Timeline(daemon.vm), self.counters
@@ -112,7 +116,9 @@
         self.task = asyncio.ensure_future(self.records.run())
 
 
-async def measure(way: Way, rate: int, seed: int) -> dict[str, float | str]:
+async def measure(
+    method: StorageMethod, rate: int, seed: int
+) -> dict[str, float | str]:
     """Measures one storage method at one rate of claims per second.
 
     Returns:
@@ -122,9 +128,9 @@
     state = store_state.State()
     # The rate limit of claims is lifted, so that it doesn't affect the results.
     record_limits.MAX_RECORDS_PER_S = math.inf
-    idempotency_policy.MAX_GROUP_CLAIMS = way.group
-    record_outcomes.FLUSH_INTERVAL_S = way.flush_s
-    vms = [VmRecords(number, state, way, seed) for number in range(VMS)]
+    idempotency_policy.MAX_GROUP_CLAIMS = method.group
+    record_outcomes.FLUSH_INTERVAL_S = method.flush_s
+    vms = [VmRecords(number, state, method, seed) for number in range(VMS)]
     loop = asyncio.get_running_loop()
     took_ms: list[float] = []
     tasks: set[asyncio.Task[None]] = set()
@@ -172,7 +178,7 @@
         vm.grouped.count_claims() if vm.grouped else 0 for vm in vms
     )
     return {
-        "way": way.name,
+        "way": method.name,
         "claims_per_s": rate,
         "records": len(took_ms),
         "refused": failures,
@@ -199,8 +205,8 @@
     """Measures all storage methods at all rates and prints a table."""
     tables.print_rows(
         (
-            virtual.run(measure(way, rate, seed))
-            for way in WAYS
+            virtual.run(measure(method, rate, seed))
+            for method in STORAGE_METHODS
             for rate in RATES
         ),
         json_path,
