--- a/src/azureramp_standins/cluster.py
+++ b/src/azureramp_standins/cluster.py
@@ -147,7 +147,7 @@
         self, seed: int, service_ms: float
     ) -> list[searchers_memory.Searcher]:
         """Makes the searchers of all backend servers."""
-        made: list[searchers_memory.Searcher] = []
+        searchers: list[searchers_memory.Searcher] = []
         for server in layouts.make_servers(self.layout):
             service = self.layout.get_service(server.service)
             siblings: list[searchers_memory.Searcher] = []
@@ -169,8 +169,8 @@
                 siblings.append(searcher)
                 names = (declared.name, server.name, server.zone)
                 self._searcher_names[declared.address] = names
-            made.extend(siblings)
-        return made
+            searchers.extend(siblings)
+        return searchers
 
     def _record_arrival(
         self, searcher: searchers_memory.Searcher, call: searchers_api.Call
@@ -275,7 +275,7 @@
 
     def _make_settings(self, entry: vmlist_api.Vm) -> settings.Settings:
         """Makes the settings of a VM, with the overrides."""
-        made = settings.Settings(
+        base_settings = settings.Settings(
             vm=entry.name,
             zone=entry.zone,
             http_address=entry.http_address,
@@ -285,7 +285,7 @@
             peer_key="key",
             operator_token_sha256=OPERATOR_SHA256,
         )
-        return dataclasses.replace(made, **self.overrides)  # type: ignore[arg-type]
+        return dataclasses.replace(base_settings, **self.overrides)  # type: ignore[arg-type]
 
     async def stop_vm(self, name: str) -> int:
         """Stops a VM gracefully.
--- a/src/azureramp_standins/layout.py
+++ b/src/azureramp_standins/layout.py
@@ -176,7 +176,7 @@
     count = shards or service.shards
     span = service.count_keys()
     total = service.servers * service.searchers
-    made: list[resources.Shard] = []
+    built_shards: list[resources.Shard] = []
     for number in range(count):
         low, high = span * number // count, span * (number + 1) // count
         names = []
@@ -187,7 +187,7 @@
                 position // service.servers,
             )
             names.append(f"{service.name}-{server:02}-{letter}")
-        made.append(
+        built_shards.append(
             resources.Shard(
                 name=f"{number:03}",
                 low=low,
@@ -200,17 +200,17 @@
         name=f"{service.name}.{version}",
         index=service.name,
         version=version,
-        shards=tuple(made),
+        shards=tuple(built_shards),
     )
 
 
 def make_callers(layout: Layout) -> list[resources.AnyResource]:
     """Makes the callers and the services."""
     names = tuple(service.name for service in layout.services)
-    made: list[resources.AnyResource] = [
+    declared: list[resources.AnyResource] = [
         resources.Service(name=name, indexes=(name,)) for name in names
     ]
-    made.extend(
+    declared.extend(
         resources.Caller(
             name=name,
             token_sha256=hashlib.sha256(name.encode()).hexdigest(),
@@ -219,7 +219,7 @@
         )
         for name, priority in CALLERS.items()
     )
-    return made
+    return declared
 
 
 def make_resources(layout: Layout) -> list[resources.AnyResource]:
--- a/src/azureramp_standins/matrix/faults.py
+++ b/src/azureramp_standins/matrix/faults.py
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault.
+    """A fault with its functions.
 
     Attributes:
         name: The fault's name.
--- a/src/azureramp_standins/measuring/ablation.py
+++ b/src/azureramp_standins/measuring/ablation.py
@@ -304,13 +304,13 @@
         return counted
     worths = [result.worth for result in completed]
     spread = statistics.stdev(worths) if len(worths) > 1 else 0.0
-    whole = statistics.fmean(result.whole_day for result in completed)
+    whole_day = statistics.fmean(result.whole_day for result in completed)
     short = sum(result.short or 0 for result in completed)
     gathered = sum(result.gathered for result in completed)
     return {
         "worth": f"{statistics.fmean(worths):.3f}",
         "spread": f"{spread:.3f}",
-        "whole day": f"{whole:.3f}",
+        "whole day": f"{whole_day:.3f}",
         "short": f"{short}/{gathered}",
     } | counted
 
--- a/src/azureramp_standins/measuring/platform_calls.py
+++ b/src/azureramp_standins/measuring/platform_calls.py
@@ -141,7 +141,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Scenario:
-    """One run.
+    """Parameters of a run through all phases.
 
     Attributes:
         name: Name in the table.
--- a/src/azureramp_standins/measuring/scenarios.py
+++ b/src/azureramp_standins/measuring/scenarios.py
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Scenario:
-    """One row of the table.
+    """Parameters of one row of the table.
 
     Attributes:
         layout: The deployment, a key of `LAYOUTS`.
